--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -51,11 +51,39 @@
 
 # the operators' figures, from their letter; connections and so on are of the whole site
 PLAN: dict[str, float] = {
-    "gateways": 7400, "connections": 580e6, "shards": 3.4e6, "hottest": 880_000, "deliveries": 81e6, "within_ms": 120,
-    "within_share": 99, "hundred": 100, "regions": 2, "zones": 5, "changes": 24_000, "change_s": 18, "cpu_percent": 1.2,
-    "cpu_ms": 12, "memory_mb": 32, "traffic_kb": 18, "nine": 9, "failures": 18, "restarts": 1700,
-    "shard_bytes": 9, "aim_ms": 3, "aim_mb": 4, "aim_kb": 2, "nine_ms": 500, "nine_mb": 256, "dead_cell_s": 8,
-    "dead_s": 12, "zone_s": 12, "force_s": 15, "entry_s": 5, "wait_s": 5, "growth": 1.2}
+    "gateways": 7400,
+    "connections": 580e6,
+    "shards": 3.4e6,
+    "hottest": 880_000,
+    "deliveries": 81e6,
+    "within_ms": 120,
+    "within_share": 99,
+    "hundred": 100,
+    "regions": 2,
+    "zones": 5,
+    "changes": 24_000,
+    "change_s": 18,
+    "cpu_percent": 1.2,
+    "cpu_ms": 12,
+    "memory_mb": 32,
+    "traffic_kb": 18,
+    "nine": 9,
+    "failures": 18,
+    "restarts": 1700,
+    "shard_bytes": 9,
+    "aim_ms": 3,
+    "aim_mb": 4,
+    "aim_kb": 2,
+    "nine_ms": 500,
+    "nine_mb": 256,
+    "dead_cell_s": 8,
+    "dead_s": 12,
+    "zone_s": 12,
+    "force_s": 15,
+    "entry_s": 5,
+    "wait_s": 5,
+    "growth": 1.2,
+}
 # what was chosen here because the letter does not say it, and why
 CHOICES: dict[str, tuple[float, str]] = {
     "rack": (40, "gateways behind one rack or switch; the operators' number is not known"),
@@ -68,28 +96,87 @@
     "storm_s": (60, "seconds over which a lost zone's viewers are let come again"),
 }
 # short names for runs on the page; whatever is not here goes by its own name
-CODES = {"viewers.idle": "VI", "viewers.playing": "VP", "viewers.delivery": "VD", "viewers.setups": "VS",
-         "viewers.fan": "VF", "shards.flat": "SF", "shards.cells": "SC", "shards.jump": "SJ", "shards.bounded": "SB",
-         "scale.flat.virtual": "FV", "scale.flat.sockets": "FS", "scale.cells.virtual": "CV",
-         "scale.cells.sockets": "CS", "probe.flat": "PT"}
+CODES = {
+    "viewers.idle": "VI",
+    "viewers.playing": "VP",
+    "viewers.delivery": "VD",
+    "viewers.setups": "VS",
+    "viewers.fan": "VF",
+    "shards.flat": "SF",
+    "shards.cells": "SC",
+    "shards.jump": "SJ",
+    "shards.bounded": "SB",
+    "scale.flat.virtual": "FV",
+    "scale.flat.sockets": "FS",
+    "scale.cells.virtual": "CV",
+    "scale.cells.sockets": "CS",
+    "probe.flat": "PT",
+}
 # what of a kind of run the page's table of slopes and predictions shows; all of it where nothing is said
 SHOWN = {
-    "viewers.idle": ("gateway_kb", "outside_kb"), "viewers.playing": ("gateway_kb", "outside_kb", "cpu_ms_per_s"),
-    "viewers.delivery": ("us_each",), "viewers.setups": ("ms_each",), "viewers.fan": ("us_each", "last_ms"),
+    "viewers.idle": ("gateway_kb", "outside_kb"),
+    "viewers.playing": ("gateway_kb", "outside_kb", "cpu_ms_per_s"),
+    "viewers.delivery": ("us_each",),
+    "viewers.setups": ("ms_each",),
+    "viewers.fan": ("us_each", "last_ms"),
     **{f"shards.{way}": ("moved_day", "lookup_us", "listed") for way in ("flat", "cells", "jump", "bounded")},
-    **{f"scale.{way}.virtual": (
-        "cpu_ms_per_s.median", "cpu_ms_per_s.p99", "cpu_ms_per_s.leader", "cpu_ms_per_s.relay", "bytes_per_s.median",
-        "bytes_per_s.leader", "control_mb", "dead_known_s", "zone_known_s", "zone_in_force_s",
-        "change_in_force_s.last", "links_most") for way in ("flat", "cells")},
-    **{f"scale.{way}.sockets": (
-        "cpu_ms_per_s.median", "cpu_ms_per_s.leader", "real_cpu_ms_per_s.median", "bytes_per_s.median", "control_mb",
-        "zone_known_s", "change_in_force_s.last", "links_most") for way in ("flat", "cells")},
-    "probe.flat": ("cpu_ms_per_s", "zone_hear_ms", "rumours_wait_s", "leader_frames_per_s", "leader_kb_per_s",
-                   "roster_mb")}
+    **{
+        f"scale.{way}.virtual": (
+            "cpu_ms_per_s.median",
+            "cpu_ms_per_s.p99",
+            "cpu_ms_per_s.leader",
+            "cpu_ms_per_s.relay",
+            "bytes_per_s.median",
+            "bytes_per_s.leader",
+            "control_mb",
+            "dead_known_s",
+            "zone_known_s",
+            "zone_in_force_s",
+            "change_in_force_s.last",
+            "links_most",
+        )
+        for way in ("flat", "cells")
+    },
+    **{
+        f"scale.{way}.sockets": (
+            "cpu_ms_per_s.median",
+            "cpu_ms_per_s.leader",
+            "real_cpu_ms_per_s.median",
+            "bytes_per_s.median",
+            "control_mb",
+            "zone_known_s",
+            "change_in_force_s.last",
+            "links_most",
+        )
+        for way in ("flat", "cells")
+    },
+    "probe.flat": (
+        "cpu_ms_per_s",
+        "zone_hear_ms",
+        "rumours_wait_s",
+        "leader_frames_per_s",
+        "leader_kb_per_s",
+        "roster_mb",
+    ),
+}
 SCALE = ("gateways", "cpu_ms_per_s", "bytes_per_s")  # what a result of a scale run has to have
 # of a scale run's keys, what it was told and not what it found; `load` goes into the note
-TELLS = ("gateways", "size", "voters", "loss", "delay_ms", "cores", "load", "python", "processes", "for_s", "virtual_s",
-         "real_s", "faults", "played")
+TELLS = (
+    "gateways",
+    "size",
+    "voters",
+    "loss",
+    "delay_ms",
+    "cores",
+    "load",
+    "python",
+    "processes",
+    "for_s",
+    "virtual_s",
+    "real_s",
+    "faults",
+    "played",
+)
 TABLE = 12  # an object of more names than this is a listing, as are these: its count and sum are kept
 LISTINGS = re.compile(r"held|held_leader|kinds|state\.events|week_held_\w+|week_grown")
 TOLD = {"commit": str, "command": str, "machine": str, "at": str, "note": str, "trial": bool, "seed": int}
@@ -201,8 +288,10 @@
         seen[one["id"]] = place
         sound(where, one)
     if end != ending(records):
-        raise Bad(f"{path.name} line {len(lines)}: end: {short(end.get('end'))}: lines lost or moved, "
-                  f"there are {len(records)}")
+        raise Bad(
+            f"{path.name} line {len(lines)}: end: {short(end.get('end'))}: lines lost or moved, "
+            f"there are {len(records)}"
+        )
     return records
 
 
@@ -251,8 +340,9 @@
 # ---- results
 
 
-def flatten(where: str, found: Mapping[str, Any], into: dict[str, float], raw: dict[str, list[float]],
-            before: str = "") -> None:
+def flatten(
+    where: str, found: Mapping[str, Any], into: dict[str, float], raw: dict[str, list[float]], before: str = ""
+) -> None:
     """Numbers of nested objects by dotted names; null is what was not measured; a list is raw, its median the value."""
     for key, value in found.items():
         name = before + key
@@ -297,9 +387,12 @@
             if value not in known:
                 raise Bad(f"{where}: {key}: {short(value)}: one of {', '.join(known)}")
         run |= {"what": f"scale.{mechanism}.{clock}", "size": found["gateways"], "seed": found.get("seed", 0)}
-        run["command"] = (f"python -m benchmarks.scale {found['gateways']} --seed {run['seed']}" if clock == "virtual"
-                          else f"copperyard lab scale --gateways {found['gateways']} --real {found.get('real', 0)}"
-                          f" --seed {run['seed']}")
+        run["command"] = (
+            f"python -m benchmarks.scale {found['gateways']} --seed {run['seed']}"
+            if clock == "virtual"
+            else f"copperyard lab scale --gateways {found['gateways']} --real {found.get('real', 0)}"
+            f" --seed {run['seed']}"
+        )
         if clock == "virtual" and isinstance(played := found.get("played"), list) and played:
             run["command"] += " --faults " + " ".join(map(str, played))
         run |= {key: found[key] for key in TOLD if key in found}
@@ -468,14 +561,18 @@
 
 MISSING = Value(None)
 BINARY: dict[type[ast.operator], Callable[[float, float], float]] = {
-    ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv,
-    ast.Pow: operator.pow}
-CALLS: dict[str, Callable[..., float]] = {
-    "sqrt": math.sqrt, "ceil": math.ceil, "log": math.log, "min": min, "max": max}
+    ast.Add: operator.add,
+    ast.Sub: operator.sub,
+    ast.Mult: operator.mul,
+    ast.Div: operator.truediv,
+    ast.Pow: operator.pow,
+}
+CALLS: dict[str, Callable[..., float]] = {"sqrt": math.sqrt, "ceil": math.ceil, "log": math.log, "min": min, "max": max}
 
 
 def work_out(formula: str, names: Mapping[str, float]) -> float:
     """The value of a formula of names, numbers, + - * / ** and sqrt, ceil, log, min, max. Bad for anything else."""
+
     def of(node: ast.AST) -> float:
         if isinstance(node, ast.Expression):
             return of(node.body)
@@ -488,6 +585,7 @@
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id in CALLS:
             return CALLS[node.func.id](*(of(one) for one in node.args))
         raise Bad(f"{TEMPLATE.name}: formula {formula!r}: {ast.unparse(node)!r} is none of its names")
+
     return of(ast.parse(formula, mode="eval"))
 
 
@@ -514,8 +612,13 @@
     def fit(self, what: str, name: str) -> Fit | None:
         if (what, name) not in self.fits:
             out = self.held_out(what)
-            self.fits[what, name] = fit([(one["size"], one["values"][name], one["seed"]) for one in self.runs(what)
-                                         if name in one["values"] and one["size"] not in out])
+            self.fits[what, name] = fit(
+                [
+                    (one["size"], one["values"][name], one["seed"])
+                    for one in self.runs(what)
+                    if name in one["values"] and one["size"] not in out
+                ]
+            )
         return self.fits[what, name]
 
     def names(self, what: str) -> list[str]:
@@ -598,7 +701,7 @@
             word = "over" if (most.value or 0) > budget else "room"
             return f"no form fits; {word} at the greatest size measured `{most.sources[0]}`"
         if found.b <= 0 or found.form == "flat":
-            return (f"{'over at any size' if found.a > budget else 'none, it does not grow'} `{code(what)}`")
+            return f"{'over at any size' if found.a > budget else 'none, it does not grow'} `{code(what)}`"
         reach = [(budget - a) / b for a, b in (*found.spread, (found.a, found.b)) if b > 0]
         if found.form == "logarithmic":
             if max(reach) > math.log(1e9):
@@ -616,18 +719,28 @@
                 found = self.fit(what, name)
                 if found is None:
                     continue
+
                 def one(value: float, what: str = what) -> str:
                     return Value(value, sources=(code(what),)).bare
+
                 sign = "-" if found.b < 0 else "+"
-                form = one(found.a) + {"flat": "", "logarithmic": f" {sign} {one(abs(found.b))} ln n",
-                                       "linear": f" {sign} {one(abs(found.b))} n"}[found.form]
+                form = (
+                    one(found.a)
+                    + {
+                        "flat": "",
+                        "logarithmic": f" {sign} {one(abs(found.b))} ln n",
+                        "linear": f" {sign} {one(abs(found.b))} n",
+                    }[found.form]
+                )
                 edges = [b if found.form != "flat" else a for a, b in found.spread]
                 between = f"{one(min(edges))} to {one(max(edges))}" if edges else "one seed"
                 tried = ", ".join(one(100 * found.left_out[key]) for key in FORMS)
                 bad = " **no form fits**" if found.residue > LOOSE else ""
                 left = f"{one(100 * found.residue)}%{bad}"
-                rows.append(f"| `{code(what)}` `{name}` | {found.form} | {form} | {between} | {left} | {tried} | "
-                            f"{', '.join(one(size) for size in found.sizes)} |")
+                rows.append(
+                    f"| `{code(what)}` `{name}` | {found.form} | {form} | {between} | {left} | {tried} | "
+                    f"{', '.join(one(size) for size in found.sizes)} |"
+                )
         return rows
 
     def predictions(self) -> list[str]:
@@ -666,8 +779,9 @@
             if one["kind"] == "run":
                 groups.setdefault((one["what"], one["size"]), []).append(one)
         order = list(CODES)
-        for (what, size), some in sorted(groups.items(), key=lambda item: (
-                order.index(item[0][0]) if item[0][0] in order else 99, item[0])):
+        for (what, size), some in sorted(
+            groups.items(), key=lambda item: (order.index(item[0][0]) if item[0][0] in order else 99, item[0])
+        ):
             ids = " ".join(one["id"] for one in some)
             commits = " ".join(dict.fromkeys(one["commit"] or "none" for one in some))
             seeds = " ".join(str(seed) for seed in sorted({one["seed"] for one in some}))
@@ -690,9 +804,11 @@
 
     def ranking(self, rows: Iterable[tuple[str, Value, Value]]) -> list[tuple[str, Value, Value]]:
         """Rows of name, value and budget, the one that misses its budget by the largest factor first."""
+
         def part(row: tuple[str, Value, Value]) -> float:
             _, value, budget = row
             return -1.0 if value.value is None or not budget.value else value.value / budget.value
+
         return sorted(rows, key=part, reverse=True)
 
 
@@ -710,15 +826,30 @@
 def render(records: list[dict[str, Any]], template: Path) -> str:
     """The page, with marks around each figure. Bad where the template does not read."""
     book = Book(records)
-    space = jinja2.Environment(undefined=jinja2.StrictUndefined, trim_blocks=True, lstrip_blocks=True,
-                               keep_trailing_newline=True, autoescape=False)
+    space = jinja2.Environment(
+        undefined=jinja2.StrictUndefined,
+        trim_blocks=True,
+        lstrip_blocks=True,
+        keep_trailing_newline=True,
+        autoescape=False,
+    )
     plan = {name: plan_value(name) for name in PLAN}
     choices = {name: Value(value, sources=("choice",)) for name, (value, _) in CHOICES.items()}
     reasons = {name: why for name, (_, why) in CHOICES.items()}
     try:
         text = space.from_string(template.read_text()).render(
-            book=book, plan=plan, choice=choices, reasons=reasons, m=book.m, f=book.f, at=book.at, slope=book.slope,
-            calc=book.calc, factor=book.factor, wall=book.wall)
+            book=book,
+            plan=plan,
+            choice=choices,
+            reasons=reasons,
+            m=book.m,
+            f=book.f,
+            at=book.at,
+            slope=book.slope,
+            calc=book.calc,
+            factor=book.factor,
+            wall=book.wall,
+        )
         return re.sub(r"\n{3,}", "\n\n", text)
     except (OSError, jinja2.TemplateError, KeyError, TypeError) as error:
         raise Bad(f"{template.name}: {error}") from None
@@ -799,13 +930,27 @@
         found = book.fit(what, name)
         if found is not None:
             low, high = found.range(size)
-            values[name] = {"value": found.at(size), "low": low, "high": high, "form": found.form, "a": found.a,
-                            "b": found.b, "residue": found.residue}
+            values[name] = {
+                "value": found.at(size),
+                "low": low,
+                "high": high,
+                "form": found.form,
+                "a": found.a,
+                "b": found.b,
+                "residue": found.residue,
+            }
     if not values:
         sizes = sorted({one["size"] for one in book.runs(what)})
         raise Bad(f"--what: {what}: measured at sizes {sizes}, a fit needs {SIZES}")
-    return {"kind": "prediction", "what": what, "size": size, "values": values, "runs": used, "commit": commit_here(),
-            "at": datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")}
+    return {
+        "kind": "prediction",
+        "what": what,
+        "size": size,
+        "values": values,
+        "runs": used,
+        "commit": commit_here(),
+        "at": datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ"),
+    }
 
 
 def main(words: Sequence[str] | None = None) -> int:
@@ -818,8 +963,12 @@
     parts = parser.add_subparsers(dest="part")
     adding = parts.add_parser("add")
     adding.add_argument("results", type=Path, nargs="+")
-    adding.add_argument("--here", action="store_true", help="what a result does not tell of commit and machine is "
-                        "that of this work tree and machine, its date that of its file")
+    adding.add_argument(
+        "--here",
+        action="store_true",
+        help="what a result does not tell of commit and machine is "
+        "that of this work tree and machine, its date that of its file",
+    )
     adding.add_argument("--command", default="", help="the command, where the result does not tell it")
     adding.add_argument("--commit", default="", help="the commit, where the result does not tell it")
     saying = parts.add_parser("predict")
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -80,14 +80,46 @@
         self.case, self.rng = case, random.Random(seed)
         self.link = case.places / 2.4 * RATES[1]
         self.settings = api.Settings(
-            fronts=case.fronts, zone=0, tick=MS, classes=(FREE, PAID), rung_kb=RATES, rung_worth=(0.3, 0.6, 1.0),
-            cells=case.hosts, racks=max(1, case.hosts // 9), uplink_kb=self.link * 8, weight_kb=self.link,
-            places_by_kind=(case.places,), full_from=1.0, join_adds=1.0, told_late=500 * MS, told_every=0,
-            shortfall_cost=8.0, switch_s=0.5, max_attempts=3, max_retry_after=SECOND, retry_after=True, probes=True,
-            cancelling=True, connect_timeout=250 * MS, subscribe=False, ask_every=0, cold_from=case.cold_from,
-            warm_within=case.warm, drain_grace=250 * MS, fall_multiple=case.multiple, fall=case.fall, free_resends=3.0,
-            further_ratio=0.2, ratio_span=5 * SECOND, price_cross_zone=0.0, price_late_fail=0.05, price_move=0.2,
-            price_probe=0.01, reports_in_answers=False, reports_uplink=False)
+            fronts=case.fronts,
+            zone=0,
+            tick=MS,
+            classes=(FREE, PAID),
+            rung_kb=RATES,
+            rung_worth=(0.3, 0.6, 1.0),
+            cells=case.hosts,
+            racks=max(1, case.hosts // 9),
+            uplink_kb=self.link * 8,
+            weight_kb=self.link,
+            places_by_kind=(case.places,),
+            full_from=1.0,
+            join_adds=1.0,
+            told_late=500 * MS,
+            told_every=0,
+            shortfall_cost=8.0,
+            switch_s=0.5,
+            max_attempts=3,
+            max_retry_after=SECOND,
+            retry_after=True,
+            probes=True,
+            cancelling=True,
+            connect_timeout=250 * MS,
+            subscribe=False,
+            ask_every=0,
+            cold_from=case.cold_from,
+            warm_within=case.warm,
+            drain_grace=250 * MS,
+            fall_multiple=case.multiple,
+            fall=case.fall,
+            free_resends=3.0,
+            further_ratio=0.2,
+            ratio_span=5 * SECOND,
+            price_cross_zone=0.0,
+            price_late_fail=0.05,
+            price_move=0.2,
+            price_probe=0.01,
+            reports_in_answers=False,
+            reports_uplink=False,
+        )
         self.weights = [self.rng.lognormvariate(0, case.uneven) for _ in range(case.fronts)]
         self.titles = [self.rng.randrange(case.hosts) for _ in range(5 * case.hosts)]
         self.wanted = [(k + 1) ** -0.8 for k in range(len(self.titles))]
@@ -99,11 +131,14 @@
         self.count = self.ref = 0
         self.began = 25 * SECOND  # when the new hosts start
         n, step = case.hosts, case.hosts // case.fresh
-        self.old = {k * step: api.ServerEntry(k * step, 1.0, 0, k * step, 0, api.ServerState.READY, 0)
-                    for k in range(case.fresh)}
+        self.old = {
+            k * step: api.ServerEntry(k * step, 1.0, 0, k * step, 0, api.ServerState.READY, 0)
+            for k in range(case.fresh)
+        }
         self.kept = [api.ServerEntry(k, 1.0, 0, k, 0, api.ServerState.READY, 0) for k in range(n) if k not in self.old]
-        self.new = [api.ServerEntry(n + k, 1.0, 0, k * step, 0, api.ServerState.READY, self.began)
-                    for k in range(case.fresh)]
+        self.new = [
+            api.ServerEntry(n + k, 1.0, 0, k * step, 0, api.ServerState.READY, self.began) for k in range(case.fresh)
+        ]
         budget = case.multiple * case.places / case.warm * case.fall * case.cold_from
         self.sum = Sum(case, {one.server: [] for one in self.new}, budget)
         self.fronts: list[Controller] = []
@@ -152,8 +187,20 @@
         (front,) = rng.choices(range(case.fronts), self.weights)
         (title,) = rng.choices(range(len(self.titles)), self.wanted)
         self.ref += 1
-        self.tell(now, front, api.Request(self.ref + 1, int(rng.random() < 0.35), 2, now + 4 * SECOND, title,
-                                          self.titles[title], case.copies, int(case.life * SECOND)))
+        self.tell(
+            now,
+            front,
+            api.Request(
+                self.ref + 1,
+                int(rng.random() < 0.35),
+                2,
+                now + 4 * SECOND,
+                title,
+                self.titles[title],
+                case.copies,
+                int(case.life * SECOND),
+            ),
+        )
         self.at(now + int(rng.expovariate(self.rate) * SECOND), self.arrives)
 
     def wakes(self, now: int, front: int, one: Controller, token: int) -> None:
@@ -205,24 +252,32 @@
     found = []
     for fronts in (1, 2, 3, 20, 30, 230):
         for places in (2, 10, 60):
-            found += [Case(fronts, places, uneven=0.0), Case(fronts, places, uneven=1.2),
-                      Case(fronts, places, uneven=1.2, load=1.7, copies=10, multiple=1.0),
-                      Case(fronts, places, uneven=1.2, load=1.3, restarts=4.0, late=4.9)]
+            found += [
+                Case(fronts, places, uneven=0.0),
+                Case(fronts, places, uneven=1.2),
+                Case(fronts, places, uneven=1.2, load=1.7, copies=10, multiple=1.0),
+                Case(fronts, places, uneven=1.2, load=1.3, restarts=4.0, late=4.9),
+            ]
     return found
 
 
 def main() -> None:
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 10
-    print("| fronts | N at the start | traffic | load | worst over the budget, of 2 root N + 2 | runs over it "
-          "| set-ups at a new host |\n| --- | --- | --- | --- | --- | --- | --- |")
+    print(
+        "| fronts | N at the start | traffic | load | worst over the budget, of 2 root N + 2 | runs over it "
+        "| set-ups at a new host |\n| --- | --- | --- | --- | --- | --- | --- |"
+    )
     with multiprocessing.Pool() as pool:
         for case in cases():
             found = pool.map(play, [(case, seed) for seed in range(max(2, seeds // 5) if case.fronts > 100 else seeds)])
             worst = [one.worst() for one in found]
-            print(f"| {case.fronts} | {found[0].budget:.1f} | {'even' if not case.uneven else 'uneven'}"
-                  f"{', all restart' if case.restarts else ''} | {case.load} | {max(worst):.2f} "
-                  f"| {sum(one > 1 for one in worst)} of {len(worst)} "
-                  f"| {sum(one.mean() for one in found) / len(found):.1f} |", flush=True)
+            print(
+                f"| {case.fronts} | {found[0].budget:.1f} | {'even' if not case.uneven else 'uneven'}"
+                f"{', all restart' if case.restarts else ''} | {case.load} | {max(worst):.2f} "
+                f"| {sum(one > 1 for one in worst)} of {len(worst)} "
+                f"| {sum(one.mean() for one in found) / len(found):.1f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -104,14 +104,15 @@
 
 async def send(stream: Stream, data: bytes) -> None:
     while data:
-        data = data[await stream.send_some(data):]
+        data = data[await stream.send_some(data) :]
 
 
 async def lists(address: str, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
     """A list service with one host, which answers a long poll never."""
     listener = await TcpNetwork().listen("127.0.0.1:0")
-    body = json.dumps({"generation": 1, "hosts": [
-        {"id": "h", "address": address, "cell": 0, "weight": 100000}]}).encode()
+    body = json.dumps(
+        {"generation": 1, "hosts": [{"id": "h", "address": address, "cell": 0, "weight": 100000}]}
+    ).encode()
 
     async def serve(stream: Stream) -> None:
         data = await stream.receive_some(CHUNK)
@@ -128,9 +129,17 @@
 def one_host_site() -> Site:
     """The example's site with room for everything on one host, and no host taken for cold."""
     site = load("examples/caruso.xml")
-    settings = replace(site.rules.settings, fronts=1, cells=1, racks=1, uplink_kb=1e12, places_by_kind=(10**9,),
-                       warm_within=1, probes=False, classes=tuple(
-                           replace(c, seats=0) for c in site.rules.settings.classes))
+    settings = replace(
+        site.rules.settings,
+        fronts=1,
+        cells=1,
+        racks=1,
+        uplink_kb=1e12,
+        places_by_kind=(10**9,),
+        warm_within=1,
+        probes=False,
+        classes=tuple(replace(c, seats=0) for c in site.rules.settings.classes),
+    )
     bounds = replace(site.rules.bounds, queue=512_000, open_requests=10_000, silence=10**12, idle=10**12)
     titles = tuple(replace(t, home=0, holders=1, length=10**12, tracks=t.tracks[:1]) for t in site.titles)
     return replace(site, rules=replace(site.rules, settings=settings, bounds=bounds), titles=titles)
@@ -212,8 +221,14 @@
         await with_gateway(Host(burst=RELAYED), body)
         ratios.append(bare / found[0])
         rates.append(total / found[0] / 1e6)
-    tell("relay", frame_bytes=FRAME, mb=round(total / 1e6), gateway_mb_s=round(statistics.median(rates)),
-         ratio_to_bare_pump=round(statistics.median(ratios), 3), ratios=[round(r, 3) for r in ratios])
+    tell(
+        "relay",
+        frame_bytes=FRAME,
+        mb=round(total / 1e6),
+        gateway_mb_s=round(statistics.median(rates)),
+        ratio_to_bare_pump=round(statistics.median(ratios), 3),
+        ratios=[round(r, 3) for r in ratios],
+    )
 
 
 async def setups() -> None:
@@ -240,9 +255,14 @@
             for _ in range(count):
                 nursery.start_soon(one)
         taken, used = time.perf_counter() - begin, time.process_time() - cpu
-        tell("setups", count=count, a_second=round(count / taken),
-             module_share_of_cpu=round(spent[0] / used, 3), module_us=round(spent[0] / count * 1e6),
-             note="viewers and host in the same process")
+        tell(
+            "setups",
+            count=count,
+            a_second=round(count / taken),
+            module_share_of_cpu=round(spent[0] / used, 3),
+            module_us=round(spent[0] / count * 1e6),
+            note="viewers and host in the same process",
+        )
 
     await with_gateway(Host(), body)
 
@@ -259,9 +279,13 @@
                 client.stream.close()
             await trio.lowlevel.checkpoint()
         cuts = [statistics.quantiles(x, n=100) for x in (direct, through)]
-        tell("latency", pairs=1000, direct_ms={"p50": round(cuts[0][49], 2), "p99": round(cuts[0][98], 2)},
-             gateway_ms={"p50": round(cuts[1][49], 2), "p99": round(cuts[1][98], 2)},
-             added_ms={"p50": round(cuts[1][49] - cuts[0][49], 2), "p99": round(cuts[1][98] - cuts[0][98], 2)})
+        tell(
+            "latency",
+            pairs=1000,
+            direct_ms={"p50": round(cuts[0][49], 2), "p99": round(cuts[0][98], 2)},
+            gateway_ms={"p50": round(cuts[1][49], 2), "p99": round(cuts[1][98], 2)},
+            added_ms={"p50": round(cuts[1][49] - cuts[0][49], 2), "p99": round(cuts[1][98] - cuts[0][98], 2)},
+        )
 
     host = Host()
     await with_gateway(host, body)
@@ -285,9 +309,12 @@
         playing = [await viewer(where, f"/classes/{n % 8 + 1}") for n in range(1000)]
         await trio.sleep(3)
         plays = resident() - before
-        tell("memory", idle_connection_kb=round(idles / 1000 / 1024, 1),
-             playing_session_kb=round(plays / 1000 / 1024, 1),
-             note="the other ends of each connection are in the same process and counted too")
+        tell(
+            "memory",
+            idle_connection_kb=round(idles / 1000 / 1024, 1),
+            playing_session_kb=round(plays / 1000 / 1024, 1),
+            note="the other ends of each connection are in the same process and counted too",
+        )
         for one in idle:
             one.close()
         for client in playing:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -99,8 +99,9 @@
     seen, stack, size = set(shared), [thing], 0
     while stack:
         one = stack.pop()
-        if id(one) in seen or isinstance(one, type | ModuleType | FunctionType | MethodType | BuiltinFunctionType
-                                         | Enum):
+        if id(one) in seen or isinstance(
+            one, type | ModuleType | FunctionType | MethodType | BuiltinFunctionType | Enum
+        ):
             continue
         seen.add(id(one))
         size += sys.getsizeof(one)
@@ -165,15 +166,26 @@
 class Run:
     """A site that scenarios play on. `wall`: real seconds, `memory`: MB, after which Stopped is raised."""
 
-    def __init__(self, gateways: int, seed: int, voters: int, wall: float = 1e9, memory: float = 1e9,
-                 calm_s: float = 10.0) -> None:
+    def __init__(
+        self, gateways: int, seed: int, voters: int, wall: float = 1e9, memory: float = 1e9, calm_s: float = 10.0
+    ) -> None:
         sizes = [gateways // ZONES + (z < gateways % ZONES) for z in range(ZONES)]
         self.gateways, self.wall, self.memory, self.calm = gateways, wall, memory, calm_s
         self.begun = time.monotonic()
         self.ran = 0.0  # real seconds in which virtual ones passed
         self.random = random.Random(seed)
-        self.site = Site(seed, ZONES, sizes[0], REGIONS, LINKS, sizes=sizes, voters=spread(voters, ZONES), notes=0,
-                         measured=True, begin=False)
+        self.site = Site(
+            seed,
+            ZONES,
+            sizes[0],
+            REGIONS,
+            LINKS,
+            sizes=sizes,
+            voters=spread(voters, ZONES),
+            notes=0,
+            measured=True,
+            begin=False,
+        )
         self.site.demand = [size * SESSIONS * KB for size in sizes]
         self.site.rooms = [ROOM * kb for kb in self.site.demand]
         self.full = list(self.site.rooms)
@@ -252,8 +264,10 @@
         """Virtual time passes; what each second cost is kept while `recording`."""
         net, end = self.site.net, self.site.net.now + round(seconds * SECOND)
         while net.now < end:
-            self._limits(f"{net.now / SECOND:.2f} virtual seconds had passed, {len(net.nodes)} of {self.gateways} "
-                         f"gateways ran, {resident_mb():.0f} MB")
+            self._limits(
+                f"{net.now / SECOND:.2f} virtual seconds had passed, {len(net.nodes)} of {self.gateways} "
+                f"gateways ran, {resident_mb():.0f} MB"
+            )
             begun = time.monotonic()
             second = (net.now // SECOND + 1) * SECOND
             if net.now % SECOND == 0:
@@ -262,14 +276,18 @@
             self.ran += time.monotonic() - begun
             if net.now % SECOND == 0 and self.recording and hasattr(self, "_before"):
                 after = self._costs()
-                self.windows.append({name: ((after[name][0] - was[0]) / 1e6, float(after[name][1] - was[1]))
-                                     for name, was in self._before.items() if name in net.nodes})
+                self.windows.append(
+                    {
+                        name: ((after[name][0] - was[0]) / 1e6, float(after[name][1] - was[1]))
+                        for name, was in self._before.items()
+                        if name in net.nodes
+                    }
+                )
 
     def _costs(self) -> dict[str, tuple[int, int]]:
         if not self.recording:
             return {}
-        return {name: (one.spent, one.sent_bytes + one.got_bytes)
-                for name, one in self.tallies.items() if one.weighed}
+        return {name: (one.spent, one.sent_bytes + one.got_bytes) for name, one in self.tallies.items() if one.weighed}
 
     def align(self) -> None:
         """Up to a whole second, so that windows begin with what follows."""
@@ -304,8 +322,12 @@
         return all((one.core.plan.epoch if one.core.plan is not None else 0) >= epoch for one in self.site.fronts())
 
     def settled(self) -> bool:
-        return self.newest() > 0 and self.follow(self.newest()) and self.site.leader() is not None \
+        return (
+            self.newest() > 0
+            and self.follow(self.newest())
+            and self.site.leader() is not None
             and min(self.site.strengths(list(self.site.net.nodes))) == 1.0
+        )
 
     def relays(self) -> list[str]:
         return [one.name for one in self.site.fronts() if relays(one)]
@@ -318,8 +340,12 @@
     def weigh(self, more: Iterable[str] = ()) -> None:
         """Draw whose time and frames are taken from now on, these among them."""
         plain, between = self.plain(), self.relays()
-        self.weighed = {*self.site.voters, *more, *self.random.sample(plain, min(WEIGHED, len(plain))),
-                        *self.random.sample(between, min(WEIGHED // 4, len(between)))}
+        self.weighed = {
+            *self.site.voters,
+            *more,
+            *self.random.sample(plain, min(WEIGHED, len(plain))),
+            *self.random.sample(between, min(WEIGHED // 4, len(between))),
+        }
         for name, tally in self.tallies.items():
             tally.weighed = name in self.weighed
 
@@ -327,10 +353,14 @@
         leader, between = self.site.leader(), set(self.relays())
         voters = set(self.site.voters)
         plain = [v for name, v in of.items() if name not in voters and name not in between]
-        return {"median": cut(plain, 0.5), "p99": cut(plain, 0.99), "most": cut(plain, 1.0),
-                "leader": round(of[leader], 3) if leader in of else None,
-                "relay": cut([v for name, v in of.items() if name in between], 0.5),
-                "voter": cut([v for name, v in of.items() if name in voters and name != leader], 0.5)}
+        return {
+            "median": cut(plain, 0.5),
+            "p99": cut(plain, 0.99),
+            "most": cut(plain, 1.0),
+            "leader": round(of[leader], 3) if leader in of else None,
+            "relay": cut([v for name, v in of.items() if name in between], 0.5),
+            "voter": cut([v for name, v in of.items() if name in voters and name != leader], 0.5),
+        }
 
     def worst(self, span: int) -> dict[str, float | None]:
         """The most that any gateway but voters took in `span` seconds of the recorded ones, a second; the leader's."""
@@ -338,14 +368,16 @@
         sent: dict[str, float] = {}
         voters = set(self.site.voters)
         for at in range(0, max(0, len(self.windows) - span + 1)):
-            part = self.windows[at:at + span]
+            part = self.windows[at : at + span]
             for name in part[-1]:
                 ms[name] = max(ms.get(name, 0.0), sum(w[name][0] for w in part if name in w) / span)
                 sent[name] = max(sent.get(name, 0.0), sum(w[name][1] for w in part if name in w) / span)
-        return {"ms_per_s": cut([v for name, v in ms.items() if name not in voters], 1.0),
-                "bytes_per_s": cut([v for name, v in sent.items() if name not in voters], 1.0),
-                "voter_ms_per_s": cut([v for name, v in ms.items() if name in voters], 1.0),
-                "voter_bytes_per_s": cut([v for name, v in sent.items() if name in voters], 1.0)}
+        return {
+            "ms_per_s": cut([v for name, v in ms.items() if name not in voters], 1.0),
+            "bytes_per_s": cut([v for name, v in sent.items() if name not in voters], 1.0),
+            "voter_ms_per_s": cut([v for name, v in ms.items() if name in voters], 1.0),
+            "voter_bytes_per_s": cut([v for name, v in sent.items() if name in voters], 1.0),
+        }
 
     def over(self) -> int:
         """Longest row of seconds in which a gateway (no voter) took more than twice its budget."""
@@ -379,9 +411,14 @@
     run.sorts.clear()
     before = {name: (t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes) for name, t in run.tallies.items()}
     run.step(run.calm)
-    part = {name: tuple((a - b) / run.calm for a, b in zip(
-        (t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes), before[name], strict=True))
-        for name, t in run.tallies.items() if t.weighed}
+    part = {
+        name: tuple(
+            (a - b) / run.calm
+            for a, b in zip((t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes), before[name], strict=True)
+        )
+        for name, t in run.tallies.items()
+        if t.weighed
+    }
     leader = run.site.leader()
     held: dict[str, float] = {}
     sample = run.random.sample(run.plain(), min(HELD, len(run.plain()))) + run.relays()[:2] + list(run.site.voters)
@@ -395,10 +432,14 @@
         "bytes_per_s": run.by_role({name: one[3] + one[4] for name, one in part.items()}),
         "sent_bytes_per_s": run.by_role({name: one[3] for name, one in part.items()}),
         "kinds": run.kinds(),
-        "control_mb": max((held[name] for name in plain), default=None), "held_mb": roles,
+        "control_mb": max((held[name] for name in plain), default=None),
+        "held_mb": roles,
         "settings_mb": round(held_bytes(run.site.place(plain[0]), set()) / 1e6, 3),
-        "held": run.counts(plain), "held_leader": run.counts([leader]) if leader else {},
-        "resident_mb": round(resident_mb()), "resident_mb_each": round(resident_mb() / run.gateways, 3)}
+        "held": run.counts(plain),
+        "held_leader": run.counts([leader]) if leader else {},
+        "resident_mb": round(resident_mb()),
+        "resident_mb_each": round(resident_mb() / run.gateways, 3),
+    }
 
 
 def dead(run: Run, seconds: float) -> dict[str, Any]:
@@ -418,27 +459,38 @@
         now = run.site.net.now
         for name in names:
             led = run.site.leader()
-            if name not in leader and led is not None and (
-                    (led, name) in run.told or knows_dead(run.site.front(led).core, name)):
+            if (
+                name not in leader
+                and led is not None
+                and ((led, name) in run.told or knows_dead(run.site.front(led).core, name))
+            ):
                 leader[name] = (now - begin) / SECOND
                 if len(leader) == len(names):
                     run.found["dead_known_council_s"] = round(max(leader.values()), 3)
         return len(leader) == len(names) and all(
-            who in run.dead_at[name] or who not in run.site.net.nodes for name in names for who in holders[name])
+            who in run.dead_at[name] or who not in run.site.net.nodes for name in names for who in holders[name]
+        )
+
     run.until(known, 60)
     times = [(at - begin) / SECOND for name in names for at in run.dead_at[name].values()]
-    all_know = all(who in run.dead_at[name] or who not in run.site.net.nodes
-                   for name in names for who in holders[name])
+    all_know = all(who in run.dead_at[name] or who not in run.site.net.nodes for name in names for who in holders[name])
     in_time, run.dead_at = run.dead_at, {}
     run.start(names)
     run.until(run.settled, 60)
-    near = [(at - begin) / SECOND for name in names for who, at in in_time[name].items()
-            if run.site.roster[who] == run.site.roster[name]]
-    return {"dead_known_s": round(max(times), 3) if all_know else None, "dead_known_p50_s": cut(times, 0.5),
-            "dead_known_first_s": [round((min(one.values()) - begin) / SECOND, 3) for one in in_time.values() if one],
-            "dead_known_zone_s": cut(near, 1.0) if all_know else None,
-            "dead_known_council_s": round(max(leader.values()), 3) if len(leader) == len(names) else None,
-            "dead_holders": max(len(one) for one in holders.values())}
+    near = [
+        (at - begin) / SECOND
+        for name in names
+        for who, at in in_time[name].items()
+        if run.site.roster[who] == run.site.roster[name]
+    ]
+    return {
+        "dead_known_s": round(max(times), 3) if all_know else None,
+        "dead_known_p50_s": cut(times, 0.5),
+        "dead_known_first_s": [round((min(one.values()) - begin) / SECOND, 3) for one in in_time.values() if one],
+        "dead_known_zone_s": cut(near, 1.0) if all_know else None,
+        "dead_known_council_s": round(max(leader.values()), 3) if len(leader) == len(names) else None,
+        "dead_holders": max(len(one) for one in holders.values()),
+    }
 
 
 def committed(run: Run, at_once: Callable[[], None]) -> tuple[list[float], bool]:
@@ -469,8 +521,12 @@
 
 def in_force(found: list[tuple[list[float], bool]]) -> dict[str, Any]:
     times = [one for row, _ in found for one in row]
-    return {"p50": cut(times, 0.5), "p99": cut(times, 0.99),
-            "last": cut(times, 1.0) if all(done for _, done in found) else None, "entries": len(found)}
+    return {
+        "p50": cut(times, 0.5),
+        "p99": cut(times, 0.99),
+        "last": cut(times, 1.0) if all(done for _, done in found) else None,
+        "entries": len(found),
+    }
 
 
 def killed(run: Run, seconds: float) -> dict[str, Any]:
@@ -482,6 +538,7 @@
         each = 20 if run.relays() else 10 * CELL
         gone.extend(run.random.sample(from_whom, max(1, len(from_whom) // each)))
         run.kill(gone)
+
     found = [committed(run, strike)]
     killed_now = len(gone)
     run.start(gone)
@@ -494,8 +551,11 @@
     """Nothing dies, for --for seconds: whoever is held for dead is so wrongly."""
     run.wrong = {}
     run.step(seconds)
-    return {"false_deaths": len(run.wrong), "false_verdicts": sum(map(len, run.wrong.values())),
-            "false_deaths_in_s": seconds}
+    return {
+        "false_deaths": len(run.wrong),
+        "false_verdicts": sum(map(len, run.wrong.values())),
+        "false_deaths_in_s": seconds,
+    }
 
 
 def slow(run: Run, seconds: float) -> dict[str, Any]:
@@ -510,8 +570,12 @@
             net.at(at, partial(net.stop, name, run.random.randint(300, 900) * MS))
     run.step(seconds)
     fast = set(run.wrong) - set(names)
-    found = {"false_deaths_slow": len(run.wrong), "false_deaths_of_fast": len(fast), "slow": len(names),
-             "false_deaths_slow_in_s": seconds}
+    found = {
+        "false_deaths_slow": len(run.wrong),
+        "false_deaths_of_fast": len(fast),
+        "slow": len(names),
+        "false_deaths_slow_in_s": seconds,
+    }
     run.step(5)
     return found
 
@@ -534,11 +598,15 @@
     run.step(max(0.0, 60 - (site.net.now - begin) / SECOND))
     run.recording = False
     worst, minute = run.worst(10), run.worst(len(run.windows))
-    held = [member.life for one in site.fronts() for member in one.core.members.members.values()
-            if member.name in lost]
-    return {"zone_known_s": agreed, "zone_in_force_s": None if agreed is None or force is None else agreed + force,
-            "zone_gateways": names, "zone_worst_10s": worst, "zone_worst_minute": minute,
-            "zone_held_dead_after_60s": round(sum(life >= Life.DEAD for life in held) / max(1, len(held)), 4)}
+    held = [member.life for one in site.fronts() for member in one.core.members.members.values() if member.name in lost]
+    return {
+        "zone_known_s": agreed,
+        "zone_in_force_s": None if agreed is None or force is None else agreed + force,
+        "zone_gateways": names,
+        "zone_worst_10s": worst,
+        "zone_worst_minute": minute,
+        "zone_held_dead_after_60s": round(sum(life >= Life.DEAD for life in held) / max(1, len(held)), 4),
+    }
 
 
 def storm(run: Run, seconds: float) -> dict[str, Any]:
@@ -553,16 +621,23 @@
     run.sorts.clear()
     site.rooms[3] = run.full[3]
     run.start(names)
-    here = run.until(lambda: all(one.core.plan is not None for one in map(site.front, names))
-                     and min(site.strengths(names)) == 1.0, 60)
+    here = run.until(
+        lambda: all(one.core.plan is not None for one in map(site.front, names)) and min(site.strengths(names)) == 1.0,
+        60,
+    )
     run.step(30)
     run.align()
     run.recording = False
     worst = run.worst(1)
     ms, size = worst["ms_per_s"], worst["bytes_per_s"]
-    found = {"storm_gateways": len(names), "storm_joined_s": here, "storm_worst_1s": worst,
-             "storm_budget_times": round(max((ms or 0) / CPU, (size or 0) / BYTES), 3),
-             "storm_over_twice_s": run.over(), "storm_kinds": run.kinds()}
+    found = {
+        "storm_gateways": len(names),
+        "storm_joined_s": here,
+        "storm_worst_1s": worst,
+        "storm_budget_times": round(max((ms or 0) / CPU, (size or 0) / BYTES), 3),
+        "storm_over_twice_s": run.over(),
+        "storm_kinds": run.kinds(),
+    }
     run.until(lambda: site.standing(3) is Standing.OPEN, 60)
     return found
 
@@ -582,8 +657,12 @@
     site.net.heal()
     for name in site.roster:
         run.since[name] = site.net.now
-    return {"rejoin_s": run.until(run.settled, 120), "apart_s": 180, "apart_led": led is not None,
-            "apart_minority_strength": max(apart, default=None)}
+    return {
+        "rejoin_s": run.until(run.settled, 120),
+        "apart_s": 180,
+        "apart_led": led is not None,
+        "apart_minority_strength": max(apart, default=None),
+    }
 
 
 def week(run: Run, seconds: float) -> dict[str, Any]:
@@ -603,6 +682,7 @@
         if name in site.net.nodes:
             run.kill([name])
             site.net.at(site.net.now + back, lambda: run.start([name]) if name not in site.net.nodes else None)
+
     for n in range(replaced + failures):
         at = site.net.now + run.random.randrange(span)
         back = (2 if n < replaced else 30) * SECOND
@@ -620,16 +700,36 @@
     run.step(30)
     end = run.counts(sorted(stay))
     # a log is cut each 256 entries and may be anywhere up to that at any of the three
-    grown = {name: [start.get(name, 0), middle.get(name, 0), n] for name, n in end.items()
-             if n > 1.1 * max(start.get(name, 0), middle.get(name, 0)) + 8 and not (name.endswith(".log") and n <= 257)}
-    return {"week_failures": failures, "week_replaced": replaced, "week_rack": len(rack), "week_settled_s": settled,
-            "week_held_start": start, "week_held_middle": middle, "week_held_end": end, "week_grown": grown,
-            "week_resident_mb": [round(began), round(resident_mb())]}
+    grown = {
+        name: [start.get(name, 0), middle.get(name, 0), n]
+        for name, n in end.items()
+        if n > 1.1 * max(start.get(name, 0), middle.get(name, 0)) + 8 and not (name.endswith(".log") and n <= 257)
+    }
+    return {
+        "week_failures": failures,
+        "week_replaced": replaced,
+        "week_rack": len(rack),
+        "week_settled_s": settled,
+        "week_held_start": start,
+        "week_held_middle": middle,
+        "week_held_end": end,
+        "week_grown": grown,
+        "week_resident_mb": [round(began), round(resident_mb())],
+    }
 
 
 SCENARIOS: dict[str, Callable[[Run, float], dict[str, Any]]] = {
-    "calm": calm, "dead": dead, "change": change, "killed": killed, "false": quiet, "slow": slow, "zone": zone,
-    "storm": storm, "regions": regions, "week": week}
+    "calm": calm,
+    "dead": dead,
+    "change": change,
+    "killed": killed,
+    "false": quiet,
+    "slow": slow,
+    "zone": zone,
+    "storm": storm,
+    "regions": regions,
+    "week": week,
+}
 
 
 # ---- the command
@@ -649,8 +749,13 @@
     parser.add_argument("--for", type=float, default=600.0, dest="seconds", help="virtual s of false and slow")
     parser.add_argument("--calm", type=float, default=10.0, help="virtual s of calm")
     parser.add_argument("--warm", type=float, default=12.0, help="virtual s before the first scenario")
-    parser.add_argument("--faults", nargs="+", default=[name for name in SCENARIOS if name != "week"],
-                        metavar="NAME", help="of: " + " ".join(SCENARIOS))
+    parser.add_argument(
+        "--faults",
+        nargs="+",
+        default=[name for name in SCENARIOS if name != "week"],
+        metavar="NAME",
+        help="of: " + " ".join(SCENARIOS),
+    )
     parser.add_argument("--json", type=Path, default=None, metavar="FILE", help="keep the last line there as well")
     parser.add_argument("--wall", type=float, default=1e9, help="real s after which it stops")
     parser.add_argument("--memory", type=float, default=free_mb() / 2, help="MB after which it stops")
@@ -673,32 +778,71 @@
 
 def commit() -> str:
     try:
-        found = subprocess.run(["git", "describe", "--always", "--dirty"], cwd=Path(__file__).parent, text=True,
-                               capture_output=True, check=True)
+        found = subprocess.run(
+            ["git", "describe", "--always", "--dirty"],
+            cwd=Path(__file__).parent,
+            text=True,
+            capture_output=True,
+            check=True,
+        )
     except (OSError, subprocess.CalledProcessError):
         return ""
     return found.stdout.strip()
 
 
-def play(gateways: int, seed: int, voters: int, seconds: float, names: list[str], wall: float = 1e9,
-         memory: float = 1e9, warm: float = 12.0, calm_s: float = 10.0) -> dict[str, Any]:
+def play(
+    gateways: int,
+    seed: int,
+    voters: int,
+    seconds: float,
+    names: list[str],
+    wall: float = 1e9,
+    memory: float = 1e9,
+    warm: float = 12.0,
+    calm_s: float = 10.0,
+) -> dict[str, Any]:
     """Play scenarios one after another on one site, `warm` virtual seconds after all follow its first plan. The
     result's keys are null where they were not measured."""
-    result: dict[str, Any] = dict.fromkeys((
-        "cpu_ms_per_s", "bytes_per_s", "control_mb", "dead_known_s", "zone_known_s", "false_deaths",
-        "change_in_force_s", "rejoin_s"))
-    result |= {"gateways": gateways, "real": 0, "hollow": gateways, "clock": "virtual", "mechanism": mechanism(),
-               "seed": seed, "voters": voters, "calm_s": calm_s, "warm_s": warm, "loss": LINKS.loss,
-               "delay_ms": [d // MS for d in LINKS.delay],
-               "rules": "held", "histories": 1, "stopped": None, "played": []}
+    result: dict[str, Any] = dict.fromkeys(
+        (
+            "cpu_ms_per_s",
+            "bytes_per_s",
+            "control_mb",
+            "dead_known_s",
+            "zone_known_s",
+            "false_deaths",
+            "change_in_force_s",
+            "rejoin_s",
+        )
+    )
+    result |= {
+        "gateways": gateways,
+        "real": 0,
+        "hollow": gateways,
+        "clock": "virtual",
+        "mechanism": mechanism(),
+        "seed": seed,
+        "voters": voters,
+        "calm_s": calm_s,
+        "warm_s": warm,
+        "loss": LINKS.loss,
+        "delay_ms": [d // MS for d in LINKS.delay],
+        "rules": "held",
+        "histories": 1,
+        "stopped": None,
+        "played": [],
+    }
     gc.collect()
     gc.disable()
     run = Run(gateways, seed, voters, wall, memory, calm_s)
     try:
         run.begin()
         result["settled_s"] = run.until(run.settled, 90)
-        print(f"{gateways} gateways, seed {seed}: all follow one plan after {result['settled_s']} s; "
-            f"{resident_mb():.0f} MB", flush=True)
+        print(
+            f"{gateways} gateways, seed {seed}: all follow one plan after {result['settled_s']} s; "
+            f"{resident_mb():.0f} MB",
+            flush=True,
+        )
         run.step(warm)
         for name in names:
             real, now = time.monotonic(), run.site.net.now
@@ -707,8 +851,11 @@
             result |= found
             result["played"].append(name)
             shown = {key: value for key, value in found.items() if "held" not in key or key == "held_mb"}
-            print(f"{name} ({(run.site.net.now - now) / SECOND:.0f} s in {time.monotonic() - real:.0f} real s): "
-                f"{json.dumps(shown)}", flush=True)
+            print(
+                f"{name} ({(run.site.net.now - now) / SECOND:.0f} s in {time.monotonic() - real:.0f} real s): "
+                f"{json.dumps(shown)}",
+                flush=True,
+            )
             gc.collect()
     except Stopped as stop:
         result |= run.found
@@ -722,22 +869,38 @@
         gc.enable()
         gc.unfreeze()
     net = run.site.net
-    result |= {"links_most": max(len(one.peers) for one in run.tallies.values()),
-               "links_both_ways_most": max(len(one.peers | one.callers) for one in run.tallies.values()),
-               "links_voters_most": max(len(run.tallies[name].peers | run.tallies[name].callers)
-                                        for name in run.site.voters),
-               "messages": net.sent, "epochs": len(run.site.plans), "virtual_s": round(net.now / SECOND, 2),
-               "real_s": round(time.monotonic() - run.begun, 1),
-               "virtual_s_per_real_s": round(net.now / SECOND / run.ran, 4) if run.ran else None}
+    result |= {
+        "links_most": max(len(one.peers) for one in run.tallies.values()),
+        "links_both_ways_most": max(len(one.peers | one.callers) for one in run.tallies.values()),
+        "links_voters_most": max(len(run.tallies[name].peers | run.tallies[name].callers) for name in run.site.voters),
+        "messages": net.sent,
+        "epochs": len(run.site.plans),
+        "virtual_s": round(net.now / SECOND, 2),
+        "real_s": round(time.monotonic() - run.begun, 1),
+        "virtual_s_per_real_s": round(net.now / SECOND / run.ran, 4) if run.ran else None,
+    }
     return result
 
 
 def main(argv: list[str] | None = None) -> int:
     asked = arguments(sys.argv[1:] if argv is None else argv)
-    result = play(asked.gateways, asked.seed, asked.voters, asked.seconds, asked.faults, asked.wall, asked.memory,
-                  asked.warm, asked.calm)
-    result |= {"commit": commit(), "cores": os.cpu_count(), "load": round(os.getloadavg()[0], 1),
-               "python": sys.version.split()[0]}
+    result = play(
+        asked.gateways,
+        asked.seed,
+        asked.voters,
+        asked.seconds,
+        asked.faults,
+        asked.wall,
+        asked.memory,
+        asked.warm,
+        asked.calm,
+    )
+    result |= {
+        "commit": commit(),
+        "cores": os.cpu_count(),
+        "load": round(os.getloadavg()[0], 1),
+        "python": sys.version.split()[0],
+    }
     line = json.dumps(result)
     if asked.json is not None:
         asked.json.write_text(line + "\n")
--- a/benchmarks/shards.py
+++ b/benchmarks/shards.py
@@ -66,7 +66,7 @@
     """For each shard the `deep` candidates with the highest scores, best first: an array of (deep, shards)."""
     found = np.empty((deep, len(shards)), dtype=np.int64)
     for start in range(0, len(shards), BLOCK):
-        part = shards[start:start + BLOCK]
+        part = shards[start : start + BLOCK]
         top = np.zeros((deep, len(part)), dtype=np.uint64)
         for number, one in enumerate(candidates):
             rest = scores(part, one, number)
@@ -74,7 +74,7 @@
                 higher = np.maximum(row, rest)
                 np.minimum(row, rest, out=rest)
                 row[:] = higher
-        found[:, start:start + len(part)] = (top & np.uint64(8191)).astype(np.int64)
+        found[:, start : start + len(part)] = (top & np.uint64(8191)).astype(np.int64)
     if numbers is not None:
         found = numbers[found]
     return found
@@ -113,8 +113,11 @@
 
     def lookup(self) -> tuple[Callable[[int], int], int, str]:
         names = [int(one) for one in self.gateways]
-        return (lambda shard: max(range(len(names)), key=lambda n: word_mix(shard ^ names[n]))), len(names), \
-            "all gateways that live, by name"
+        return (
+            (lambda shard: max(range(len(names)), key=lambda n: word_mix(shard ^ names[n]))),
+            len(names),
+            "all gateways that live, by name",
+        )
 
 
 def word_mix(word: int) -> int:
@@ -163,6 +166,7 @@
             z = max(range(ZONES), key=lambda n: word_mix(shard ^ zones[n]))
             c = max(range(len(cells[z])), key=lambda n: word_mix(shard ^ cells[z][n]))
             return max(members[z][c], key=lambda n: word_mix(shard ^ gateways[n]))
+
         return find, ZONES + len(cells[0]) + CELL, "zones, cells of a zone, who lives in one cell"
 
 
@@ -192,6 +196,7 @@
                 word = word * 2862933555777941757 + 1 & 0xFFFFFFFFFFFFFFFF
                 ahead = int((place + 1) * ((1 << 31) / ((word >> 33) + 1)))
             return place
+
         return find, round(math.log(count) + 1), "a bit for each gateway: lives or not"
 
 
@@ -252,8 +257,11 @@
     none = np.array([], dtype=np.int64)
     before = way.owners(none)
     loads = np.bincount(before, minlength=count)
-    values: dict[str, float] = {"load_most": float(loads.max()), "load_mean": shards / count,
-                                "load_most_ratio": float(loads.max() * count / shards)}
+    values: dict[str, float] = {
+        "load_most": float(loads.max()),
+        "load_mean": shards / count,
+        "load_most_ratio": float(loads.max() * count / shards),
+    }
     raw: dict[str, list[float]] = {}
     if name == "bounded":
         values["listed"] = way.listed
@@ -268,7 +276,7 @@
     raw["moved_one"], raw["needless_one"] = moved, needless
     values["moved_one"], values["needless_one"] = float(np.mean(moved)), float(np.mean(needless))
     zone = np.arange(3 % ZONES, count, ZONES)
-    rack = zone[:min(RACK, len(zone) - 1)]
+    rack = zone[: min(RACK, len(zone) - 1)]
     for what, dead in (("rack", rack), ("zone", zone)):
         after = way.owners(dead)
         change = after != before
@@ -283,16 +291,22 @@
     values["moved_a_second"] = values["moved_day"] / 86400
     if name != "bounded":
         find, steps, _ = way.lookup()
-        some = [int(one) for one in words[:max(20, min(LOOKUPS, 200_000 // steps))]]
+        some = [int(one) for one in words[: max(20, min(LOOKUPS, 200_000 // steps))]]
         at = time.process_time()
         for word in some:
             find(word)
         values["lookup_us"] = (time.process_time() - at) / len(some) * 1e6
         values["hashes"] = steps
     values["ran_s"] = time.perf_counter() - begin
-    return result(f"shards.{name}", count, seed, {key: round(value, 3) for key, value in values.items()}, raw,
-                  note=f"numbers only, {shards} shards, a rack taken as {RACK} gateways",
-                  command=f"python -m benchmarks.shards {name} {count} --shards {shards} --seed {seed}")
+    return result(
+        f"shards.{name}",
+        count,
+        seed,
+        {key: round(value, 3) for key, value in values.items()},
+        raw,
+        note=f"numbers only, {shards} shards, a rack taken as {RACK} gateways",
+        command=f"python -m benchmarks.shards {name} {count} --shards {shards} --seed {seed}",
+    )
 
 
 def main() -> None:
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,8 +1,8 @@
 """What gateways' common decisions cost and how far from the best they are. Virtual clock and numbers only.
 
-    python -m benchmarks.sites optimum        # the water-filling against a linear program (scipy), 2,000 drawn sites
-    python -m benchmarks.sites members 250    # time to detect, false deaths, messages and bytes a second, by size
-    python -m benchmarks.sites lost 250       # from a zone's loss to a plan without it, epochs, everybody's time
+python -m benchmarks.sites optimum        # the water-filling against a linear program (scipy), 2,000 drawn sites
+python -m benchmarks.sites members 250    # time to detect, false deaths, messages and bytes a second, by size
+python -m benchmarks.sites lost 250       # from a zone's loss to a plan without it, epochs, everybody's time
 """
 
 from __future__ import annotations
@@ -32,8 +32,9 @@
     for _ in range(2000):
         n, classes = rng.randint(3, 8), 2
         regions = [rng.randrange(3) for _ in range(n)]
-        prices = tuple(tuple(0.0 if h == z else 1.0 if regions[h] == regions[z] else 3.0 for z in range(n))
-                       for h in range(n))
+        prices = tuple(
+            tuple(0.0 if h == z else 1.0 if regions[h] == regions[z] else 3.0 for z in range(n)) for h in range(n)
+        )
         terms = Terms(prices, (1.0, 4.0), (100.0, 200.0), (1,) * n)
         rooms = [0.0 if rng.random() < 0.2 else rng.uniform(500, 1500) for _ in range(n)]
         demand = [[rng.uniform(0, 700), rng.uniform(0, 500)] for _ in range(n)]
@@ -43,8 +44,14 @@
         given = fill(terms, demand, rooms, free, [[1.0] * n for _ in range(n)])
         took.append(time.perf_counter() - begin)
         # variables x[h][c][z]; worth first, distance second
-        gain = np.array([terms.worths[c] / terms.loads[c] - 1e-5 * prices[h][z]
-                         for h in range(n) for c in range(classes) for z in range(n)])
+        gain = np.array(
+            [
+                terms.worths[c] / terms.loads[c] - 1e-5 * prices[h][z]
+                for h in range(n)
+                for c in range(classes)
+                for z in range(n)
+            ]
+        )
         rows, limits = [], []
         for h in range(n):
             for c in range(classes):
@@ -67,9 +74,11 @@
         worth_gap.append(0.0 if most <= 0 else 1 - got / most)
         if abs(worth_gap[-1]) < 1e-6 and (best * far).sum() > 1:
             price_gap.append(float((ours * far).sum() / (best * far).sum()) - 1)
-    print(f"worth under the best: mean {statistics.mean(worth_gap):.5f}, worst {max(worth_gap):.4f}; distance over the "
-          f"least where worth is equal ({len(price_gap)} sites): mean {statistics.mean(price_gap):.4f}, worst "
-          f"{max(price_gap):.3f}; {1e6 * statistics.median(took):.0f} us a plan's filling")
+    print(
+        f"worth under the best: mean {statistics.mean(worth_gap):.5f}, worst {max(worth_gap):.4f}; distance over the "
+        f"least where worth is equal ({len(price_gap)} sites): mean {statistics.mean(price_gap):.4f}, worst "
+        f"{max(price_gap):.3f}; {1e6 * statistics.median(took):.0f} us a plan's filling"
+    )
 
 
 def members(count: int) -> None:
@@ -93,9 +102,11 @@
         world.net.kill(name)
     world.run(60)
     known = [max((at for at, _, whom in world.deaths(begin) if whom == name), default=0) - begin for name in lost]
-    print(f"{count} gateways: {rate:.2f} messages and {heavy:.0f} bytes a second each; false deaths in 60 s {false}; "
-          f"one dead: first known after {first / SECOND:.1f} s, to all {last / SECOND:.1f} s; a zone of {len(lost)}: "
-          f"to all {max(known) / SECOND:.1f} s")
+    print(
+        f"{count} gateways: {rate:.2f} messages and {heavy:.0f} bytes a second each; false deaths in 60 s {false}; "
+        f"one dead: first known after {first / SECOND:.1f} s, to all {last / SECOND:.1f} s; a zone of {len(lost)}: "
+        f"to all {max(known) / SECOND:.1f} s"
+    )
 
 
 def lost(count: int) -> None:
@@ -114,16 +125,19 @@
         while site.standing(3) is not Standing.CLOSED and site.net.now - begin < 60 * SECOND:
             site.run(0.25)
         closed.append((site.net.now - begin) / SECOND)
-        while any(one.core.plan is None or one.core.plan.zones[3].standing is not Standing.CLOSED
-                  for one in site.fronts()):
+        while any(
+            one.core.plan is None or one.core.plan.zones[3].standing is not Standing.CLOSED for one in site.fronts()
+        ):
             site.run(0.25)
         known.append((site.net.now - begin) / SECOND)
         site.run(60)
         epochs.append(len(site.plans) - before)
-    print(f"{count} gateways, 5 zones, one lost with its hosts: agreed after {statistics.mean(closed):.1f} s (worst "
-          f"{max(closed):.1f}), known to all after {statistics.mean(known):.1f} s (worst {max(known):.1f}); "
-          f"{max(epochs)} epochs at most in the minute after; {statistics.mean(s for s, _ in sizes):.1f} messages and "
-          f"{statistics.mean(b for _, b in sizes):.0f} bytes a second each; {time.perf_counter() - begun:.0f} s to run")
+    print(
+        f"{count} gateways, 5 zones, one lost with its hosts: agreed after {statistics.mean(closed):.1f} s (worst "
+        f"{max(closed):.1f}), known to all after {statistics.mean(known):.1f} s (worst {max(known):.1f}); "
+        f"{max(epochs)} epochs at most in the minute after; {statistics.mean(s for s, _ in sizes):.1f} messages and "
+        f"{statistics.mean(b for _, b in sizes):.0f} bytes a second each; {time.perf_counter() - begun:.0f} s to run"
+    )
 
 
 def main() -> None:
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -123,8 +123,9 @@
 
     def write(some: list[Carried]) -> None:
         base.execute("begin")
-        base.executemany("insert or replace into codes values (?, ?, ?, ?)",
-                         [(f.code, f.at, f.request, f.host) for f in some])
+        base.executemany(
+            "insert or replace into codes values (?, ?, ?, ?)", [(f.code, f.at, f.request, f.host) for f in some]
+        )
         base.execute("commit")
 
     async def each(n: int) -> None:
@@ -172,10 +173,16 @@
     async def _answer(self, stream, request, nursery):  # type: ignore[no-untyped-def]
         if request.method == "SETUP" and request.header("Redeem"):
             from copperyard.protocol.rtsp import Connection, Response
-            data = Connection.answer(request, Response(200, (
-                ("Session", "s;timeout=60"), ("Transport", request.header("Transport") or ""), ("Receipt", "r"))))
+
+            data = Connection.answer(
+                request,
+                Response(
+                    200,
+                    (("Session", "s;timeout=60"), ("Transport", request.header("Transport") or ""), ("Receipt", "r")),
+                ),
+            )
             while data:
-                data = data[await stream.send_some(data):]
+                data = data[await stream.send_some(data) :]
             return
         await super()._answer(stream, request, nursery)
 
@@ -185,8 +192,11 @@
     turn, so that the machine's drift meets all alike."""
     found: dict[str, list[float]] = {"off": [], "on": [], "pausing": []}
     for turn in range(3):
-        for name, disk in (("off", None), ("on", FolderDisk(folder / f"on{turn}")),
-                           ("pausing", SlowDisk(folder / f"slow{turn}"))):
+        for name, disk in (
+            ("off", None),
+            ("on", FolderDisk(folder / f"on{turn}")),
+            ("pausing", SlowDisk(folder / f"slow{turn}")),
+        ):
             await _paid(disk, 150, found[name])
     for name, took in found.items():
         tell("paid set-ups", journal=name, count=len(took), **cuts(took))
@@ -206,8 +216,9 @@
             stream = await TcpNetwork().connect(where)
             client, url = Client(stream, Side("x")), f"rtsp://{where}/classes/{n % 8 + 1}"
             query = f"?code=c{n}x{len(took)}"
-            answer = await client.call("SETUP", f"{url}/track1{query}", (
-                ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),))
+            answer = await client.call(
+                "SETUP", f"{url}/track1{query}", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
+            )
             session = (answer.header("Session") or "").split(";")[0]
             begun = time.perf_counter()
             played = await client.call("PLAY", url + query, (("Session", session),))
@@ -231,9 +242,16 @@
             before, begun = resident(), time.perf_counter()
             found = recover(disk.names(), disk.read)
             taken = time.perf_counter() - begun
-            tell("recovery", records=size, of=name, seconds=round(taken, 3), codes=len(found.state.codes),
-                 us_a_record=round(taken / size * 1e6, 2), mb=round((resident() - before) / 2**20),
-                 bytes=sum(p.stat().st_size for p in path.iterdir()))
+            tell(
+                "recovery",
+                records=size,
+                of=name,
+                seconds=round(taken, 3),
+                codes=len(found.state.codes),
+                us_a_record=round(taken / size * 1e6, 2),
+                mb=round((resident() - before) / 2**20),
+                bytes=sum(p.stat().st_size for p in path.iterdir()),
+            )
             if name == "journal":
                 await _snapshot(found, disk)
             disk.close()
@@ -293,14 +311,24 @@
             if key in plain and plain[key][0] == at:
                 del plain[key]
         heaped = (filled, time.perf_counter() - begun)
-    tell("index", codes=count, moved_fill_s=round(moved[0], 3), heap_fill_s=round(heaped[0], 3),
-         moved_expire_s=round(moved[1], 3), heap_expire_s=round(heaped[1], 3))
+    tell(
+        "index",
+        codes=count,
+        moved_fill_s=round(moved[0], 3),
+        heap_fill_s=round(heaped[0], 3),
+        moved_expire_s=round(moved[1], 3),
+        heap_expire_s=round(heaped[1], 3),
+    )
 
 
 def main(what: Annotated[str, typer.Argument()] = "all", folder: Path | None = None, most: int = 1_000_000) -> None:
     """Measure; `most` is the largest journal for recovery."""
     benches: dict[str, Callable[[Path], Awaitable[None]]] = {
-        "commits": commits, "paid": paid, "recovery": lambda path: recovery(path, most), "index": index}
+        "commits": commits,
+        "paid": paid,
+        "recovery": lambda path: recovery(path, most),
+        "index": index,
+    }
     tell("machine", cores=os.cpu_count(), python=platform.python_version(), sqlite=sqlite3.sqlite_version)
     for name in benches if what == "all" else (what,):
         with tempfile.TemporaryDirectory(dir=folder) as place:
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -70,22 +70,50 @@
 
 def commit() -> str:
     """The commit that runs, with a plus where files differ from it; empty outside of a work tree."""
+
     def git(*words: str) -> str:
         done = subprocess.run(["git", *words], capture_output=True, text=True, cwd=Path(__file__).parent, check=False)
         return done.stdout.strip()
-    changed = git("status", "--porcelain", "--untracked-files=no", "--", "viewers.py", "shards.py", "gateway.py",
-                  "../copperyard", "../examples")
+
+    changed = git(
+        "status",
+        "--porcelain",
+        "--untracked-files=no",
+        "--",
+        "viewers.py",
+        "shards.py",
+        "gateway.py",
+        "../copperyard",
+        "../examples",
+    )
     return git("rev-parse", "--short", "HEAD") + ("+" if changed else "")
 
 
-def result(what: str, size: int, seed: int, values: dict[str, float], raw: dict[str, list[float]],
-           note: str = "", command: str = "") -> dict[str, Any]:
+def result(
+    what: str,
+    size: int,
+    seed: int,
+    values: dict[str, float],
+    raw: dict[str, list[float]],
+    note: str = "",
+    command: str = "",
+) -> dict[str, Any]:
     """One run as `benchmarks.capacity add` takes it. Load averages tell what else the machine was doing."""
     load = " ".join(f"{one:.1f}" for one in os.getloadavg()[:2])
     busy = f"a shared machine, busy with other work: load average {load} over 1 and 5 minutes at the end"
-    return {"what": what, "commit": commit(), "command": command, "seed": seed, "size": size, "values": values,
-            "raw": raw, "machine": machine(), "at": datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ"), "trial": False,
-            "note": f"{note}; {busy}" if note else busy}
+    return {
+        "what": what,
+        "commit": commit(),
+        "command": command,
+        "seed": seed,
+        "size": size,
+        "values": values,
+        "raw": raw,
+        "machine": machine(),
+        "at": datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ"),
+        "trial": False,
+        "note": f"{note}; {busy}" if note else busy,
+    }
 
 
 def resident(pid: int) -> float:
@@ -148,7 +176,8 @@
     """A part of this program in a process of its own, which ends when its input does: its first line, its id."""
     command = [sys.executable, "-m", "benchmarks.viewers", *words]
     process = subprocess.Popen(  # noqa: ASYNC220 - once a run, before anything is measured
-        command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+    )
     assert process.stdin is not None and process.stdout is not None
     try:
         line = await trio.to_thread.run_sync(process.stdout.readline)
@@ -196,8 +225,9 @@
             stream = await TcpNetwork().connect(self.where)
             client = Client(stream, Side("x"))
             try:
-                answer = await client.call("SETUP", f"{url}/track1", (
-                    ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),))
+                answer = await client.call(
+                    "SETUP", f"{url}/track1", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
+                )
                 session = (answer.header("Session") or "").split(";")[0]
                 status = (await client.call("PLAY", url, (("Session", session),))).status
             except (OSError, Broken):
@@ -257,8 +287,14 @@
         for stream in [*streams, *warm]:
             stream.close()
         ours, theirs = (statistics.median(one[k] for one in reads) for k in (0, 1))
-        values = {"gateway_kb": ours, "outside_kb": theirs, "gateway_kb_each": ours / count,
-                  "outside_kb_each": theirs / count, "cpu_ms_per_s": calm, "refused": crowd.refused}
+        values = {
+            "gateway_kb": ours,
+            "outside_kb": theirs,
+            "gateway_kb_each": ours / count,
+            "outside_kb_each": theirs / count,
+            "cpu_ms_per_s": calm,
+            "refused": crowd.refused,
+        }
         return values, {"gateway_kb": [one[0] for one in reads], "outside_kb": [one[1] for one in reads]}
 
 
@@ -386,11 +422,21 @@
             values, raw = trio.run(memory, what, size, seed)
         else:
             values, raw = trio.run({"setups": setups, "fan": fan}[what], size, seed)
-    name = {"idle": "viewers.idle", "playing": "viewers.playing", "delivery": "viewers.delivery",
-            "setups": "viewers.setups", "fan": "viewers.fan"}[what]
-    return result(name, size, seed, {key: round(value, 4) for key, value in values.items()},
-                  {key: [round(one, 4) for one in row] for key, row in raw.items()},
-                  command=f"python -m benchmarks.viewers {what} {size} --seed {seed}")
+    name = {
+        "idle": "viewers.idle",
+        "playing": "viewers.playing",
+        "delivery": "viewers.delivery",
+        "setups": "viewers.setups",
+        "fan": "viewers.fan",
+    }[what]
+    return result(
+        name,
+        size,
+        seed,
+        {key: round(value, 4) for key, value in values.items()},
+        {key: [round(one, 4) for one in row] for key, row in raw.items()},
+        command=f"python -m benchmarks.viewers {what} {size} --seed {seed}",
+    )
 
 
 def main() -> None:
--- a/copperyard/bench/wire.py
+++ b/copperyard/bench/wire.py
@@ -71,7 +71,7 @@
         start, self.at = self.at, self.at + size
         if self.at > self.end:
             raise MalformedFrame("a record ends inside its fields")
-        return self.data[start:self.at]
+        return self.data[start : self.at]
 
 
 _U16 = struct.Struct("<H")
@@ -142,8 +142,7 @@
             i, host, status, took, n = f.take(_CHECKED)
             return i, api.Probed(host, status, took, self._report(i, f, n))
         if code == CARRIED:
-            (i, ref, hint, deadline, home, title, _tenant, cls, host, _key, attrs, top,
-             holders) = f.take(_CARRIED)
+            (i, ref, hint, deadline, home, title, _tenant, cls, host, _key, attrs, top, holders) = f.take(_CARRIED)
             return i, api.Carried(_request(ref, cls, top, deadline, hint, title, holders, home, attrs), host)
         if code == MEMBERSHIP:
             i, _generation, table, scope = f.take(_MEMBERSHIP)
@@ -165,16 +164,25 @@
         return None
 
 
-def _entry(weight: float, host: int, kind: int, cell: int, zone: int, state: int,
-           started: int) -> api.ServerEntry:
+def _entry(weight: float, host: int, kind: int, cell: int, zone: int, state: int, started: int) -> api.ServerEntry:
     return api.ServerEntry(host, weight if math.isfinite(weight) else 0.0, kind, cell, zone, state, started)
 
 
-def _request(ref: int, cls: int, top: float, deadline: int, hint: int, title: int, holders: float,
-             home: float, attrs: int) -> api.Request:
-    return api.Request(ref, cls, _count(top), deadline, title, _count(home), _count(holders),
-                       hint if attrs & ATTR_HINT else None, bool(attrs & ATTR_MOVED),
-                       bool(attrs & ATTR_AGAIN))
+def _request(
+    ref: int, cls: int, top: float, deadline: int, hint: int, title: int, holders: float, home: float, attrs: int
+) -> api.Request:
+    return api.Request(
+        ref,
+        cls,
+        _count(top),
+        deadline,
+        title,
+        _count(home),
+        _count(holders),
+        hint if attrs & ATTR_HINT else None,
+        bool(attrs & ATTR_MOVED),
+        bool(attrs & ATTR_AGAIN),
+    )
 
 
 _A_SEND = struct.Struct("<BIHQQI")
--- a/copperyard/bench/wirehost.py
+++ b/copperyard/bench/wirehost.py
@@ -44,8 +44,7 @@
         data = b"".join(out)
         return wire.REPLY.pack(len(data), batch) + data
 
-    def _event(self, now: int, front: int, event: wire.Create | wire.Crash | Event,
-               out: list[bytes]) -> None:
+    def _event(self, now: int, front: int, event: wire.Create | wire.Crash | Event, out: list[bytes]) -> None:
         if isinstance(event, wire.Create):
             self.fronts.pop(front, None)
             self.broken.pop(front, None)
--- a/copperyard/cli/common.py
+++ b/copperyard/cli/common.py
@@ -38,8 +38,12 @@
     return float(found[1]) * _UNITS[found[2]]
 
 
-async def until_told(nursery: trio.Nursery, most: float, end: Callable[[], Awaitable[None]],
-                      task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+async def until_told(
+    nursery: trio.Nursery,
+    most: float,
+    end: Callable[[], Awaitable[None]],
+    task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED,
+) -> None:
     """Wait for SIGINT or SIGTERM, or `most` s; then end what runs."""
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
         task_status.started()  # whoever reads that we are ready may send a signal at once
--- a/copperyard/cli/lab.py
+++ b/copperyard/cli/lab.py
@@ -27,9 +27,12 @@
 
 
 @lab.command("up")
-def up(path: Settings,
-       last: Annotated[str | None, typer.Option("--for", help="End by itself after this time.")] = None,
-       seed: int = 1, log: Form = "json") -> None:
+def up(
+    path: Settings,
+    last: Annotated[str | None, typer.Option("--for", help="End by itself after this time.")] = None,
+    seed: int = 1,
+    log: Form = "json",
+) -> None:
     """Start the list service, stand-in hosts and gateways of a site on loopback."""
     site, most, logs = _lab_site(path), seconds(last), Logs(log)
 
@@ -44,9 +47,16 @@
             with trio.move_on_after(10):
                 await fleet.ready()
             await nursery.start(until_told, nursery, most, end)
-            typer.echo(json.dumps({
-                "event": "ready", "gateways": [f"rtsp://{g.address}" for g in fleet.gateways],
-                "titles": [t.path for t in site.titles], "list": f"http://{fleet.lists.address}"}))
+            typer.echo(
+                json.dumps(
+                    {
+                        "event": "ready",
+                        "gateways": [f"rtsp://{g.address}" for g in fleet.gateways],
+                        "titles": [t.path for t in site.titles],
+                        "list": f"http://{fleet.lists.address}",
+                    }
+                )
+            )
 
     trio.run(main)
 
@@ -74,15 +84,17 @@
 
 
 @lab.command("day")
-def day(name: Annotated[str, typer.Argument(help=f"One of {', '.join(DAYS + EVENINGS)}.")],
-        settings: Annotated[Path | None, typer.Option(help="The site's settings.")] = None,
-        seed: int = 1,
-        faults: Annotated[Path | None, typer.Option(help="Another evening than the named one, for processes.")] = None,
-        alone: Annotated[bool, typer.Option(help="Processes that decide nothing in common.")] = False,
-        keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None,
-        in_memory: Annotated[bool, typer.Option("--virtual", help="In memory, on a virtual clock.")] = False,
-        report: Annotated[Path | None, typer.Option(help="Folder for the summary and the viewers' rows.")] = None,
-        log: Annotated[str, typer.Option(help="json, console or none.")] = "none") -> None:
+def day(
+    name: Annotated[str, typer.Argument(help=f"One of {', '.join(DAYS + EVENINGS)}.")],
+    settings: Annotated[Path | None, typer.Option(help="The site's settings.")] = None,
+    seed: int = 1,
+    faults: Annotated[Path | None, typer.Option(help="Another evening than the named one, for processes.")] = None,
+    alone: Annotated[bool, typer.Option(help="Processes that decide nothing in common.")] = False,
+    keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None,
+    in_memory: Annotated[bool, typer.Option("--virtual", help="In memory, on a virtual clock.")] = False,
+    report: Annotated[Path | None, typer.Option(help="Folder for the summary and the viewers' rows.")] = None,
+    log: Annotated[str, typer.Option(help="json, console or none.")] = "none",
+) -> None:
     """Play a scripted day and audit it; the last line on stdout is the summary. Exit 1 where a rule broke."""
     if name in EVENINGS:
         return _evening(name, settings or Path("examples/sites.xml"), seed, faults, alone, keep)
@@ -125,8 +137,9 @@
     except OSError as error:
         typer.echo(f"{faults}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
-    outcome = trio.run(run_evening, site, settings.read_bytes(), evening, seed, alone, keep,
-                       lambda text: typer.echo(text, err=True))
+    outcome = trio.run(
+        run_evening, site, settings.read_bytes(), evening, seed, alone, keep, lambda text: typer.echo(text, err=True)
+    )
     for one in outcome.breaks[:50]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.3f} s by {one.front}: {one.text}", err=True)
     for text in outcome.faults:
@@ -137,15 +150,17 @@
 
 
 @lab.command("scale")
-def scale(settings: Annotated[Path | None, typer.Argument(help="The site's settings; a drawn site else.")] = None,
-          gateways: Annotated[int, typer.Option(help="In all.")] = 60,
-          real: Annotated[int, typer.Option(help="Of them real ones, with viewers.")] = 4,
-          processes: Annotated[int | None, typer.Option(help="For hollow ones; voters have their own.")] = None,
-          last: Annotated[str, typer.Option("--for", help="From the first plan everywhere to the end.")] = "60s",
-          seed: int = 1,
-          faults: Annotated[Path | None, typer.Option(help="What fails, XML; else one gateway, then a zone.")] = None,
-          rate: Annotated[float | None, typer.Option(help="Viewers a second in all.", min=0, max=1000)] = None,
-          keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None) -> None:
+def scale(
+    settings: Annotated[Path | None, typer.Argument(help="The site's settings; a drawn site else.")] = None,
+    gateways: Annotated[int, typer.Option(help="In all.")] = 60,
+    real: Annotated[int, typer.Option(help="Of them real ones, with viewers.")] = 4,
+    processes: Annotated[int | None, typer.Option(help="For hollow ones; voters have their own.")] = None,
+    last: Annotated[str, typer.Option("--for", help="From the first plan everywhere to the end.")] = "60s",
+    seed: int = 1,
+    faults: Annotated[Path | None, typer.Option(help="What fails, XML; else one gateway, then a zone.")] = None,
+    rate: Annotated[float | None, typer.Option(help="Viewers a second in all.", min=0, max=1000)] = None,
+    keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None,
+) -> None:
     """Run real gateways beside hollow ones, which have no viewers; the last line on stdout is what it came to. Exit 1
     where a rule broke, plans had more than one history, or a process ended by itself; 2 where it cannot be run."""
     from rich.console import Console
@@ -160,8 +175,9 @@
         text = settings.read_bytes() if settings is not None else None
         place = faults
         trouble = faults.read_bytes() if faults is not None else None
-        text, site, layout, takes = prepare(text, str(settings or "a drawn site"), wish, trouble, str(faults),
-                                            machine_room())
+        text, site, layout, takes = prepare(
+            text, str(settings or "a drawn site"), wish, trouble, str(faults), machine_room()
+        )
     except BadSettings as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
@@ -172,16 +188,26 @@
         typer.echo(f"{place}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
     console = Console(stderr=True)
-    console.print(f"{gateways} gateways, {real} real ones and {gateways - real} hollow ones, in {takes.processes} "
-                  f"processes: some {takes.memory_mb:.0f} MB and up to {takes.descriptors} descriptors in one of them",
-                  highlight=False, soft_wrap=True)
+    console.print(
+        f"{gateways} gateways, {real} real ones and {gateways - real} hollow ones, in {takes.processes} "
+        f"processes: some {takes.memory_mb:.0f} MB and up to {takes.descriptors} descriptors in one of them",
+        highlight=False,
+        soft_wrap=True,
+    )
     with Progress(console=console, transient=True, disable=not console.is_terminal) as bar:
         task = bar.add_task("scale", total=wish.seconds)
         failed = ""
         try:
-            result = trio.run(runs.run_scale, site, text, layout, wish, keep,
-                              lambda words: console.print(words, highlight=False, soft_wrap=True),
-                              lambda done: bar.update(task, completed=done))
+            result = trio.run(
+                runs.run_scale,
+                site,
+                text,
+                layout,
+                wish,
+                keep,
+                lambda words: console.print(words, highlight=False, soft_wrap=True),
+                lambda done: bar.update(task, completed=done),
+            )
         except* (OSError, RuntimeError, trio.TooSlowError) as group:
             first: BaseException = group
             while isinstance(first, BaseExceptionGroup):
@@ -213,14 +239,16 @@
 
 
 @lab.command("run")
-def run(path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
-        settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
-        seed: int = 1, repeat: Annotated[int, typer.Option(help="Seeds in a row.", min=1, max=10_000)] = 1,
-        policy: Annotated[list[str] | None, typer.Option(help="module, or a baseline; may be repeated.")] = None,
-        change: Annotated[list[str] | None, typer.Option("--set", help="ELEMENT/ATTRIBUTE=VALUE in the settings.")
-                          ] = None,
-        jobs: Annotated[int, typer.Option(help="Worker processes.", min=1, max=256)] = 1,
-        report: Annotated[Path | None, typer.Option(help="Folder for the page and the records.")] = None) -> None:
+def run(
+    path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
+    settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
+    seed: int = 1,
+    repeat: Annotated[int, typer.Option(help="Seeds in a row.", min=1, max=10_000)] = 1,
+    policy: Annotated[list[str] | None, typer.Option(help="module, or a baseline; may be repeated.")] = None,
+    change: Annotated[list[str] | None, typer.Option("--set", help="ELEMENT/ATTRIBUTE=VALUE in the settings.")] = None,
+    jobs: Annotated[int, typer.Option(help="Worker processes.", min=1, max=256)] = 1,
+    report: Annotated[Path | None, typer.Option(help="Folder for the page and the records.")] = None,
+) -> None:
     """Run a rehearsal in virtual time over seeds and policies; a JSON summary a line. Exit 1 where the module broke
     a rule."""
     from rich.console import Console
@@ -259,11 +287,14 @@
 
 
 @lab.command("sweep")
-def sweep(path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
-          over: Annotated[str, typer.Option(help="ELEMENT/ATTRIBUTE=V1,V2,... of the settings.")],
-          settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
-          seed: int = 1, repeat: Annotated[int, typer.Option(min=1, max=10_000)] = 4,
-          jobs: Annotated[int, typer.Option(min=1, max=256)] = 1) -> None:
+def sweep(
+    path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
+    over: Annotated[str, typer.Option(help="ELEMENT/ATTRIBUTE=V1,V2,... of the settings.")],
+    settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
+    seed: int = 1,
+    repeat: Annotated[int, typer.Option(min=1, max=10_000)] = 4,
+    jobs: Annotated[int, typer.Option(min=1, max=256)] = 1,
+) -> None:
     """Run a rehearsal for each value of a setting, over the same seeds; a line a value, held against the first."""
     from ..lab import experiment
 
@@ -279,17 +310,22 @@
         except BadSettings as error:
             typer.echo(str(error), err=True)
             raise typer.Exit(2) from None
-    todo = [experiment.Job(text, path.read_bytes(), "module", n, None)
-            for text in texts.values() for n in range(seed, seed + repeat)]
+    todo = [
+        experiment.Job(text, path.read_bytes(), "module", n, None)
+        for text in texts.values()
+        for n in range(seed, seed + repeat)
+    ]
     found = experiment.run_all(todo, jobs, lambda n, summary: None)
-    rows = {value: found[k * repeat:(k + 1) * repeat] for k, value in enumerate(texts)}
+    rows = {value: found[k * repeat : (k + 1) * repeat] for k, value in enumerate(texts)}
     first = next(iter(rows.values()))
     for value, summaries in rows.items():
         mean, wide = experiment.spread(summaries, "service")
         verdict = experiment.compare(first, summaries)["service"] if summaries is not first else {"verdict": "-"}
         broken = sum(bool(s["breaks"]) for s in summaries)
-        typer.echo(f"{place}={value}: service {mean:.3f} +- {wide:.3f}, against the first: {verdict['verdict']}, "
-                   f"runs with a broken rule: {broken}")
+        typer.echo(
+            f"{place}={value}: service {mean:.3f} +- {wide:.3f}, against the first: {verdict['verdict']}, "
+            f"runs with a broken rule: {broken}"
+        )
 
 
 @lab.command("seed")
@@ -315,8 +351,10 @@
 
 
 @lab.command("seeds")
-def seeds(span: Annotated[str, typer.Argument(help="A..B, B included.")],
-          jobs: Annotated[int, typer.Option(min=1, max=256)] = 1) -> None:
+def seeds(
+    span: Annotated[str, typer.Argument(help="A..B, B included.")],
+    jobs: Annotated[int, typer.Option(min=1, max=256)] = 1,
+) -> None:
     """Run many seeds; a line for each that broke something, and a count. Exit 1 where one did."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
@@ -341,10 +379,13 @@
 
 
 @lab.command("site")
-def site(hosts: Annotated[int, typer.Option(min=1, max=5000)] = 250,
-         gateways: Annotated[int, typer.Option(min=1, max=1000)] = 40,
-         racks: Annotated[int, typer.Option(min=1, max=1000)] = 16,
-         titles: Annotated[int, typer.Option(min=1, max=10_000)] = 60, seed: int = 1) -> None:
+def site(
+    hosts: Annotated[int, typer.Option(min=1, max=5000)] = 250,
+    gateways: Annotated[int, typer.Option(min=1, max=1000)] = 40,
+    racks: Annotated[int, typer.Option(min=1, max=1000)] = 16,
+    titles: Annotated[int, typer.Option(min=1, max=10_000)] = 60,
+    seed: int = 1,
+) -> None:
     """Print settings of a site of this size, to rehearse at large size."""
     from ..lab.sitegen import site_xml
 
@@ -352,13 +393,18 @@
 
 
 @lab.command("load")
-def load(gateways: Annotated[list[str], typer.Argument(help="rtsp://HOST:PORT of each gateway; loopback only.")],
-         title: Annotated[list[str], typer.Option(help="A title's path; may be repeated, the most wanted first.")],
-         rate: Annotated[float, typer.Option(help="Arrivals a second.", min=0.01, max=10_000)] = 10.0,
-         last: Annotated[str, typer.Option("--for", help="How long arrivals come.")] = "10s",
-         watch: str = "5s", patience: str = "5s", zipf: float = 0.8,
-         paid: Annotated[float, typer.Option(help="Share that brings a code.", min=0, max=1)] = 0.0,
-         workers: Annotated[int, typer.Option(min=1, max=64)] = 1, seed: int = 1) -> None:
+def load(
+    gateways: Annotated[list[str], typer.Argument(help="rtsp://HOST:PORT of each gateway; loopback only.")],
+    title: Annotated[list[str], typer.Option(help="A title's path; may be repeated, the most wanted first.")],
+    rate: Annotated[float, typer.Option(help="Arrivals a second.", min=0.01, max=10_000)] = 10.0,
+    last: Annotated[str, typer.Option("--for", help="How long arrivals come.")] = "10s",
+    watch: str = "5s",
+    patience: str = "5s",
+    zipf: float = 0.8,
+    paid: Annotated[float, typer.Option(help="Share that brings a code.", min=0, max=1)] = 0.0,
+    workers: Annotated[int, typer.Option(min=1, max=64)] = 1,
+    seed: int = 1,
+) -> None:
     """Send open-loop load to running gateways; one JSON line. Exit 1 where the tool itself could not keep up."""
     from ..lab.loadtool import LoadSpec
     from ..lab.loadtool import run as run_load
@@ -368,8 +414,9 @@
         if not re.fullmatch(r"(127(\.[0-9]{1,3}){3}|localhost|\[::1\]):[0-9]{1,5}", place):
             typer.echo(f"'{place}' is no HOST:PORT on loopback: load is sent to this machine only", err=True)
             raise typer.Exit(2)
-    spec = LoadSpec(places, tuple(title), rate, min(3600.0, seconds(last)), seconds(watch), seconds(patience), zipf,
-                    paid, seed)
+    spec = LoadSpec(
+        places, tuple(title), rate, min(3600.0, seconds(last)), seconds(watch), seconds(patience), zipf, paid, seed
+    )
     found = run_load(spec, workers)
     typer.echo(json.dumps(found))
     if found["void"]:
@@ -377,17 +424,21 @@
 
 
 @lab.command("compare")
-def compare(before: Annotated[Path, typer.Argument(help="A report folder.")],
-            after: Annotated[Path, typer.Argument(help="Another one, of the same seeds.")],
-            policy: str = "module") -> None:
+def compare(
+    before: Annotated[Path, typer.Argument(help="A report folder.")],
+    after: Annotated[Path, typer.Argument(help="Another one, of the same seeds.")],
+    policy: str = "module",
+) -> None:
     """Compare two runs seed by seed: difference, standard error, and whether it is more than noise."""
     from ..lab import experiment
 
     try:
         one, two = ([s for s in experiment.read(f) if s["policy"] == policy] for f in (before, after))
         for figure, row in experiment.compare(one, two).items():
-            typer.echo(f"{figure:12} {row['difference']:+.4f} +- {row['error']:.4f}  {row['verdict']}"
-                       f"  ({row['pairs']} pairs)")
+            typer.echo(
+                f"{figure:12} {row['difference']:+.4f} +- {row['error']:.4f}  {row['verdict']}"
+                f"  ({row['pairs']} pairs)"
+            )
     except (OSError, ValueError) as error:
         typer.echo(f"cannot compare: {error}", err=True)
         raise typer.Exit(2) from None
@@ -398,7 +449,19 @@
     (folder / "summary.json").write_text(json.dumps(result.summary, indent=1) + "\n")
     with (folder / "viewers.jsonl").open("w") as sink:
         for v in result.visits:
-            sink.write(json.dumps({
-                "title": v.title, "paid": bool(v.code), "habit": v.habit, "began_s": v.began / 1e9,
-                "statuses": v.statuses, "played_after_s": None if v.played_after is None else v.played_after / 1e9,
-                "frames": v.frames, "ended": v.ended, "faults": v.faults}) + "\n")
+            sink.write(
+                json.dumps(
+                    {
+                        "title": v.title,
+                        "paid": bool(v.code),
+                        "habit": v.habit,
+                        "began_s": v.began / 1e9,
+                        "statuses": v.statuses,
+                        "played_after_s": None if v.played_after is None else v.played_after / 1e9,
+                        "frames": v.frames,
+                        "ended": v.ended,
+                        "faults": v.faults,
+                    }
+                )
+                + "\n"
+            )
--- a/copperyard/cli/main.py
+++ b/copperyard/cli/main.py
@@ -27,21 +27,26 @@
 app.add_typer(lab, name="lab")
 app.add_typer(state, name="state")
 
+
 @app.command()
 def check(path: Settings) -> None:
     """Check settings; every mistake is told with its line."""
     site = site_of(path)
-    typer.echo(f"{path}: {len(site.gateways)} gateways, {len(site.rules.settings.classes)} classes, "
-               f"{len(site.titles)} titles: good")
+    typer.echo(
+        f"{path}: {len(site.gateways)} gateways, {len(site.rules.settings.classes)} classes, "
+        f"{len(site.titles)} titles: good"
+    )
 
 
 @app.command()
-def serve(path: Settings,
-          name: Annotated[str | None, typer.Option(help="Which gateway of the site; the first one else.")] = None,
-          drain: Annotated[str, typer.Option(help="How long sessions may go on after the first signal.")] = "30s",
-          accept_loss: Annotated[bool, typer.Option(help="Start although facts on disk are damaged.")] = False,
-          trust_votes: Annotated[bool, typer.Option(help="A voter's folder is vouched for as its newest.")] = False,
-          log: Form = "json") -> None:
+def serve(
+    path: Settings,
+    name: Annotated[str | None, typer.Option(help="Which gateway of the site; the first one else.")] = None,
+    drain: Annotated[str, typer.Option(help="How long sessions may go on after the first signal.")] = "30s",
+    accept_loss: Annotated[bool, typer.Option(help="Start although facts on disk are damaged.")] = False,
+    trust_votes: Annotated[bool, typer.Option(help="A voter's folder is vouched for as its newest.")] = False,
+    log: Form = "json",
+) -> None:
     """Run one gateway until SIGINT or SIGTERM; then take nothing new and let sessions end."""
     site = site_of(path)
     place = next((g for g in site.gateways if name in (None, g.name)), None)
@@ -54,8 +59,14 @@
         nonlocal site
         # the machine's clock is kept in step with the others'; the difference holds as long as this process runs
         rules = site.rules_of(place.name, time.time_ns() - now())
-        station = Station(place.name, place.listen, rules, site.catalogue(), site.zones,
-                          list_place(site.list_url, site.list_wait, site.list_timeout))
+        station = Station(
+            place.name,
+            place.listen,
+            rules,
+            site.catalogue(),
+            site.zones,
+            list_place(site.list_url, site.list_wait, site.list_timeout),
+        )
         unix_ms = time.time_ns() // 1_000_000
         if site.common is not None:
             hood = neighbourhood(site.common, place.name, path.parent, trust_votes)
@@ -74,14 +85,16 @@
             address = await nursery.start(gateway.run)
             await nursery.start(until_told, nursery, float("inf"), end)
             peers = {"peers": gateway.neighbours.links.address} if gateway.neighbours is not None else {}
-            typer.echo(json.dumps({"event": "ready", "gateways": [f"rtsp://{address}"], "list": list_url,
-                                   **peers}))
+            typer.echo(json.dumps({"event": "ready", "gateways": [f"rtsp://{address}"], "list": list_url, **peers}))
 
     try:
         trio.run(main)
     except* StateRefused as refused:
-        typer.echo(f"{path}: the state of '{place.name}' must not be started on: {refused.exceptions[0]}; "
-                   "see 'copperyard state verify', or start with --accept-loss", err=True)
+        typer.echo(
+            f"{path}: the state of '{place.name}' must not be started on: {refused.exceptions[0]}; "
+            "see 'copperyard state verify', or start with --accept-loss",
+            err=True,
+        )
         raise typer.Exit(3) from None
     except* OSError as error:
         typer.echo(f"{path}: cannot serve: {error.exceptions[0]}", err=True)
--- a/copperyard/cli/state.py
+++ b/copperyard/cli/state.py
@@ -35,11 +35,20 @@
     kept = found.state
     body = json.loads(kept.body) if kept.body else {}
     return {
-        "codes": len(kept.codes), "unclear": len(kept.unclear()), "lives": kept.lives, "label": kept.label,
-        "settings": kept.generation, "planned_end": kept.ended, "service_s": round(kept.reached / 1e9, 3),
-        "list_generation": body.get("generation"), "hosts": len(body.get("hosts", [])),
-        "snapshot": found.snapshot or None, "replayed": found.replayed, "sequence": found.sequence,
-        "files": [name for name in found.files if name != "lock"]}
+        "codes": len(kept.codes),
+        "unclear": len(kept.unclear()),
+        "lives": kept.lives,
+        "label": kept.label,
+        "settings": kept.generation,
+        "planned_end": kept.ended,
+        "service_s": round(kept.reached / 1e9, 3),
+        "list_generation": body.get("generation"),
+        "hosts": len(body.get("hosts", [])),
+        "snapshot": found.snapshot or None,
+        "replayed": found.replayed,
+        "sequence": found.sequence,
+        "files": [name for name in found.files if name != "lock"],
+    }
 
 
 @state.command()
@@ -58,8 +67,10 @@
     for one in found.dropped:
         typer.echo(f"{one.name}: {one.text}{' (facts may be missing)' if one.harm else ' (no harm)'}")
     refusal = found.refusal(False)
-    typer.echo(f"{folder}: {found.replayed} records over {found.snapshot or 'no snapshot'}, "
-               f"{len(found.state.codes)} codes: {'good' if refusal is None else 'not to be started on'}")
+    typer.echo(
+        f"{folder}: {found.replayed} records over {found.snapshot or 'no snapshot'}, "
+        f"{len(found.state.codes)} codes: {'good' if refusal is None else 'not to be started on'}"
+    )
     if refusal is not None:
         raise typer.Exit(1)
 
@@ -118,8 +129,9 @@
 
 
 @state.command()
-def export(folder: Folder, out: Annotated[Path, typer.Argument(help="A file .jsonl or .parquet; it must not exist.")]
-           ) -> None:
+def export(
+    folder: Folder, out: Annotated[Path, typer.Argument(help="A file .jsonl or .parquet; it must not exist.")]
+) -> None:
     """Write a row for each code: its digest, fate, receipt, request, host, service time in s."""
     if out.suffix not in (".jsonl", ".parquet"):
         typer.echo(f"{out}: neither .jsonl nor .parquet", err=True)
@@ -140,8 +152,14 @@
 def _rows(kept: State) -> Iterator[dict[str, Any]]:
     for code, one in kept.codes.items():
         fate = "unclear" if one.receipt is None else "redeemed"
-        yield {"code": code.hex(), "fate": fate, "receipt": one.receipt, "request": one.request, "host": one.host,
-               "service_s": one.at / 1e9}
+        yield {
+            "code": code.hex(),
+            "fate": fate,
+            "receipt": one.receipt,
+            "request": one.request,
+            "host": one.host,
+            "service_s": one.at / 1e9,
+        }
 
 
 def _parquet(out: Path, rows: Iterator[dict[str, Any]]) -> int:
@@ -154,8 +172,16 @@
     if out.exists():
         raise FileExistsError(17, "exists")
     text = pyarrow.string()
-    schema = pyarrow.schema([("code", text), ("fate", text), ("receipt", text), ("request", text), ("host", text),
-                             ("service_s", pyarrow.float64())])
+    schema = pyarrow.schema(
+        [
+            ("code", text),
+            ("fate", text),
+            ("receipt", text),
+            ("request", text),
+            ("host", text),
+            ("service_s", pyarrow.float64()),
+        ]
+    )
     count, most = 0, 50_000
     with pyarrow.parquet.ParquetWriter(out, schema) as writer:
         batch: list[dict[str, Any]] = []
--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -52,8 +52,14 @@
         return CommonPlace.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
 
-def read_common(root: etree._Element, zones: tuple[str, ...], gateways: Sequence[tuple[str, int]], rules: FrontRules,
-                titles: Sequence[Title], wrong: Wrong) -> CommonPlan | None:
+def read_common(
+    root: etree._Element,
+    zones: tuple[str, ...],
+    gateways: Sequence[tuple[str, int]],
+    rules: FrontRules,
+    titles: Sequence[Title],
+    wrong: Wrong,
+) -> CommonPlan | None:
     """The plan of a document that its schema has passed; None without <common>. Mistakes go to `wrong`."""
     common = root.find("common")
     elements = {str(one.get("name")): one for one in root.iterfind("gateways/gateway")}
@@ -90,19 +96,36 @@
         if not fronts[z]:
             wrong(one, "has no gateway: nobody would report for it")
     terms = Terms(
-        prices, worths, loads, fronts, tuple(sorted(set(regions)).index(r) for r in regions),
-        reserve=float(a["reserve"]), mark=float(a["mark"]), pace=float(a["pace"]), band=float(a["band"]),
-        every=duration(a["every"]), holds=duration(a["holds"]), dwell=duration(a["dwell"]),
-        dwell_most=duration(a["dwell-most"]), drift=float(a["drift"]))
+        prices,
+        worths,
+        loads,
+        fronts,
+        tuple(sorted(set(regions)).index(r) for r in regions),
+        reserve=float(a["reserve"]),
+        mark=float(a["mark"]),
+        pace=float(a["pace"]),
+        band=float(a["band"]),
+        every=duration(a["every"]),
+        holds=duration(a["holds"]),
+        dwell=duration(a["dwell"]),
+        dwell_most=duration(a["dwell-most"]),
+        drift=float(a["drift"]),
+    )
     beat = Beat(duration(a["heart"]), duration(a["elect-least"]), duration(a["elect-most"]), terms.drift)
     if beat.least < 3 * beat.heart:
-        wrong(common, f"elect-least '{a['elect-least']}' is under three times heart '{a['heart']}': a lost message "
-                      "or two would depose a leader")
+        wrong(
+            common,
+            f"elect-least '{a['elect-least']}' is under three times heart '{a['heart']}': a lost message "
+            "or two would depose a leader",
+        )
     if beat.most < beat.least * 3 // 2:
         wrong(common, f"elect-most '{a['elect-most']}' is under one and a half times elect-least '{a['elect-least']}'")
     if terms.holds < 4 * terms.every or terms.holds < 2 * beat.most:
-        wrong(common, f"holds '{a['holds']}' is under four times every or twice elect-most: plans would run out where "
-                      "nothing is lost but a leader")
+        wrong(
+            common,
+            f"holds '{a['holds']}' is under four times every or twice elect-most: plans would run out where "
+            "nothing is lost but a leader",
+        )
     if terms.drift >= 0.2:
         wrong(common, f"drift '{a['drift']}' is not under 0.2: no lease could be kept")
     pace = Pace(duration(a["period"]), duration(a["answer"]))
@@ -114,40 +137,81 @@
         prefixes = [e.prefix for e in rules.entries if e.cls == cls]
         own = [t.length for t in titles if t.length is not None and any(t.path.startswith(p) for p in prefixes)]
         lengths.append(sum(own) // len(own) if own else LIVE)
-    same = json.dumps([sorted(roster.items()), zones, sorted(_votes(elements)), prices, a, [c.name for c in
-                       settings.classes], settings.rung_kb], default=str)
-    return CommonPlan(CellMap(roster, len(zones)), zones, tuple(_votes(elements)), listen, reach, terms, pace, beat,
-                      tuple(lengths), a["folder"], a["store"], hashlib.sha256(same.encode()).digest()[:16])
+    same = json.dumps(
+        [
+            sorted(roster.items()),
+            zones,
+            sorted(_votes(elements)),
+            prices,
+            a,
+            [c.name for c in settings.classes],
+            settings.rung_kb,
+        ],
+        default=str,
+    )
+    return CommonPlan(
+        CellMap(roster, len(zones)),
+        zones,
+        tuple(_votes(elements)),
+        listen,
+        reach,
+        terms,
+        pace,
+        beat,
+        tuple(lengths),
+        a["folder"],
+        a["store"],
+        hashlib.sha256(same.encode()).digest()[:16],
+    )
 
 
 def _votes(elements: Mapping[str, etree._Element]) -> list[str]:
     return [name for name, one in elements.items() if one.get("votes") == "yes"]
 
 
-def _voters(elements: Mapping[str, etree._Element], roster: Mapping[str, int], zones: tuple[str, ...],
-            common: etree._Element, wrong: Wrong) -> None:
+def _voters(
+    elements: Mapping[str, etree._Element],
+    roster: Mapping[str, int],
+    zones: tuple[str, ...],
+    common: etree._Element,
+    wrong: Wrong,
+) -> None:
     voters = _votes(elements)
     if not voters:
         wrong(common, "no gateway votes")
         return
     if len(voters) % 2 == 0:
-        wrong(elements[voters[-1]], f"is voter {len(voters)}: an even council stands no more deaths than one of "
-                                    f"{len(voters) - 1}")
+        wrong(
+            elements[voters[-1]],
+            f"is voter {len(voters)}: an even council stands no more deaths than one of " f"{len(voters) - 1}",
+        )
     if len(voters) > MOST_VOTERS:
-        wrong(elements[voters[MOST_VOTERS]], f"is voter {len(voters)}: more than {MOST_VOTERS} make every decision "
-                                             "slower and none safer")
+        wrong(
+            elements[voters[MOST_VOTERS]],
+            f"is voter {len(voters)}: more than {MOST_VOTERS} make every decision " "slower and none safer",
+        )
     for z, zone in enumerate(zones):
         here = [name for name in voters if roster[name] == z]
         if len(zones) > 1 and 2 * len(here) > len(voters):
-            wrong(elements[here[-1]], f"votes as number {len(here)} of {len(voters)} in zone '{zone}': the council "
-                                      "would be lost with that zone")
+            wrong(
+                elements[here[-1]],
+                f"votes as number {len(here)} of {len(voters)} in zone '{zone}': the council "
+                "would be lost with that zone",
+            )
 
 
-def _prices(common: etree._Element, found: Sequence[etree._Element], zones: tuple[str, ...], regions: Sequence[str],
-            wrong: Wrong) -> tuple[tuple[float, ...], ...]:
+def _prices(
+    common: etree._Element,
+    found: Sequence[etree._Element],
+    zones: tuple[str, ...],
+    regions: Sequence[str],
+    wrong: Wrong,
+) -> tuple[tuple[float, ...], ...]:
     n = len(zones)
-    prices = [[0.0 if h == z else SAME_REGION if regions[h] == regions[z] else OTHER_REGION for z in range(n)]
-              for h in range(n)]
+    prices = [
+        [0.0 if h == z else SAME_REGION if regions[h] == regions[z] else OTHER_REGION for z in range(n)]
+        for h in range(n)
+    ]
     listed: set[int] = set()
     for way in common.iterfind("way"):
         ends = [str(way.get("from")), str(way.get("to"))]
@@ -181,11 +245,16 @@
             hosts[names.index(name)] += rate_kb(str(one.get("link"))) if one.get("link") else link
     rooms = [rate_kb(str(one.get("room"))) if one.get("room") else hosts[z] for z, one in enumerate(found)]
     wants = [rate_kb(str(one.get("demand"))) if one.get("demand") else 0.0 for one in found]
-    spare = [max(0.0, room * terms.mark - want - room * terms.mark * terms.reserve)
-             for room, want in zip(rooms, wants, strict=True)]
+    spare = [
+        max(0.0, room * terms.mark - want - room * terms.mark * terms.reserve)
+        for room, want in zip(rooms, wants, strict=True)
+    ]
     for h, one in enumerate(found):
         over = wants[h] - rooms[h] * terms.mark
         out = sum(spare[z] for z in range(len(found)) if z != h and terms.prices[h][z] >= 0)
         if wants[h] and over > out:
-            wrong(one, f"demand {wants[h]:.0f}kB/s: its hosts give {rooms[h] * terms.mark:.0f}kB/s under the mark, and "
-                       f"its ways lead to {out:.0f}kB/s that others may have")
+            wrong(
+                one,
+                f"demand {wants[h]:.0f}kB/s: its hosts give {rooms[h] * terms.mark:.0f}kB/s under the mark, and "
+                f"its ways lead to {out:.0f}kB/s that others may have",
+            )
--- a/copperyard/config/document.py
+++ b/copperyard/config/document.py
@@ -27,8 +27,7 @@
         super().__init__("\n".join(f"{name}:{m}" for m in self.mistakes))
 
 
-def read_document(data: bytes, name: str, schema: etree.XMLSchema,
-                  words: Callable[[str], str] = str) -> etree._Element:
+def read_document(data: bytes, name: str, schema: etree.XMLSchema, words: Callable[[str], str] = str) -> etree._Element:
     """The root of a document that its schema has passed; BadSettings else. `words` puts a schema's message as an
     operator reads it."""
     # no entities and no network: a document must not be able to read other files
--- a/copperyard/config/load.py
+++ b/copperyard/config/load.py
@@ -117,10 +117,12 @@
     return etree.XMLSchema(etree.fromstring(text), attribute_defaults=True)
 
 
-_ALLOWED = {"(ns|us|ms|s|min|h)": "a number and ns, us, ms, s, min or h, as in 250ms",
-            "(B|kB|MB|GB)/s": "a number and B/s, kB/s, MB/s or GB/s, as in 700kB/s",
-            "(B|kB|MB)": "a whole number and B, kB or MB, as in 64kB",
-            ":[0-9]{1,5}": "host:port, as in 127.0.0.1:554"}
+_ALLOWED = {
+    "(ns|us|ms|s|min|h)": "a number and ns, us, ms, s, min or h, as in 250ms",
+    "(B|kB|MB|GB)/s": "a number and B/s, kB/s, MB/s or GB/s, as in 700kB/s",
+    "(B|kB|MB)": "a whole number and B, kB or MB, as in 64kB",
+    ":[0-9]{1,5}": "host:port, as in 127.0.0.1:554",
+}
 
 
 def _plain(message: str) -> str:
@@ -129,7 +131,7 @@
     if found:
         for tail, allowed in _ALLOWED.items():
             if found[2].endswith(tail):
-                head = message[:message.index("[facet")]
+                head = message[: message.index("[facet")]
                 return f"{head}the value '{found[1]}' is not {allowed}."
     return message
 
@@ -172,14 +174,29 @@
             state = StatePlan(_attrs(kept)["folder"], hashlib.sha256(etree.tostring(root)).hexdigest()[:12])
         if bounds.dead <= bounds.silence:
             self._wrong(limits, "dead is not above silence")
-        wire = Limits(size(_attrs(limits)["line"]), int(_attrs(limits)["headers"]), size(_attrs(limits)["body"]),
-                      min(65535, size(_attrs(limits)["frame"])), int(_attrs(limits)["pending"]))
+        wire = Limits(
+            size(_attrs(limits)["line"]),
+            int(_attrs(limits)["headers"]),
+            size(_attrs(limits)["body"]),
+            min(65535, size(_attrs(limits)["frame"])),
+            int(_attrs(limits)["pending"]),
+        )
         if settings.connect_timeout >= min(c.deadline for c in classes):
             self._wrong(rules, "connect is not under every class's deadline")
         front = FrontRules(settings, entries, bounds, wire, wire)
         common = read_common(root, zones, [(g.name, g.zone) for g in gateways], front, titles, self._wrong)
-        return Site(gateways, zones, front, titles, url, duration(_attrs(place)["wait"]),
-                    duration(_attrs(place)["timeout"]), lab, state, common)
+        return Site(
+            gateways,
+            zones,
+            front,
+            titles,
+            url,
+            duration(_attrs(place)["wait"]),
+            duration(_attrs(place)["timeout"]),
+            lab,
+            state,
+            common,
+        )
 
     def _zones(self, root: etree._Element) -> tuple[str, ...]:
         names = [_attrs(zone)["name"] for zone in root.iterfind("zones/zone")]
@@ -223,8 +240,7 @@
             rungs.append((rate, worth))
         return rungs
 
-    def _classes(self, root: etree._Element, rungs: int
-                 ) -> tuple[tuple[api.ClassSettings, ...], tuple[Entry, ...]]:
+    def _classes(self, root: etree._Element, rungs: int) -> tuple[tuple[api.ClassSettings, ...], tuple[Entry, ...]]:
         elements = list(root.iterfind("classes/class"))
         self._unique(elements, "name")
         classes, entries = [], []
@@ -244,9 +260,20 @@
             once = a["set-up"] == "once"
             if paid and not once:
                 self._wrong(one, "a class with a code is set up once: set-up must be 'once'")
-            classes.append(api.ClassSettings(
-                a["name"], aim, deadline, float(a["worth"]), api.Effect.UNSAFE if once else api.Effect.SAFE,
-                floor, top, float(a["scale"]), int(a["seats"]), a["live"] == "yes"))
+            classes.append(
+                api.ClassSettings(
+                    a["name"],
+                    aim,
+                    deadline,
+                    float(a["worth"]),
+                    api.Effect.UNSAFE if once else api.Effect.SAFE,
+                    floor,
+                    top,
+                    float(a["scale"]),
+                    int(a["seats"]),
+                    a["live"] == "yes",
+                )
+            )
             entries.append((a["path"], Entry(n, a["path"], paid)))
         # the longest prefix first, so that a narrower class wins over a wider one whatever the file's order
         entries.sort(key=lambda pair: -len(pair[0]))
@@ -264,15 +291,17 @@
                 self._wrong(one, f"holders '{a['holders']}' are more than the fleet's {cells} cells")
             if re.search("/track[0-9]+/?$", a["path"]):
                 self._wrong(one, f"path '{a['path']}' ends like a track")
-            tracks = tuple(Track(_attrs(t)["kind"], int(_attrs(t)["payload-type"]), _attrs(t)["codec"],
-                                 int(_attrs(t)["clock"])) for t in one.iterfind("track"))
+            tracks = tuple(
+                Track(_attrs(t)["kind"], int(_attrs(t)["payload-type"]), _attrs(t)["codec"], int(_attrs(t)["clock"]))
+                for t in one.iterfind("track")
+            )
             length = duration(a["length"]) if "length" in a else None
-            found.append(Title(n, a["path"].rstrip("/") or "/", a["name"], length, int(a["cell"]),
-                               int(a["holders"]), tracks))
+            found.append(
+                Title(n, a["path"].rstrip("/") or "/", a["name"], length, int(a["cell"]), int(a["holders"]), tracks)
+            )
         return tuple(found)
 
-    def _lab(self, root: etree._Element, zones: tuple[str, ...], cells: int,
-             fleet: etree._Element) -> LabPlan | None:
+    def _lab(self, root: etree._Element, zones: tuple[str, ...], cells: int, fleet: etree._Element) -> LabPlan | None:
         lab = root.find("lab")
         if lab is None:
             return None
@@ -291,39 +320,73 @@
             found.append(HostPlan(a["name"], int(a["cell"]), int(a["kind"]), self._zone(one, zones), weight, link))
         return LabPlan(tuple(found), float(_attrs(lab)["media-scale"]), duration(_attrs(lab)["list-late"]))
 
-    def _settings(self, root: etree._Element, fronts: int, classes: tuple[api.ClassSettings, ...],
-                  rungs: list[tuple[float, float]]) -> api.Settings:
+    def _settings(
+        self,
+        root: etree._Element,
+        fronts: int,
+        classes: tuple[api.ClassSettings, ...],
+        rungs: list[tuple[float, float]],
+    ) -> api.Settings:
         fleet, rules = _attrs(_child(root, "fleet")), _attrs(_child(root, "rules"))
         reports, prices = _attrs(_child(root, "reports")), _attrs(_child(root, "prices"))
         retry = duration(rules["retry-after"])
         budgeted = "further" in rules
         return api.Settings(
-            fronts=fronts, zone=0, tick=duration(rules["tick"]), classes=classes,
-            rung_kb=tuple(rate for rate, _ in rungs), rung_worth=tuple(worth for _, worth in rungs),
-            cells=int(fleet["cells"]), racks=int(fleet["racks"]), uplink_kb=rate_kb(fleet["uplink"]),
-            weight_kb=rate_kb(fleet["link"]), places_by_kind=tuple(map(int, fleet["places"].split())),
-            full_from=float(fleet["full-from"]), join_adds=float(fleet["join-adds"]),
-            told_late=duration(reports["told-late"]), told_every=duration(reports["told-every"]),
-            shortfall_cost=float(prices["shortfall"]), switch_s=duration(prices["switch"]) / 1e9,
-            max_attempts=int(rules["attempts"]), max_retry_after=retry, retry_after=retry > 0,
-            probes=reports["probes"] == "yes", cancelling=True, connect_timeout=duration(rules["connect"]),
-            subscribe=True, ask_every=0, cold_from=float(fleet["cold-from"]),
-            warm_within=duration(fleet["warm-within"]), drain_grace=duration(rules["drain-grace"]),
-            fall_multiple=float(rules["fall-multiple"]), fall=duration(rules["fall"]),
+            fronts=fronts,
+            zone=0,
+            tick=duration(rules["tick"]),
+            classes=classes,
+            rung_kb=tuple(rate for rate, _ in rungs),
+            rung_worth=tuple(worth for _, worth in rungs),
+            cells=int(fleet["cells"]),
+            racks=int(fleet["racks"]),
+            uplink_kb=rate_kb(fleet["uplink"]),
+            weight_kb=rate_kb(fleet["link"]),
+            places_by_kind=tuple(map(int, fleet["places"].split())),
+            full_from=float(fleet["full-from"]),
+            join_adds=float(fleet["join-adds"]),
+            told_late=duration(reports["told-late"]),
+            told_every=duration(reports["told-every"]),
+            shortfall_cost=float(prices["shortfall"]),
+            switch_s=duration(prices["switch"]) / 1e9,
+            max_attempts=int(rules["attempts"]),
+            max_retry_after=retry,
+            retry_after=retry > 0,
+            probes=reports["probes"] == "yes",
+            cancelling=True,
+            connect_timeout=duration(rules["connect"]),
+            subscribe=True,
+            ask_every=0,
+            cold_from=float(fleet["cold-from"]),
+            warm_within=duration(fleet["warm-within"]),
+            drain_grace=duration(rules["drain-grace"]),
+            fall_multiple=float(rules["fall-multiple"]),
+            fall=duration(rules["fall"]),
             free_resends=float(rules["further"]) if budgeted else None,
             further_ratio=float(rules["further-share"]) if budgeted else 0.0,
             ratio_span=duration(rules["further-span"]) if budgeted else 0,
-            price_cross_zone=float(prices["crossing"]), price_late_fail=float(prices["late-fail"]),
-            price_move=float(prices["move"]), price_probe=float(prices["probe"]),
-            reports_in_answers=reports["in-answers"] == "yes", reports_uplink=reports["uplink"] == "yes")
+            price_cross_zone=float(prices["crossing"]),
+            price_late_fail=float(prices["late-fail"]),
+            price_move=float(prices["move"]),
+            price_probe=float(prices["probe"]),
+            reports_in_answers=reports["in-answers"] == "yes",
+            reports_uplink=reports["uplink"] == "yes",
+        )
 
 
 def _bounds(limits: etree._Element) -> Bounds:
     a = _attrs(limits)
     return Bounds(
-        connections=int(a["connections"]), sessions=int(a["sessions"]), open_requests=int(a["open-requests"]),
-        queue=size(a["queue"]), stall=duration(a["stall"]), idle=duration(a["idle"]),
-        silence=duration(a["silence"]), dead=duration(a["dead"]), codes=int(a["codes"]))
+        connections=int(a["connections"]),
+        sessions=int(a["sessions"]),
+        open_requests=int(a["open-requests"]),
+        queue=size(a["queue"]),
+        stall=duration(a["stall"]),
+        idle=duration(a["idle"]),
+        silence=duration(a["silence"]),
+        dead=duration(a["dead"]),
+        codes=int(a["codes"]),
+    )
 
 
 def _attrs(element: etree._Element) -> dict[str, str]:
--- a/copperyard/control/attempt.py
+++ b/copperyard/control/attempt.py
@@ -185,9 +185,13 @@
         plan, n = self.plan, self._tracks
         headers: Headers = (("Transport", f"RTP/AVP/TCP;unicast;interleaved={2 * n}-{2 * n + 1}"),)
         if n == 0:
-            headers += (("Require", FEATURE), ("Via", f"RTSP/1.0 {plan.front}"),
-                        ("Request-Id", f"{plan.front}/{plan.ref}"), ("Class", plan.cls),
-                        ("Rung", str(plan.rung)))
+            headers += (
+                ("Require", FEATURE),
+                ("Via", f"RTSP/1.0 {plan.front}"),
+                ("Request-Id", f"{plan.front}/{plan.ref}"),
+                ("Class", plan.cls),
+                ("Rung", str(plan.rung)),
+            )
             if plan.code is not None:
                 headers += (("Redeem", plan.code),)
             elif plan.receipt:
--- a/copperyard/control/catalogue.py
+++ b/copperyard/control/catalogue.py
@@ -58,8 +58,15 @@
     url = base + quote_path(title.path)
     length = f"npt=0-{title.length / 1e9:.3f}" if title.length is not None else "npt=now-"
     media = tuple(
-        sdp.Media(t.kind, 0, "RTP/AVP", (str(t.payload_type),), (
-            ("rtpmap", f"{t.payload_type} {t.codec}/{t.clock}"), ("control", f"{url}/track{n}{tail}")))
-        for n, t in enumerate(title.tracks, 1))
-    return sdp.Description(title.name, (title.number, 1), attributes=(
-        ("control", url + tail), ("range", length)), media=media)
+        sdp.Media(
+            t.kind,
+            0,
+            "RTP/AVP",
+            (str(t.payload_type),),
+            (("rtpmap", f"{t.payload_type} {t.codec}/{t.clock}"), ("control", f"{url}/track{n}{tail}")),
+        )
+        for n, t in enumerate(title.tracks, 1)
+    )
+    return sdp.Description(
+        title.name, (title.number, 1), attributes=(("control", url + tail), ("range", length)), media=media
+    )
--- a/copperyard/control/cells.py
+++ b/copperyard/control/cells.py
@@ -56,16 +56,26 @@
 def collectors(name: str, zone: int, key: str, voters: Mapping[str, int], prices: Sequence[float]) -> list[str]:
     """The voters in the order in which a cell's delegates report to them and ask them for news: itself where it is one,
     those of the zone, the nearer ones; among equals each cell draws its own, so that each voter has as many."""
+
     def far(other: str) -> tuple[bool, float]:
         return other != name, 0.0 if voters[other] == zone else abs(prices[voters[other]]) + 1
+
     return sorted(ranked(f"collector {key}", list(voters)), key=far)
 
 
 class CellDuty:
     """One gateway's part. `alive` says of a name whether it is held for alive; `collectors` are voters, best first."""
 
-    def __init__(self, name: str, place: CellPlace, terms: Terms, collectors: Sequence[str], life: int,
-                 alive: Callable[[str], bool], report_at: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        place: CellPlace,
+        terms: Terms,
+        collectors: Sequence[str],
+        life: int,
+        alive: Callable[[str], bool],
+        report_at: int,
+    ) -> None:
         self.name, self.cell, self.life, self.alive = name, place.cell, life, alive
         self.collectors = list(collectors)
         self.ranks = place.cell.ranks()
@@ -102,8 +112,12 @@
 
     def reported(self, now: int, sender: str, report: MemberReport) -> None:
         """A member's report."""
-        if report.summary.name != sender or sender not in self.cell.names or len(report.asked) != self.zones \
-                or not all(0 <= count <= MOST_TRIES for row in report.asked for count in row):
+        if (
+            report.summary.name != sender
+            or sender not in self.cell.names
+            or len(report.asked) != self.zones
+            or not all(0 <= count <= MOST_TRIES for row in report.asked for count in row)
+        ):
             return  # (a sum of numbers that nobody counts to would fit into no frame, and end this delegate's part)
         self._told = now if sender != self.name else self._told
         if self.book.learn(now, report.summary):
--- a/copperyard/control/common.py
+++ b/copperyard/control/common.py
@@ -40,11 +40,29 @@
 STALE = 6 * SECOND  # ns without a date after which a gateway asks the voters itself: a plan is renewed in a third of it
 RENEW = 5  # a plan is renewed so many times while it holds: an election's time has to fit into what is left
 ENTRIES = Codec({1: Plan, 2: Renewed})  # what an entry of the log holds
-MESSAGES = Codec({
-    1: swim.Ping, 2: swim.Ack, 3: swim.Look, 4: swim.Nothing,
-    10: agreed.Poll, 11: agreed.Ballot, 12: agreed.Append, 13: agreed.Install, 14: agreed.Taken, 15: agreed.Recall,
-    16: agreed.Recalled, 17: agreed.Since, 18: agreed.News, 19: agreed.Newer,
-    31: MemberReport, 32: CellReport, 33: Gathered, 34: Heard, 35: Resign})  # 30 was a front's report to the leader
+MESSAGES = Codec(
+    {
+        1: swim.Ping,
+        2: swim.Ack,
+        3: swim.Look,
+        4: swim.Nothing,
+        10: agreed.Poll,
+        11: agreed.Ballot,
+        12: agreed.Append,
+        13: agreed.Install,
+        14: agreed.Taken,
+        15: agreed.Recall,
+        16: agreed.Recalled,
+        17: agreed.Since,
+        18: agreed.News,
+        19: agreed.Newer,
+        31: MemberReport,
+        32: CellReport,
+        33: Gathered,
+        34: Heard,
+        35: Resign,
+    }
+)  # 30 was a front's report to the leader
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +79,22 @@
     beat: Beat = Beat()
 
     @classmethod
-    def of(cls, name: str, cells: CellMap, zones: tuple[str, ...], voters: Sequence[str], terms: Terms,
-           pace: Pace = Pace(), beat: Beat = Beat()) -> CommonPlace:  # noqa: B008 - both are frozen
+    def of(
+        cls,
+        name: str,
+        cells: CellMap,
+        zones: tuple[str, ...],
+        voters: Sequence[str],
+        terms: Terms,
+        pace: Pace = Pace(),
+        beat: Beat = Beat(),
+    ) -> CommonPlace:  # noqa: B008 - both are frozen
         """The place of the gateway of that name in a site of these cells. KeyError for a name that is not of the
         site."""
         votes = name in voters
-        return cls(name, cells.place(name, votes), zones,
-                   {voter: cells.roster[voter] for voter in voters}, terms, pace, beat)
+        return cls(
+            name, cells.place(name, votes), zones, {voter: cells.roster[voter] for voter in voters}, terms, pace, beat
+        )
 
     def peers(self) -> set[str]:
         """Everybody who may speak to this gateway, or be spoken to."""
@@ -120,23 +147,49 @@
     """One gateway's part. `kept` is what its shelf held, None for a gateway that does not vote. `unix_ms`, the date,
     makes this life's numbers greater than those of lives before; nothing depends on its being right."""
 
-    def __init__(self, place: CommonPlace, gauge: Gauge, controller: Callable[[], Controller], kept: Kept | None,
-                 seed: int, now: int, unix_ms: int, trusted: bool = False) -> None:
+    def __init__(
+        self,
+        place: CommonPlace,
+        gauge: Gauge,
+        controller: Callable[[], Controller],
+        kept: Kept | None,
+        seed: int,
+        now: int,
+        unix_ms: int,
+        trusted: bool = False,
+    ) -> None:
         self.place, self.gauge, self.controller = place, gauge, controller
         self.zone = place.cells.zone
         self.random = random.Random(seed)
-        self.members = Members(place.name, place.cells.roster, len(place.zones), place.pace,
-                               self.random.getrandbits(62), now, unix_ms, place.cells.watchers)
-        self.collectors = collectors(place.name, self.zone, place.cells.cell.key, place.voters,
-                                     place.terms.prices[self.zone])
-        self.duty = CellDuty(place.name, place.cells, place.terms, self.collectors, unix_ms, self._alive,
-                             now + int(self.random.random() * REPORT))
+        self.members = Members(
+            place.name,
+            place.cells.roster,
+            len(place.zones),
+            place.pace,
+            self.random.getrandbits(62),
+            now,
+            unix_ms,
+            place.cells.watchers,
+        )
+        self.collectors = collectors(
+            place.name, self.zone, place.cells.cell.key, place.voters, place.terms.prices[self.zone]
+        )
+        self.duty = CellDuty(
+            place.name,
+            place.cells,
+            place.terms,
+            self.collectors,
+            unix_ms,
+            self._alive,
+            now + int(self.random.random() * REPORT),
+        )
         self._now = now
         self.council: Council | None = None
         self.follower: Follower | None = None
         if kept is not None:
-            self.council = Council(place.name, tuple(place.voters), kept, place.beat, self.random.getrandbits(62), now,
-                                   trusted)
+            self.council = Council(
+                place.name, tuple(place.voters), kept, place.beat, self.random.getrandbits(62), now, trusted
+            )
         else:
             self.follower = Follower(self._sources, self.random.getrandbits(62), now)
         self.facts = CellFacts(place.cells.sizes, place.terms)  # a voter's
@@ -192,8 +245,12 @@
             if isinstance(action, SwimSay):
                 self._out.append(Send(action.to, action.message))
             elif isinstance(action, Changed):
-                self._out.append(Note("gateway " + action.life.name.lower(), (
-                    ("gateway", action.name), ("seen", "first-hand" if action.first else "told"))))
+                self._out.append(
+                    Note(
+                        "gateway " + action.life.name.lower(),
+                        (("gateway", action.name), ("seen", "first-hand" if action.first else "told")),
+                    )
+                )
                 if action.life is swim.Life.DEAD or action.first and action.life is swim.Life.SUSPECT:
                     self._spread(now, action.name)
             else:
@@ -259,8 +316,12 @@
     def next_wake(self) -> int:
         core = self.council or self.follower
         assert core is not None
-        times = [self.members.next_wake(), self.report_at, self.duty.report_at,
-                 *([] if self.stuck else [core.next_wake()])]
+        times = [
+            self.members.next_wake(),
+            self.report_at,
+            self.duty.report_at,
+            *([] if self.stuck else [core.next_wake()]),
+        ]
         if self.council is not None:
             times.append(self.gather_at)
         if self.ways_at is not None:
@@ -401,17 +462,24 @@
         standings = self.members.sight.standings(now)
         quiet = QUIET * max(REPORT, self.place.pace.period)
         unreached = self.facts.unreached(now)
-        silent = [zone != self.zone and now - self.members.stood > quiet and self.facts.silent(now, zone) > quiet
-                  and (seen is Seen.SILENT or unreached[zone] or self._gone(zone))
-                  for zone, seen in enumerate(standings)]
+        silent = [
+            zone != self.zone
+            and now - self.members.stood > quiet
+            and self.facts.silent(now, zone) > quiet
+            and (seen is Seen.SILENT or unreached[zone] or self._gone(zone))
+            for zone, seen in enumerate(standings)
+        ]
         return View(self.facts.demand(now), self.facts.rooms(now), self.facts.ways(now), silent)
 
     def _gone(self, zone: int) -> bool:
         """Whether a zone is lost by what is held of its gateways: nobody there is well, and half of them are dead. (To
         wait for the last suspicion of fifty to end took twice as long; a zone that lives refutes the first ones.)"""
         lives = [member.life for member in self.members.members.values() if member.zone == zone]
-        return bool(lives) and all(life is not swim.Life.ALIVE for life in lives) \
+        return (
+            bool(lives)
+            and all(life is not swim.Life.ALIVE for life in lives)
             and 2 * sum(life >= swim.Life.DEAD for life in lives) >= len(lives)
+        )
 
     # ---- what was agreed
 
@@ -455,11 +523,14 @@
         if self.planner is not None:
             self.planner.committed(now, found)
         fields: list[tuple[str, str | int]] = [("epoch", found.epoch), ("index", index)]
-        fields += [(self.place.zones[z], f"{zone.standing.name.lower()} {zone.part:.2f}")
-                   for z, zone in enumerate(found.zones)]
+        fields += [
+            (self.place.zones[z], f"{zone.standing.name.lower()} {zone.part:.2f}") for z, zone in enumerate(found.zones)
+        ]
         self._out.append(Note("plan", tuple(fields)))
-        kb = ";".join(" ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.owed, strict=True))
-                      for zone in found.zones)
+        kb = ";".join(
+            " ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.owed, strict=True))
+            for zone in found.zones
+        )
         self._out.append(Note("caps", (("epoch", found.epoch), ("kb", kb))))
 
     def _dated(self) -> Dates:
@@ -489,8 +560,11 @@
         standings = tuple(self.members.sight.standings(now))
         if standings != self._standings:
             if self._standings:
-                self._out.append(Note("zones seen", tuple(
-                    (self.place.zones[z], one.name.lower()) for z, one in enumerate(standings))))
+                self._out.append(
+                    Note(
+                        "zones seen", tuple((self.place.zones[z], one.name.lower()) for z, one in enumerate(standings))
+                    )
+                )
             self._standings = standings
 
     def leave(self, now: int) -> None:
--- a/copperyard/control/core.py
+++ b/copperyard/control/core.py
@@ -23,8 +23,9 @@
 class Core:
     """A front. `seed` feeds the module's draws and, through `rng`, session ids and sources."""
 
-    def __init__(self, rules: FrontRules, catalogue: Catalogue, zones: tuple[str, ...], seed: int,
-                 rng: random.Random, name: str) -> None:
+    def __init__(
+        self, rules: FrontRules, catalogue: Catalogue, zones: tuple[str, ...], seed: int, rng: random.Random, name: str
+    ) -> None:
         self.rules = rules
         # a front that comes back under its name is another one to hosts: its requests are numbered anew
         name = self.label = f"{name}.{rng.getrandbits(32):08x}"
@@ -83,8 +84,9 @@
             self._orders.append(Line("list not taken", (("text", str(error)),)))
             return False
         if news is not None:
-            self._orders.append(Line("list", (("generation", self.roster.generation or 0),
-                                              ("lines", len(news.entries)))))
+            self._orders.append(
+                Line("list", (("generation", self.roster.generation or 0), ("lines", len(news.entries))))
+            )
             self.plays.listed(now, news, self.roster.addresses)
             self.list_changed = True
         return True
--- a/copperyard/control/hosts.py
+++ b/copperyard/control/hosts.py
@@ -52,7 +52,7 @@
 
     def _trim(self) -> None:
         gone = [server for server, known in self._known.items() if known.ended is not None]
-        for server in gone[:max(0, len(gone) - KEPT_GONE)]:
+        for server in gone[: max(0, len(gone) - KEPT_GONE)]:
             del self._known[server]
 
     def address(self, server: int) -> str | None:
@@ -75,5 +75,8 @@
         no new work, and the other fronts' news may be older than ours. Nor one that was `decided` before this front
         knew that the host began anew: it took a cold host for a warm one (seed 1265)."""
         known = self._known.get(server)
-        return known is not None and known.ended is None \
+        return (
+            known is not None
+            and known.ended is None
             and (decided is None or known.anew is None or known.anew <= decided)
+        )
--- a/copperyard/control/node/core.py
+++ b/copperyard/control/node/core.py
@@ -102,9 +102,21 @@
         self._crowded = False
         self._rng = random.Random(seed)
         self._doubted = -bounds.DOUBT
-        self._feed = Feed(lambda: self.module, {
-            Send: self._send, Rate: self._rate, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel,
-            Move: self._move, Probe: self._probe, SetTimer: self._timer, Log: self._log, Watch: self._follow})
+        self._feed = Feed(
+            lambda: self.module,
+            {
+                Send: self._send,
+                Rate: self._rate,
+                Refuse: self._refuse,
+                Fail: self._fail,
+                Cancel: self._cancel,
+                Move: self._move,
+                Probe: self._probe,
+                SetTimer: self._timer,
+                Log: self._log,
+                Watch: self._follow,
+            },
+        )
 
     # ---- what the I/O calls
 
@@ -151,8 +163,13 @@
     def spare_link(self) -> Link | None:
         """The connection to a host that is missed least: nothing waits or is out on it, and no session of ours stands
         there whose release would come on it. The one that was heard longest ago."""
-        idle = [link for host in self.hosts.values() if not host.standing for link in host.links
-                if link.state is State.UP and not link.attempts and not link.out]
+        idle = [
+            link
+            for host in self.hosts.values()
+            if not host.standing
+            for link in host.links
+            if link.state is State.UP and not link.attempts and not link.out
+        ]
         return min(idle, key=lambda link: (link.heard, link.number)) if idle else None
 
     def take(self) -> Orders:
@@ -377,8 +394,18 @@
             raise BadHeader(400, "a set-up without a description")
         moved = self.moved.pop(wish.viewer, self) is None
         self._refs += 1
-        return Request(self._refs, cls, top, now + wish.patience, int(wish.title, 16), wish.home, wish.copies,
-                       wish.hint, moved, wish.again or moved)
+        return Request(
+            self._refs,
+            cls,
+            top,
+            now + wish.patience,
+            int(wish.title, 16),
+            wish.home,
+            wish.copies,
+            wish.hint,
+            moved,
+            wish.again or moved,
+        )
 
     def _new(self, ref: int, wish: Wish, viewer: Viewer) -> Session:
         session = Session(ref, wish, viewer, self.settings.classes[self.classes[wish.cls]].floor)
@@ -475,8 +502,9 @@
             return
         session.rung = action.rung
         if session.stands and session.host is not None:
-            self._tell(now, session.host, encode(
-                Kind.RUNG, session.wish.session, ((Param.RUNG, str(action.rung).encode()),)))
+            self._tell(
+                now, session.host, encode(Kind.RUNG, session.wish.session, ((Param.RUNG, str(action.rung).encode()),))
+            )
 
     def _refuse(self, now: int, action: Action) -> None:
         assert isinstance(action, Refuse)
@@ -598,8 +626,7 @@
             self._ended(now, one, Code.MOOT, None)
         return b"".join(parts), last
 
-    def link_down(self, now: int, link: Link, refused: bool = False, silent: bool = False,
-                  reset: bool = False) -> None:
+    def link_down(self, now: int, link: Link, refused: bool = False, silent: bool = False, reset: bool = False) -> None:
         """The connection is at its end, or never came up: `refused` where the host's machine said no, `silent` where
         nobody said anything, neither where this machine had none to give; `reset` where its peer broke it off, which a
         process that dies does, and one that closes in order does not. What may have run there has ended unclear;
@@ -681,8 +708,7 @@
         if not host.listed:
             if now - host.heard >= bounds.UNLISTED:
                 return self._lost(now, host)
-        elif now - host.heard >= self._quiet(now) and host.dialling() is None \
-                and len(host.links) < bounds.MOST_LINKS:
+        elif now - host.heard >= self._quiet(now) and host.dialling() is None and len(host.links) < bounds.MOST_LINKS:
             self._dial(now, host)
         self._watched(now, host)
 
@@ -841,11 +867,20 @@
         if session.attempt is attempt:
             session.attempt = None
         self._remember(session.wish.session, attempt.host)
-        self._feed(now, Outcome(session.ref, attempt.number, attempt.host.server, code, now - attempt.sent, over,
-                                report))
-
-    def _end(self, now: int, session: Session, code: Code, cause: int, owed: bool, report: Report | None = None,
-             tell_host: bool = False) -> None:
+        self._feed(
+            now, Outcome(session.ref, attempt.number, attempt.host.server, code, now - attempt.sent, over, report)
+        )
+
+    def _end(
+        self,
+        now: int,
+        session: Session,
+        code: Code,
+        cause: int,
+        owed: bool,
+        report: Report | None = None,
+        tell_host: bool = False,
+    ) -> None:
         """A standing session is over. `owed`: its viewer is to hear of it."""
         host = session.host
         if host is None or not session.stands:
@@ -858,8 +893,9 @@
             self._tell(now, host, _release(session.wish.session, cause))
         if owed:
             self._to_viewers(session.viewer, words.teardown(session.name, cause))
-        self._feed(now, Outcome(session.ref, session.attempts - 1, host.server, code, now - session.since, True,
-                                report))
+        self._feed(
+            now, Outcome(session.ref, session.attempts - 1, host.server, code, now - session.since, True, report)
+        )
         self._tidy(host)
 
     def _to_viewers(self, viewer: Viewer | None, data: bytes) -> None:
--- a/copperyard/control/node/links.py
+++ b/copperyard/control/node/links.py
@@ -84,8 +84,7 @@
     def best(self, most: int) -> Link | None:
         """The connection for one more set-up: one that stands before one that is dialled; None where each carries
         `most` already."""
-        fit = [link for link in self.links
-               if link.state is not State.DOWN and not link.suspect and link.load < most]
+        fit = [link for link in self.links if link.state is not State.DOWN and not link.suspect and link.load < most]
         return min(fit, key=_use) if fit else None
 
 
--- a/copperyard/control/node/sessions.py
+++ b/copperyard/control/node/sessions.py
@@ -65,9 +65,17 @@
         """The set-up as it leaves."""
         wish = self.session.wish
         left = max(1, (self.limit - now) // MS)
-        return encode(Kind.SETUP, wish.session, (
-            (Param.CLASS, wish.cls.encode()), (Param.WAIT, str(left).encode()), (Param.TITLE, wish.title.encode()),
-            (Param.RUNG, str(self.session.rung).encode()), (Param.DESCRIPTION, wish.body)))
+        return encode(
+            Kind.SETUP,
+            wish.session,
+            (
+                (Param.CLASS, wish.cls.encode()),
+                (Param.WAIT, str(left).encode()),
+                (Param.TITLE, wish.title.encode()),
+                (Param.RUNG, str(self.session.rung).encode()),
+                (Param.DESCRIPTION, wish.body),
+            ),
+        )
 
 
 @dataclass(eq=False, slots=True)
--- a/copperyard/control/plays.py
+++ b/copperyard/control/plays.py
@@ -171,8 +171,9 @@
 class Plays:
     """All wishes of one front. Every method takes the front's own clock in ns; orders gather in `orders`."""
 
-    def __init__(self, rules: FrontRules, seed: int, name: str, orders: list[Order],
-                 controller: Controller | None = None) -> None:
+    def __init__(
+        self, rules: FrontRules, seed: int, name: str, orders: list[Order], controller: Controller | None = None
+    ) -> None:
         s = rules.settings
         self.rules, self.name, self.orders = rules, name, orders
         self.controller = controller if controller is not None else Controller(s, seed)
@@ -196,9 +197,21 @@
         self._gate = NoteGate()
         self._next = 1
         self._asked: dict[int, int] = {}
-        self._feed = Feed(lambda: self.controller, {
-            Send: self._send, Rate: self._rate, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel,
-            Move: self._move, Probe: self._probe, SetTimer: self._set_timer, Watch: self._watch, Log: self._log})
+        self._feed = Feed(
+            lambda: self.controller,
+            {
+                Send: self._send,
+                Rate: self._rate,
+                Refuse: self._refuse,
+                Fail: self._fail,
+                Cancel: self._cancel,
+                Move: self._move,
+                Probe: self._probe,
+                SetTimer: self._set_timer,
+                Watch: self._watch,
+                Log: self._log,
+            },
+        )
 
     # ---- the module
 
@@ -248,13 +261,26 @@
         receipt = self.codes.receipt(wish.code) if wish.code is not None and not play.fresh else ""
         cls = self.rules.settings.classes[wish.cls].name
         play.host = self.host_name(action.server)
-        plan = Plan(play.ref, number, action.server, address, wish.title, wish.tracks, cls, play.rung, self.name,
-                    wish.code if play.fresh else None, receipt, wish.start)
+        plan = Plan(
+            play.ref,
+            number,
+            action.server,
+            address,
+            wish.title,
+            wish.tracks,
+            cls,
+            play.rung,
+            self.name,
+            wish.code if play.fresh else None,
+            receipt,
+            wish.start,
+        )
         play.attempt = Attempt(plan, self.rules.hosts, wish.splices, now, min(action.not_past, play.deadline))
         if plan.code is not None:
             # the disk works while the connection is made; the set-up waits for both
-            fact = Carried(self.memory.at(now), digest(plan.code), f"{self.name}/{plan.ref}",
-                           self.host_name(plan.server))
+            fact = Carried(
+                self.memory.at(now), digest(plan.code), f"{self.name}/{plan.ref}", self.host_name(plan.server)
+            )
             play.attempt.intent, play.attempt.hold = self.memory.write(now, fact), True
         self.counts.attempts += 1
         self.orders.append(Start(play.attempt))
@@ -262,8 +288,12 @@
     def _cancel(self, now: int, action: Action) -> None:
         assert isinstance(action, Cancel)
         play = self.plays.get(action.ref)
-        if play is not None and play.attempt is not None and not play.opened \
-                and play.attempt.plan.number == action.attempt:
+        if (
+            play is not None
+            and play.attempt is not None
+            and not play.opened
+            and play.attempt.plan.number == action.attempt
+        ):
             self._end(play.attempt, Code.CANCELLED)
 
     def _move(self, now: int, action: Action) -> None:
@@ -325,8 +355,10 @@
         length = wish.title.length
         hint = max(0, length - int(wish.start * SECOND)) if length is not None else None
         title = wish.title
-        self._feed(now, Request(ref, wish.cls, wish.top, play.deadline, title.number, title.home, title.holders,
-                                hint, wish.moved))
+        self._feed(
+            now,
+            Request(ref, wish.cls, wish.top, play.deadline, title.number, title.home, title.holders, hint, wish.moved),
+        )
         return ref
 
     def leave(self, now: int, ref: int) -> None:
@@ -399,8 +431,11 @@
         # the answer takes as long as the last exchange did, at least: a set-up that leaves later than that is closed
         # while its first byte is still on its way, and the next attempt overtakes it (seed 3091)
         longest = 2 * self.rules.settings.connect_timeout + (STORE_WAIT if attempt.intent else 0)
-        return now + attempt.trip >= attempt.limit or now - attempt.began > longest \
+        return (
+            now + attempt.trip >= attempt.limit
+            or now - attempt.began > longest
             or not self.hosts.may_start(attempt.plan.server, attempt.began)
+        )
 
     def _leave(self, now: int, attempt: Attempt) -> bool:
         """Whether the set-up leaves now: the last instant at which nothing has run."""
@@ -550,8 +585,9 @@
         if self.codes.never_ran(code):
             self.memory.write(now, Cleared(self.memory.at(now), digest(code)))
 
-    def _outcome(self, now: int, play: Play, number: int, server: int, code: Code, took: int,
-                 report: Report | None) -> None:
+    def _outcome(
+        self, now: int, play: Play, number: int, server: int, code: Code, took: int, report: Report | None
+    ) -> None:
         over = play.opened or play.answered or play.customer is None
         if play.opened:
             self.watcher.lasted(play.wish.cls, max(0, now - play.began))
--- a/copperyard/control/splice.py
+++ b/copperyard/control/splice.py
@@ -85,8 +85,9 @@
 
     def report(self, one: SenderReport) -> SenderReport:
         """A host's sender report as the viewer gets it: the counts are of what this front sent."""
-        return replace(one, ssrc=self.ssrc, ts=one.ts + self.ts_off & 0xFFFFFFFF, packets=self.sent,
-                       octets=self.octets, blocks=())
+        return replace(
+            one, ssrc=self.ssrc, ts=one.ts + self.ts_off & 0xFFFFFFFF, packets=self.sent, octets=self.octets, blocks=()
+        )
 
 
 def splice_run(now: int, run: bytearray, splices: Sequence[Splice]) -> tuple[list[bytes], list[tuple[int, bytes]]]:
@@ -106,7 +107,7 @@
         end = at + 4 + (run[at + 2] << 8 | run[at + 3])
         if channel & 1 or channel >= channels or end < at + 16 or run[at + 4] >> 6 != 2:
             if channel & 1 and channel < channels:
-                control.append((channel >> 1, bytes(run[at + 4:end])))
+                control.append((channel >> 1, bytes(run[at + 4 : end])))
             if begin < at:
                 kept.append(bytes(run[begin:at]))
             at = begin = end
--- a/copperyard/control/visits.py
+++ b/copperyard/control/visits.py
@@ -175,8 +175,9 @@
 class Visits:
     """All viewer connections of one front."""
 
-    def __init__(self, rules: FrontRules, catalogue: Catalogue, plays: Plays, rng: random.Random,
-                 orders: list[Order], name: str) -> None:
+    def __init__(
+        self, rules: FrontRules, catalogue: Catalogue, plays: Plays, rng: random.Random, orders: list[Order], name: str
+    ) -> None:
         self.rules, self.catalogue, self.plays = rules, catalogue, plays
         self.random, self.orders, self.server = rng, orders, ("Server", name)
         self.visitors: dict[int, Visitor] = {}
@@ -240,11 +241,19 @@
                 continue
             session.heard = now
             track = next((n for n, x in enumerate(session.order) if x.channel + 1 == event.channel), None)
-            if track is None or session.ref is None or session.state is not State.PLAYING \
-                    or now - session.reported.get(track, -REPORT_GAP) < REPORT_GAP:
+            if (
+                track is None
+                or session.ref is None
+                or session.state is not State.PLAYING
+                or now - session.reported.get(track, -REPORT_GAP) < REPORT_GAP
+            ):
                 continue
-            blocks = [block for one in parse_compound(event.payload) or ()
-                      if isinstance(one, ReceiverReport) for block in one.blocks]
+            blocks = [
+                block
+                for one in parse_compound(event.payload) or ()
+                if isinstance(one, ReceiverReport)
+                for block in one.blocks
+            ]
             if blocks:
                 session.reported[track] = now
                 self.plays.received_by_viewer(session.ref, track, tuple(blocks))
@@ -332,8 +341,7 @@
         if session is not None:
             session.heard = now
 
-    def _in_session(self, now: int, session: Session, slot: Slot, request: Request,
-                    target: Target) -> Response | None:
+    def _in_session(self, now: int, session: Session, slot: Slot, request: Request, target: Target) -> Response | None:
         method, state = request.method, session.state
         if method == "TEARDOWN":
             self._end(now, session)
@@ -412,26 +420,42 @@
                 return Response(503)
             session = self._session(now, visitor, request, target, title, admission)
         session.heard = now
-        splice = Splice(title.tracks[track - 1].clock, self.random.getrandbits(32), self.random.getrandbits(16),
-                        self.random.getrandbits(32), channels)
+        splice = Splice(
+            title.tracks[track - 1].clock,
+            self.random.getrandbits(32),
+            self.random.getrandbits(16),
+            self.random.getrandbits(32),
+            channels,
+        )
         session.legs[track] = splice
-        return Response(200, (("Transport", Transport((channels, channels + 1), splice.ssrc).encode()),
-                              ("Session", f"{session.id};timeout={self._timeout}")))
-
-    def _session(self, now: int, visitor: Visitor, request: Request, target: Target, title: Title,
-                 admission: Admission) -> Session:
+        return Response(
+            200,
+            (
+                ("Transport", Transport((channels, channels + 1), splice.ssrc).encode()),
+                ("Session", f"{session.id};timeout={self._timeout}"),
+            ),
+        )
+
+    def _session(
+        self, now: int, visitor: Visitor, request: Request, target: Target, title: Title, admission: Admission
+    ) -> Session:
         top = top_rung(self.rules, admission.entry.cls, parse_bandwidth(request.header("Bandwidth")))
-        session = Session(self, visitor, f"{self.random.getrandbits(96):024x}", title, admission,
-                          f"rtsp://{target.host}", top)
+        session = Session(
+            self, visitor, f"{self.random.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
+        )
         visitor.sessions[session.id] = self.sessions[session.id] = session
         self.plays.timers.set(("idle", session.id), now + self.rules.bounds.idle)
         return session
 
-    def _channels(self, visitor: Visitor, session: Session | None, track: int,
-                  transport: Transport) -> int | None:
+    def _channels(self, visitor: Visitor, session: Session | None, track: int, transport: Transport) -> int | None:
         """The channel pair for a track, None where the wanted one is taken or all are."""
-        taken = {channel for one in visitor.sessions.values() for n, leg in one.legs.items()
-                 if one is not session or n != track for channel in (leg.channel, leg.channel + 1)}
+        taken = {
+            channel
+            for one in visitor.sessions.values()
+            for n, leg in one.legs.items()
+            if one is not session or n != track
+            for channel in (leg.channel, leg.channel + 1)
+        }
         if transport.channels is not None:
             return transport.channels[0] if taken.isdisjoint(transport.channels) else None
         return next((n for n in range(0, 256, 2) if n not in taken and n + 1 not in taken), None)
@@ -462,8 +486,15 @@
         session.slots.append(slot)
         tracks = tuple(sorted(session.legs))
         session.order = tuple(session.legs[n] for n in tracks)
-        wish = Wish(session.title, tracks, session.admission.entry.cls, session.top, session.admission.code,
-                    session.start, session.order)
+        wish = Wish(
+            session.title,
+            tracks,
+            session.admission.entry.cls,
+            session.top,
+            session.admission.code,
+            session.start,
+            session.order,
+        )
         session.ref = None
         ref = self.plays.begin(now, wish, session)
         if session.state in (State.STARTING, State.PLAYING):
--- a/copperyard/control/zones/check.py
+++ b/copperyard/control/zones/check.py
@@ -23,12 +23,19 @@
         return "not of this site's shape"
     for h, zone in enumerate(plan.zones):
         numbers = (zone.room, zone.own, zone.reserve, zone.part, *zone.caps, *zone.owed)
-        if len(zone.caps) != n or len(zone.owed) != n or len(zone.shares) != len(terms.loads) \
-                or not all(math.isfinite(x) and x >= 0 for x in numbers):
+        if (
+            len(zone.caps) != n
+            or len(zone.owed) != n
+            or len(zone.shares) != len(terms.loads)
+            or not all(math.isfinite(x) and x >= 0 for x in numbers)
+        ):
             return f"zone {h}: not of this site's shape"
         for cls, shares in enumerate(zone.shares):
-            if any(not 0 <= z < n or not 0 <= part <= 1 + SLACK for z, part in shares) \
-                    or sum(part for _, part in shares) > 1 + SLACK or len({z for z, _ in shares}) != len(shares):
+            if (
+                any(not 0 <= z < n or not 0 <= part <= 1 + SLACK for z, part in shares)
+                or sum(part for _, part in shares) > 1 + SLACK
+                or len({z for z, _ in shares}) != len(shares)
+            ):
                 return f"zone {h}, class {cls}: shares that are none"
             for z, part in shares:
                 if part > SLACK and z != h and terms.prices[h][z] < 0:
--- a/copperyard/control/zones/facts.py
+++ b/copperyard/control/zones/facts.py
@@ -91,8 +91,14 @@
                 rooms[zone] += server.link.cap
                 used[zone] += server.link.cap * min(1.0, server.link.load(now))
         self._number += 1
-        return Summary(self.name, self.life, self._number, epoch, self.demand(now, self.playing(controller)), tuple(
-            HostsOf(*one) for one in zip(rooms, used, hosts, ill, tried, broke, strict=True)))
+        return Summary(
+            self.name,
+            self.life,
+            self._number,
+            epoch,
+            self.demand(now, self.playing(controller)),
+            tuple(HostsOf(*one) for one in zip(rooms, used, hosts, ill, tried, broke, strict=True)),
+        )
 
 
 class FrontGauge(Watcher):
@@ -136,9 +142,13 @@
 
 def _possible(summary: Summary) -> bool:
     """Whether the figures are such as a front can have: others would spoil the sums of a whole cell."""
-    return 0 <= summary.life < MOST_COUNT and 0 <= summary.number < MOST_COUNT and 0 <= summary.epoch < MOST_COUNT \
-        and all(0 <= kb <= MOST_LOAD for kb in summary.demand) \
+    return (
+        0 <= summary.life < MOST_COUNT
+        and 0 <= summary.number < MOST_COUNT
+        and 0 <= summary.epoch < MOST_COUNT
+        and all(0 <= kb <= MOST_LOAD for kb in summary.demand)
         and all(0 <= z.room <= MOST_LOAD and 0 <= z.broke <= z.tried < MOST_TRIES for z in summary.zones)
+    )
 
 
 class Facts:
@@ -150,8 +160,12 @@
 
     def learn(self, now: int, summary: Summary) -> bool:
         """Take a report; whether it was news."""
-        if summary.name not in self.zone_of or len(summary.zones) != self.terms.zones \
-                or len(summary.demand) != len(self.terms.loads) or not _possible(summary):
+        if (
+            summary.name not in self.zone_of
+            or len(summary.zones) != self.terms.zones
+            or len(summary.demand) != len(self.terms.loads)
+            or not _possible(summary)
+        ):
             return False
         known = self.known.get(summary.name)
         if known is not None and (known[1].life, known[1].number) >= (summary.life, summary.number):
@@ -204,6 +218,10 @@
         for z in range(self.terms.zones):
             names = [name for name, zone in self.zone_of.items() if zone == z]
             known = [self.known.get(name) for name in names]
-            found.append(min((k[1].epoch if k is not None and now - k[0] <= self.terms.silent else 0 for k in known),
-                             default=1 << 60))
+            found.append(
+                min(
+                    (k[1].epoch if k is not None and now - k[0] <= self.terms.silent else 0 for k in known),
+                    default=1 << 60,
+                )
+            )
         return found
--- a/copperyard/control/zones/follow.py
+++ b/copperyard/control/zones/follow.py
@@ -16,8 +16,9 @@
 
 def near(terms: Terms, zone: int) -> Ways:
     """Without a plan: the own zone, by own evidence."""
-    return Ways(tuple(((zone, 1.0),) for _ in terms.loads),
-                tuple(None if z == zone else 0.0 for z in range(terms.zones)))
+    return Ways(
+        tuple(((zone, 1.0),) for _ in terms.loads), tuple(None if z == zone else 0.0 for z in range(terms.zones))
+    )
 
 
 class PlanBook:
--- a/copperyard/control/zones/planner.py
+++ b/copperyard/control/zones/planner.py
@@ -47,8 +47,13 @@
     silent: Sequence[bool]
 
 
-def fill(terms: Terms, demand: Sequence[Sequence[float]], rooms: Sequence[float], free: Sequence[float],
-         ways: Sequence[Sequence[float]]) -> list[list[list[float]]]:
+def fill(
+    terms: Terms,
+    demand: Sequence[Sequence[float]],
+    rooms: Sequence[float],
+    free: Sequence[float],
+    ways: Sequence[Sequence[float]],
+) -> list[list[list[float]]]:
     """given[h][c][z]: how much of each demand goes where. `rooms` is what a zone may give its own viewers, `free` what
     strangers may have; both are bounds that this keeps."""
     n, classes = terms.zones, range(len(terms.loads))
@@ -71,8 +76,11 @@
             for _ in range(2):
                 asks = [[0.0] * n for _ in range(n)]
                 for h in range(n):
-                    near = [z for z in range(n) if z != h and terms.prices[h][z] == distance and free[z] > 0
-                            and ways[h][z] >= LEAST_WAY]
+                    near = [
+                        z
+                        for z in range(n)
+                        if z != h and terms.prices[h][z] == distance and free[z] > 0 and ways[h][z] >= LEAST_WAY
+                    ]
                     total = sum(free[z] for z in near)
                     for z in near:
                         asks[h][z] = left[h][c] * free[z] / total
@@ -169,8 +177,9 @@
 
     # ---- the plan itself
 
-    def _plan(self, now: int, before: Plan | None, view: View, epochs: Sequence[int],
-              standings: list[tuple[Standing, float]]) -> Plan:
+    def _plan(
+        self, now: int, before: Plan | None, view: View, epochs: Sequence[int], standings: list[tuple[Standing, float]]
+    ) -> Plan:
         terms, n = self.terms, self.terms.zones
         rooms = [view.rooms[z] * terms.mark * standings[z][1] for z in range(n)]
         full = [view.rooms[z] * terms.mark for z in range(n)]
@@ -184,8 +193,10 @@
         cut = [self.returns[z].cut for z in range(n)]
         ways = [[0.0 if h != z and (cut[h] or cut[z]) else view.ways[h][z] for z in range(n)] for h in range(n)]
         given = fill(terms, view.demand, rooms, allowed, ways)
-        caps = [[sum(given[h][c][z] for c in range(len(terms.loads))) if z != h else 0.0 for z in range(n)]
-                for h in range(n)]
+        caps = [
+            [sum(given[h][c][z] for c in range(len(terms.loads))) if z != h else 0.0 for z in range(n)]
+            for h in range(n)
+        ]
         for z in range(n):
             self._ahead(before, view, caps, z, allowed[z], cut, standings[z][0] is Standing.CLOSED)
             self._fit(before, caps, owed, z, free[z])
@@ -196,8 +207,9 @@
             standing, part = standings[h]
             if standing is Standing.OPEN and any(dict(row).get(h, 0.0) < 1 - self.terms.band for row in shares[h]):
                 standing = Standing.SHEDDING
-            zones.append(ZonePlan(standing, full[h], own[h], reserve[h], part, shares[h], tuple(caps[h]),
-                                  tuple(owed[h])))
+            zones.append(
+                ZonePlan(standing, full[h], own[h], reserve[h], part, shares[h], tuple(caps[h]), tuple(owed[h]))
+            )
         return Plan(before.epoch + 1 if before is not None else 1, terms.holds, tuple(zones))
 
     def _owed(self, now: int, before: Plan | None, epochs: Sequence[int]) -> list[list[float]]:
@@ -224,13 +236,24 @@
         dt = min(10.0, (now - self.proposed_at) / SECOND)
         return min(free, had + self.terms.pace * full * dt)
 
-    def _ahead(self, before: Plan | None, view: View, caps: list[list[float]], z: int, allowed: float,
-               cut: list[bool], shut: bool) -> None:
+    def _ahead(
+        self,
+        before: Plan | None,
+        view: View,
+        caps: list[list[float]],
+        z: int,
+        allowed: float,
+        cut: list[bool],
+        shut: bool,
+    ) -> None:
         """Give away ahead of need what nobody wants of a zone yet: a front whose own zone is lost may use it at once,
         before the council has met. Split by demand, the nearer the more; what was given is kept while it fits, since
         measures of demand are never still."""
-        homes = [h for h in range(self.terms.zones) if h != z and self.terms.prices[h][z] >= 0 and not cut[h]
-                 and view.ways[h][z] >= LEAST_WAY]
+        homes = [
+            h
+            for h in range(self.terms.zones)
+            if h != z and self.terms.prices[h][z] >= 0 and not cut[h] and view.ways[h][z] >= LEAST_WAY
+        ]
         left = (allowed - sum(caps[h][z] for h in homes)) * AHEAD
         if shut or cut[z] or left <= 0 or not homes:
             return
@@ -261,8 +284,15 @@
             for h in homes:
                 caps[h][z] *= free / total
 
-    def _shares(self, before: Plan | None, view: View, given: list[list[list[float]]], caps: list[list[float]],
-                h: int, shut: list[bool]) -> tuple[tuple[tuple[int, float], ...], ...]:
+    def _shares(
+        self,
+        before: Plan | None,
+        view: View,
+        given: list[list[list[float]]],
+        caps: list[list[float]],
+        h: int,
+        shut: list[bool],
+    ) -> tuple[tuple[tuple[int, float], ...], ...]:
         found = []
         for c in range(len(self.terms.loads)):
             wanted = view.demand[h][c]
@@ -280,8 +310,9 @@
             found.append(self._steady(before, h, c, row, shut))
         return tuple(found)
 
-    def _steady(self, before: Plan | None, h: int, c: int, row: list[tuple[int, float]],
-                shut: list[bool]) -> tuple[tuple[int, float], ...]:
+    def _steady(
+        self, before: Plan | None, h: int, c: int, row: list[tuple[int, float]], shut: list[bool]
+    ) -> tuple[tuple[int, float], ...]:
         """Small changes are no changes: what differs little from the last plan's is the last plan's."""
         total = sum(part for _, part in row)
         if total > 1:
--- a/copperyard/control/zones/rollup.py
+++ b/copperyard/control/zones/rollup.py
@@ -80,24 +80,44 @@
         figures that no front can have is none."""
         return self.facts.learn(now, summary)
 
-    def report(self, now: int, by: str, life: int, lives: Mapping[str, int],
-               sight: Sequence[tuple[int, int, int, int]]) -> CellReport:
+    def report(
+        self, now: int, by: str, life: int, lives: Mapping[str, int], sight: Sequence[tuple[int, int, int, int]]
+    ) -> CellReport:
         """The cell as it is known here. `lives`: 1 suspected, 2 dead, 3 gone by itself, else it lives; `sight`: by
         zone, as in a Row, summed over the cell: asked, reached, heard, late. ValueError for another number of zones."""
         fresh = self.facts.fresh(now)
         rooms = told(fresh)
         zones = tuple(
-            Zonal(sketch(s.zones[z].room for s in rooms), sum(s.zones[z].tried for s in fresh),
-                  sum(s.zones[z].broke for s in fresh), *row)
-            for z, row in zip(range(self.terms.zones), sight, strict=True))
+            Zonal(
+                sketch(s.zones[z].room for s in rooms),
+                sum(s.zones[z].tried for s in fresh),
+                sum(s.zones[z].broke for s in fresh),
+                *row,
+            )
+            for z, row in zip(range(self.terms.zones), sight, strict=True)
+        )
         age = max((now - self.facts.known[s.name][0] for s in fresh), default=0)
         # also a book that was begun anew within this life goes on above its last number
         self._number = max(self._number + 1, now)
-        suspect, dead, left = (sum(1 << n for n, name in enumerate(self.names) if lives.get(name, 0) == one)
-                               for one in (1, 2, 3))
-        return CellReport(self.zone, self.cell, self.digest, by, life, self._number, age, len(fresh),
-                          self.facts.epochs(now)[self.zone], suspect, dead, left,
-                          tuple(self.facts.demand(now)[self.zone]), zones)
+        suspect, dead, left = (
+            sum(1 << n for n, name in enumerate(self.names) if lives.get(name, 0) == one) for one in (1, 2, 3)
+        )
+        return CellReport(
+            self.zone,
+            self.cell,
+            self.digest,
+            by,
+            life,
+            self._number,
+            age,
+            len(fresh),
+            self.facts.epochs(now)[self.zone],
+            suspect,
+            dead,
+            left,
+            tuple(self.facts.demand(now)[self.zone]),
+            zones,
+        )
 
 
 @dataclass(slots=True)
@@ -157,13 +177,20 @@
     def _right(self, report: CellReport) -> bool:
         digest, size = self.cells[report.zone, report.cell]
         masks = report.suspect, report.dead, report.left
-        return report.digest == digest and 0 <= report.age < MOST_COUNT and 0 <= report.heard <= size \
-            and 0 <= report.epoch < MOST_COUNT and (report.heard == size or not report.epoch) \
-            and 0 <= report.life < MOST_COUNT and 0 <= report.number < MOST_COUNT \
-            and all(0 <= mask < 1 << size for mask in masks) \
-            and len(report.demand) == len(self.terms.loads) and len(report.zones) == self.terms.zones \
-            and all(0 <= kb <= MOST_LOAD * size for kb in report.demand) \
+        return (
+            report.digest == digest
+            and 0 <= report.age < MOST_COUNT
+            and 0 <= report.heard <= size
+            and 0 <= report.epoch < MOST_COUNT
+            and (report.heard == size or not report.epoch)
+            and 0 <= report.life < MOST_COUNT
+            and 0 <= report.number < MOST_COUNT
+            and all(0 <= mask < 1 << size for mask in masks)
+            and len(report.demand) == len(self.terms.loads)
+            and len(report.zones) == self.terms.zones
+            and all(0 <= kb <= MOST_LOAD * size for kb in report.demand)
             and all(_zonal(one, size) for one in report.zones)
+        )
 
     # ---- passed on
 
@@ -243,16 +270,21 @@
         found = [1 << 60] * self.terms.zones
         for zone, cell in self.cells:
             size = self.cells[zone, cell][1]
-            proofs = [(now - one.sent + one.report.age, one.report.epoch)
-                      for one in self.known.get((zone, cell), {}).values() if one.report.heard == size]
+            proofs = [
+                (now - one.sent + one.report.age, one.report.epoch)
+                for one in self.known.get((zone, cell), {}).values()
+                if one.report.heard == size
+            ]
             age, epoch = min(proofs, default=(NEVER, 0))
             found[zone] = min(found[zone], epoch if age <= self.terms.silent else 0)
         return found
 
     def silent(self, now: int, zone: int) -> int:
         """ns since the last report of any cell of the zone was sent; NEVER if none is known."""
-        return min((now - one.sent for key, kept in self.known.items() if key[0] == zone for one in kept.values()),
-                   default=NEVER)
+        return min(
+            (now - one.sent for key, kept in self.known.items() if key[0] == zone for one in kept.values()),
+            default=NEVER,
+        )
 
     def unreached(self, now: int) -> list[bool]:
         """By zone: whether the other zones' cells asked its gateways and got no answer at all. It takes LEAST_ASKED
@@ -265,8 +297,10 @@
                     asked[z] += one.asked
                     reached[z] += one.reached
                     speak[z] += kept.report.heard
-        return [not reached[z] and asked[z] >= max(1, min(LEAST_ASKED, speak[z] * self._sizes[z]))
-                for z in range(self.terms.zones)]
+        return [
+            not reached[z] and asked[z] >= max(1, min(LEAST_ASKED, speak[z] * self._sizes[z]))
+            for z in range(self.terms.zones)
+        ]
 
     def lives(self, now: int) -> list[tuple[int, int, int, int, int]]:
         """By zone: gateways, and of them suspected, dead, gone by themselves, and not heard: those whose own report is
@@ -283,13 +317,25 @@
 def _zonal(one: Zonal, size: int) -> bool:
     """Whether a cell of that size can say this of a zone."""
     rooms = [room for room, _ in one.rooms]
-    return len(rooms) <= MOST_POINTS and all(a < b for a, b in zip(rooms, rooms[1:], strict=False)) \
-        and all(0 <= room <= MOST_LOAD and weight > 0 for room, weight in one.rooms) \
-        and sum(weight for _, weight in one.rooms) <= size and 0 <= one.broke <= one.tried < MOST_TRIES * size \
-        and 0 <= one.reached <= one.asked < MOST_TRIES and 0 <= one.heard < MOST_TRIES and 0 <= one.late < MOST_TRIES
+    return (
+        len(rooms) <= MOST_POINTS
+        and all(a < b for a, b in zip(rooms, rooms[1:], strict=False))
+        and all(0 <= room <= MOST_LOAD and weight > 0 for room, weight in one.rooms)
+        and sum(weight for _, weight in one.rooms) <= size
+        and 0 <= one.broke <= one.tried < MOST_TRIES * size
+        and 0 <= one.reached <= one.asked < MOST_TRIES
+        and 0 <= one.heard < MOST_TRIES
+        and 0 <= one.late < MOST_TRIES
+    )
 
 
 def _bytes(report: CellReport) -> int:
     """The most bytes that a report takes in a frame, its lay as well: 9 for a number, 5 for a head of a list."""
-    return 9 * 13 + 5 + 4 * len(report.by) + 15 + 9 * len(report.demand) \
+    return (
+        9 * 13
+        + 5
+        + 4 * len(report.by)
+        + 15
+        + 9 * len(report.demand)
         + sum(5 + 5 + 9 * 6 + (5 + 18) * len(one.rooms) for one in report.zones)
+    )
--- a/copperyard/decide.py
+++ b/copperyard/decide.py
@@ -17,9 +17,35 @@
 from typing import Any
 
 from .interface import (
-    Action, Carried, ClassSettings, Code, Effect, Event, Fail, Left, ListKind, Log, Note, NoteKind, Opened,
-    Outcome, Probe, Probed, Rate, Refuse, Report, Request, Send, ServerEntry, ServerList, ServerState,
-    SetTimer, Settings, Wake, Watch, Ways
+    Action,
+    Carried,
+    ClassSettings,
+    Code,
+    Effect,
+    Event,
+    Fail,
+    Left,
+    ListKind,
+    Log,
+    Note,
+    NoteKind,
+    Opened,
+    Outcome,
+    Probe,
+    Probed,
+    Rate,
+    Refuse,
+    Report,
+    Request,
+    Send,
+    ServerEntry,
+    ServerList,
+    ServerState,
+    SetTimer,
+    Settings,
+    Wake,
+    Watch,
+    Ways,
 )
 
 MS = 1_000_000
@@ -196,8 +222,9 @@
         self.carried = False
         self.pumping = False
         self.took = 100.0 * MS
-        self.best = max(settings.rung_worth[k.floor] / settings.rung_kb[k.floor] * k.worth / k.scale
-                        for k in settings.classes)
+        self.best = max(
+            settings.rung_worth[k.floor] / settings.rung_kb[k.floor] * k.worth / k.scale for k in settings.classes
+        )
         price = settings.price_probe
         self.looks = min(PROBES, (SPEND / price) ** 2) if price > 0 else PROBES
         self.credit = PROBES  # a front that knows nothing looks at its first pair
@@ -207,9 +234,17 @@
         self.abroad: dict[int, float] = {}
         self.out: list[Action] = []
         self.on: dict[type, Callable[[int, Any], None]] = {
-            Request: self._request, Outcome: self._outcome, Note: self._note, Opened: self._opened,
-            Wake: self._wake, ServerList: self._list, Probed: self._probed, Left: self._left,
-            Carried: self._carried, Ways: self._agreed}
+            Request: self._request,
+            Outcome: self._outcome,
+            Note: self._note,
+            Opened: self._opened,
+            Wake: self._wake,
+            ServerList: self._list,
+            Probed: self._probed,
+            Left: self._left,
+            Carried: self._carried,
+            Ways: self._agreed,
+        }
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Decide on one event; pure but for this object's own state."""
@@ -319,8 +354,12 @@
 
     def _near(self, session: Session, zone: int) -> bool:
         """Whether a zone is a session's own: home where that is open, or the one that its share drew."""
-        return self.ways is None or zone == session.zone or zone == self.set.zone \
+        return (
+            self.ways is None
+            or zone == session.zone
+            or zone == self.set.zone
             and any(z == zone and share > 0 for z, share in self.ways.shares[session.r.cls])
+        )
 
     def _left_abroad(self, server: Server, part: float = 1.0) -> float:
         """kB that this front's sessions may still ask for in a server's zone by a part of the agreed caps."""
@@ -396,8 +435,15 @@
         for step in self.random.sample(range(n), min(n, DRAWS if self.ways is None else n)):
             yield from self.cells.get((session.r.home + step) % self.set.cells, ())
 
-    def _look(self, now: int, session: Session, drawn: Iterable[Server], fits: list[tuple[Server, int]],
-              tight: list[Server], away: list[tuple[Server, int]]) -> None:
+    def _look(
+        self,
+        now: int,
+        session: Session,
+        drawn: Iterable[Server],
+        fits: list[tuple[Server, int]],
+        tight: list[Server],
+        away: list[tuple[Server, int]],
+    ) -> None:
         """Sort drawn holders into the first two that fit, with their rungs, and those that do not. Another
         zone's servers count where a crossing gains CROSS_GAIN times its price; where fronts agreed on zones,
         those that fit in others than the session's own are `away`."""
@@ -422,7 +468,7 @@
                 if len(fits) == 2 or self._part(session, server, rung) < 1:
                     break
         best = max((worth[rung] for _, rung in fits), default=0.0)
-        fits += [one for one in far if worth[one[1]] - best > price][:2 - len(fits)]
+        fits += [one for one in far if worth[one[1]] - best > price][: 2 - len(fits)]
         if not fits and not tight:
             fits += shut[:2]
 
@@ -495,8 +541,9 @@
             return False  # drains: the grace is not used
         if session.attempts >= s.max_attempts or session.phase != Phase.HELD:
             return False
-        if server.streams >= server.places \
-                and all(self._part(session, server, rung) == 1 for rung in range(session.top + 1)):
+        if server.streams >= server.places and all(
+            self._part(session, server, rung) == 1 for rung in range(session.top + 1)
+        ):
             return False  # a further viewer of a stream that runs takes no place
         if session.kind.seats and len(self._seated(session)) >= session.kind.seats:
             return False
@@ -507,8 +554,9 @@
             if len(self.resent) + 1 > s.free_resends + s.further_ratio * taken:
                 return False
         # cold: told of its start, witnessed its failure, or started after it
-        since = max(server.entry.started or NEVER, server.lost,
-                    NEVER if self.carried or s.turn is not None else self.start)
+        since = max(
+            server.entry.started or NEVER, server.lost, NEVER if self.carried or s.turn is not None else self.start
+        )
         return now >= since + s.warm_within or self._turn(now, server, since)
 
     def _gap(self, server: Server) -> int:
@@ -646,8 +694,9 @@
                 n, join = len(group), s.join_adds if kind.live else 1.0
                 joins = self._part(group[0], server, new) < 1
                 stays = kind.live and n < len(bucket)
-                kb = self._rate(kind, new) * (join * n if joins else 1 + join * (n - 1)) \
-                    - self._rate(kind, rung) * (join * n if stays else 1 + join * (n - 1))
+                kb = self._rate(kind, new) * (join * n if joins else 1 + join * (n - 1)) - self._rate(kind, rung) * (
+                    join * n if stays else 1 + join * (n - 1)
+                )
                 if kb * step > 0:
                     found.append((worth * kind.worth * n / abs(kb), abs(kb), group))
         found.sort(key=lambda one: (-step * one[0], -one[1], one[2][0].r.ref))
@@ -702,8 +751,10 @@
     def _raise(self, now: int, server: Server) -> None:
         """Use lasting room: raise what gains most per kB, this front's share of the room as its chance."""
         up = self._up_mark(now, server)
-        room = min(m.cap * (up - m.load(now)) * min(1.0, m.own / m.cap / max(m.load(now), 1e-9))
-                   for m in (server.link, server.rack))
+        room = min(
+            m.cap * (up - m.load(now)) * min(1.0, m.own / m.cap / max(m.load(now), 1e-9))
+            for m in (server.link, server.rack)
+        )
         for _, kb, group in self._steps(now, server, 1):
             if kb <= server.room(now, MARK) and kb <= self._left_abroad(server, RAISED):
                 server.acted = now
@@ -717,8 +768,7 @@
     def _opened(self, now: int, event: Opened) -> None:
         session = self.sessions.get(event.ref)
         server = session.server if session is not None and not session.left else None
-        if session is None or server is None or session.phase != Phase.OUT \
-                or event.attempt != session.attempts - 1:
+        if session is None or server is None or session.phase != Phase.OUT or event.attempt != session.attempts - 1:
             return
         self.took += TOOK_WEIGH * (min(event.took, SECOND) - self.took)
         session.phase, session.ends = Phase.PLAYING, now + (session.r.hint or 0)
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -124,8 +124,15 @@
         gauge = Gauge(hood.place.name, station.unix_ms, len(hood.place.zones), station.lengths, hood.place.terms, now())
         plays.watcher = FrontGauge(gauge, lambda: plays.controller)
         self.neighbours = Neighbours(
-            hood, gauge, lambda: plays.controller, self.network, self._agreed,
-            lambda event, fields: self.log(event, {"front": station.name, **fields}), rng, station.unix_ms)
+            hood,
+            gauge,
+            lambda: plays.controller,
+            self.network,
+            self._agreed,
+            lambda event, fields: self.log(event, {"front": station.name, **fields}),
+            rng,
+            station.unix_ms,
+        )
 
     def _agreed(self, ways: Ways) -> None:
         self.core.plays.agreed(now(), ways)
@@ -141,8 +148,15 @@
             touched = disk.touched()
             found = recover(disk.names(), disk.read)
             for one in found.dropped:
-                self.log("state dropped", {"front": self.station.name, "file": one.name, "text": one.text,
-                                           "harm": "yes" if one.harm else "no"})
+                self.log(
+                    "state dropped",
+                    {
+                        "front": self.station.name,
+                        "file": one.name,
+                        "text": one.text,
+                        "harm": "yes" if one.harm else "no",
+                    },
+                )
             refusal = found.refusal(self.station.accept_loss)
             if refusal is not None:
                 raise StateRefused(refusal)
@@ -151,9 +165,17 @@
             raise
         state = found.state
         spent = state.spent if state.ended else None
-        self.log("state recovered", {
-            "front": self.station.name, "codes": len(state.codes), "unclear": len(state.unclear()),
-            "records": found.replayed, "lives": state.lives, "planned": "yes" if state.ended else "no"})
+        self.log(
+            "state recovered",
+            {
+                "front": self.station.name,
+                "codes": len(state.codes),
+                "unclear": len(state.unclear()),
+                "records": found.replayed,
+                "lives": state.lives,
+                "planned": "yes" if state.ended else "no",
+            },
+        )
         down = disk.wall() - touched if touched is not None else 0
         book = Book(found, core.label, self.station.generation, now(), down)
         core.remember(now(), book, spent)
@@ -175,8 +197,10 @@
         store = self._store
         if store is not None and store.book.ailing != self._ailing:
             self._ailing = store.book.ailing
-            self.log("journal failed" if self._ailing else "journal well again",
-                     {"front": self.station.name, "text": self._ailing})
+            self.log(
+                "journal failed" if self._ailing else "journal well again",
+                {"front": self.station.name, "text": self._ailing},
+            )
         self.core.plays.stored(now())
         self._carry_out()
 
@@ -274,8 +298,15 @@
             while isinstance(error, ExceptionGroup):
                 error = error.exceptions[0]
             place = traceback.extract_tb(error.__traceback__)[-1]
-            self.log("defect", {"front": self.station.name, "task": what, "error": f"{type(error).__name__}: {error}",
-                                "place": f"{place.name}:{place.lineno}"})
+            self.log(
+                "defect",
+                {
+                    "front": self.station.name,
+                    "task": what,
+                    "error": f"{type(error).__name__}: {error}",
+                    "place": f"{place.name}:{place.lineno}",
+                },
+            )
 
     async def _ticks(self) -> None:
         while True:
--- a/copperyard/gateway/disk.py
+++ b/copperyard/gateway/disk.py
@@ -107,7 +107,7 @@
     def _write(self, handle: int, data: bytes) -> None:
         rest = memoryview(data)
         while rest:
-            rest = rest[os.write(handle, rest):]
+            rest = rest[os.write(handle, rest) :]
 
     def _drop(self, name: str) -> None:
         handle = self._files.pop(name, None)
--- a/copperyard/gateway/listing.py
+++ b/copperyard/gateway/listing.py
@@ -82,7 +82,7 @@
             for part in (request, h11.EndOfMessage()):
                 data = self._wire.send(part)
                 while data:
-                    data = data[await stream.send_some(data):]
+                    data = data[await stream.send_some(data) :]
         if sending.cancelled_caught:
             raise OSError("it took no request in time")
         limits = [trio.current_time() + place.timeout / 1e9]
--- a/copperyard/gateway/node/daemon.py
+++ b/copperyard/gateway/node/daemon.py
@@ -35,8 +35,15 @@
     """The writing half of one connection: what does not leave at once is written by a task as room comes. A peer that
     takes nothing for `stall` s, or lets more than `most` bytes wait, has broken."""
 
-    def __init__(self, stream: Stream, nursery: trio.Nursery, broke: Callable[[], None], stall: int, most: int,
-                 roomy: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        stream: Stream,
+        nursery: trio.Nursery,
+        broke: Callable[[], None],
+        stall: int,
+        most: int,
+        roomy: Callable[[], None] = lambda: None,
+    ) -> None:
         self.stream, self.nursery, self.broke, self.stall, self.most = stream, nursery, broke, stall / 1e9, most
         self.roomy = roomy  # called when nothing waits any more
         self.rest = bytearray()
@@ -60,7 +67,7 @@
         try:
             while self.rest:
                 with trio.move_on_after(self.stall) as stalled:
-                    sent = await self.stream.send_some(bytes(self.rest[:bounds.READ]))
+                    sent = await self.stream.send_some(bytes(self.rest[: bounds.READ]))
                     del self.rest[:sent]
                 if stalled.cancelled_caught:
                     return self.broke()
@@ -73,9 +80,14 @@
 class Node:
     """A node on a network. Every call into the core is followed by `carry_out`; neither ever waits."""
 
-    def __init__(self, place: Place, network: Network, log: Logger,
-                 datagrams: Callable[[str], Datagrams] = UdpSocket,
-                 unix: Callable[[], int] = time.time_ns) -> None:
+    def __init__(
+        self,
+        place: Place,
+        network: Network,
+        log: Logger,
+        datagrams: Callable[[str], Datagrams] = UdpSocket,
+        unix: Callable[[], int] = time.time_ns,
+    ) -> None:
         self.place, self.network, self.log, self.datagrams, self.unix = place, network, log, datagrams, unix
         self.rng = random.Random(place.seed)
         self.address = ""
@@ -153,8 +165,9 @@
         viewer = self.core.viewer_came(now())
         scope = trio.CancelScope()
         # known from here on, not from when its task comes to run: several are accepted in one turn
-        self._callers[viewer] = Pipe(stream, self._nursery, scope.cancel, bounds.VIEWER_STALL, bounds.VIEWER_REST,
-                                     lambda: self._emptied(viewer))
+        self._callers[viewer] = Pipe(
+            stream, self._nursery, scope.cancel, bounds.VIEWER_STALL, bounds.VIEWER_REST, lambda: self._emptied(viewer)
+        )
         self._reading[viewer] = trio.CancelScope()
         self._nursery.start_soon(self._serve, viewer, scope)
 
@@ -477,9 +490,14 @@
                         self.log("no connection", {"host": link.host.name, "text": str(error)[:100]})
                 if stream is None:
                     return
-                self._pipes[link] = Pipe(stream, self._nursery, scope.cancel,
-                                         self.core.settings.connect_timeout, bounds.HOST_REST,
-                                         lambda: self._roomy(link))
+                self._pipes[link] = Pipe(
+                    stream,
+                    self._nursery,
+                    scope.cancel,
+                    self.core.settings.connect_timeout,
+                    bounds.HOST_REST,
+                    lambda: self._roomy(link),
+                )
                 self.core.link_up(now(), link)
                 self.carry_out()
                 reset = await self._hear(link, stream)
--- a/copperyard/gateway/node/follow.py
+++ b/copperyard/gateway/node/follow.py
@@ -17,8 +17,14 @@
 class NameFollower:
     """Asks again and again, and takes every good answer to one of the last queries."""
 
-    def __init__(self, core: NodeCore, connect: Callable[[str], Datagrams], address: str, rng: random.Random,
-                 carry_out: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        core: NodeCore,
+        connect: Callable[[str], Datagrams],
+        address: str,
+        rng: random.Random,
+        carry_out: Callable[[], None],
+    ) -> None:
         self.core, self.connect, self.address, self.rng, self.carry_out = core, connect, address, rng, carry_out
         self._socket: Datagrams | None = None
         self._asked: dict[int, None] = {}
--- a/copperyard/gateway/node/place.py
+++ b/copperyard/gateway/node/place.py
@@ -65,8 +65,17 @@
         raise BadPlace(f"seed is no hex number: {seed!r}") from None
     try:
         serial, events = parse_known(raw.get("known"))
-        return Place(name, address(listen, "NODE_LISTEN"), number, sockets, address(raw.get("dns"), "dns"), serial,
-                     tuple(events), parse_settings(settings), parse_platform(settings))
+        return Place(
+            name,
+            address(listen, "NODE_LISTEN"),
+            number,
+            sockets,
+            address(raw.get("dns"), "dns"),
+            serial,
+            tuple(events),
+            parse_settings(settings),
+            parse_platform(settings),
+        )
     except BadAnswer as error:
         raise BadPlace(str(error)) from None
     except BadPlace:
