--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -42,8 +42,11 @@
     """Cells of which the leader does not hear everybody: how many of how many."""
     known, now = facts(site)
     current = known.current(now)
-    return {key: (current[key].heard if key in current else None, size)
-            for key, (_, size) in site.cells.sizes.items() if key not in current or current[key].heard < size}
+    return {
+        key: (current[key].heard if key in current else None, size)
+        for key, (_, size) in site.cells.sizes.items()
+        if key not in current or current[key].heard < size
+    }
 
 
 def dead_by_facts(site, zone):
@@ -80,14 +83,22 @@
     site.demand[zone] = 0.8 * full if site.demand[zone] < 0.7 * full else 0.3 * full
     until(site, lambda: newest(site) > before, 15)
     epoch = newest(site)
-    until(site, lambda: all(site.front(name).core.plan is not None and site.front(name).core.plan.epoch >= epoch
-                            for name in among if name in site.net.nodes), most)
+    until(
+        site,
+        lambda: all(
+            site.front(name).core.plan is not None and site.front(name).core.plan.epoch >= epoch
+            for name in among
+            if name in site.net.nodes
+        ),
+        most,
+    )
 
 
 def oldest(site, names):
     """The age, in virtual seconds, of the oldest date by which any of them follows its plan."""
-    return max((site.time(name) - site.front(name).core.book.since) / SECOND
-               for name in names if name in site.net.nodes)
+    return max(
+        (site.time(name) - site.front(name).core.book.since) / SECOND for name in names if name in site.net.nodes
+    )
 
 
 def goes_on(site, among, seconds, age):
@@ -99,8 +110,10 @@
 
 def sound(site):
     """No voter's proof is above what any front follows. (Of sites where none began anew.)"""
-    follow = [min(site.front(name).core.plan.epoch for name in site.of(z) if name in site.net.nodes)
-              for z in range(site.zones)]
+    follow = [
+        min(site.front(name).core.plan.epoch for name in site.of(z) if name in site.net.nodes)
+        for z in range(site.zones)
+    ]
     for name in site.voters:
         if name in site.net.nodes:
             told = site.front(name).core.facts.epochs(site.time(name))
@@ -189,8 +202,9 @@
     one = cell(site)
     cut, _, third = one.ranks()[:3]
     resigned = []
-    site.noted = lambda front, note: resigned.append((site.net.now, front.name)) \
-        if note.event == "delegate resigns" else None
+    site.noted = (
+        lambda front, note: resigned.append((site.net.now, front.name)) if note.event == "delegate resigns" else None
+    )
     site.net.part([cut], list(site.voters))
     begin = site.net.now
     until(site, lambda: resigned, 7.5)
@@ -341,8 +355,11 @@
     site = ready(1, 50)
     site.lose(4)
     agreed = until(site, lambda: site.standing(4) is Standing.CLOSED, 12)
-    until(site, lambda: {site.front(name).core.plan.zones[4].standing for name in site.net.nodes} == {Standing.CLOSED},
-          15 - agreed)
+    until(
+        site,
+        lambda: {site.front(name).core.plan.zones[4].standing for name in site.net.nodes} == {Standing.CLOSED},
+        15 - agreed,
+    )
 
 
 def test_one_dead_gateway_is_known_in_its_cell_in_8_seconds_and_to_the_council_in_12():
@@ -356,8 +373,13 @@
         begin = site.net.now
         until(site, lambda s=site, z=one.zone: dead_by_facts(s, z) == 1, 30)
         council = (site.net.now - begin) / SECOND
-        until(site, lambda s=site, names=rest, d=dead: all(
-            s.front(name).core.members.members[d].life is Life.DEAD for name in names), 30)
+        until(
+            site,
+            lambda s=site, names=rest, d=dead: all(
+                s.front(name).core.members.members[d].life is Life.DEAD for name in names
+            ),
+            30,
+        )
         told.append((round((site.net.now - begin) / SECOND, 1), round(council, 1)))
     assert max(council for _, council in told) <= 12, told
     assert max(in_cell for in_cell, _ in told) <= 8, told
@@ -424,10 +446,12 @@
     entries = Entry(1, Kind.DATA, first), Entry(1, Kind.DATA, second)
     answers = [
         lambda ask: News(None, at, entries, at + 2, "x", at + 2, SECOND, ask),
-        lambda ask: News(Snapshot(at, 1, (), ENTRIES.body(plan)), at, entries[:1], at + 1, "x", at + 1, 4 * SECOND,
-                         ask),
+        lambda ask: News(
+            Snapshot(at, 1, (), ENTRIES.body(plan)), at, entries[:1], at + 1, "x", at + 1, 4 * SECOND, ask
+        ),
         lambda ask: News(None, at + 1, entries[1:], at + 2, "x", at + 2, 2 * SECOND, ask),
-        lambda ask: News(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask)]
+        lambda ask: News(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask),
+    ]
     asks = [follower.questions.ask(now, f"s{n}") for n in range(4)]
     epochs = [plan.epoch]
     for n in order:
@@ -447,8 +471,9 @@
 def answered(site, name):
     """Answers that a gateway gets, from now on."""
     got = []
-    site.net.arriving = lambda sender, to, message: got.append(message) if to == name and isinstance(message, News) \
-        else None
+    site.net.arriving = (
+        lambda sender, to, message: got.append(message) if to == name and isinstance(message, News) else None
+    )
     return got
 
 
@@ -496,15 +521,22 @@
         site.start(name)
     site.run(10)
     times: dict[str, list[int]] = {}
-    site.net.arriving = lambda sender, to, message: times.setdefault(to, []).append(site.net.now) \
-        if isinstance(message, Since) else None
+    site.net.arriving = (
+        lambda sender, to, message: times.setdefault(to, []).append(site.net.now)
+        if isinstance(message, Since)
+        else None
+    )
     begin = site.net.now
     for name in others(site, *site.voters):
         site.start(name)
     until(site, lambda: site.leader() and set(site.strengths(site.roster)) == {1.0}, 5)
     site.run(10)
-    most = Counter({name: max(sum(at <= other < at + 100 * MS for other in asked[n:n + 60])
-                              for n, at in enumerate(asked)) for name, asked in times.items()})
+    most = Counter(
+        {
+            name: max(sum(at <= other < at + 100 * MS for other in asked[n : n + 60]) for n, at in enumerate(asked))
+            for name, asked in times.items()
+        }
+    )
     assert most.most_common(1)[0][1] <= 20, most.most_common(5)
     assert max(most[name] for name in site.voters) <= 20
     # the leader is asked by each voter twice a second; everybody else once by each of a full cell at each renewal
@@ -519,5 +551,6 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_storm_breaks_a_bound_in_a_site_of_several_cells(seed):
-    assert storm(seed, 40, sizes=[25, 12, 12, 12, 25], regions=REGIONS, voters=spread(9, 5),
-                 room=10_000.0, asked=5_000.0).plans
+    assert storm(
+        seed, 40, sizes=[25, 12, 12, 12, 25], regions=REGIONS, voters=spread(9, 5), room=10_000.0, asked=5_000.0
+    ).plans
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -160,7 +160,7 @@
     site = ready()
     epochs = len(site.plans)
     for n, a in enumerate(site.roster):
-        for b in list(site.roster)[n % 2::2]:
+        for b in list(site.roster)[n % 2 :: 2]:
             site.net.manners[a, b] = Manner(loss=0.2, delay=(380 * MS, 420 * MS))
     site.run(60)
     assert len(site.plans) - epochs <= 4
@@ -224,8 +224,9 @@
     for at in (now, now + SECOND):
         core.date_at = at
         core.wake(at)
-        asked += [order.message for order in core.take()
-                  if isinstance(order, Send) and isinstance(order.message, Since)]
+        asked += [
+            order.message for order in core.take() if isinstance(order, Send) and isinstance(order.message, Since)
+        ]
     assert len(asked) == 2
     council = core.council
     index = council.applied
@@ -249,7 +250,7 @@
     late = since + 2 * plan.holds
     core.hear(late, "y", Since(at, 1))  # anything: the front looks at its plan again
     assert core.book.strength(late) == 0.0 and core.plan is plan
-    done, = (step for step in core.take_durable() if isinstance(step, Done))
+    (done,) = (step for step in core.take_durable() if isinstance(step, Done))
     core.applied(now, done.order)
     assert core.plan.epoch == plan.epoch + 1 and core.book.since == now
 
--- a/tests/common/test_scale.py
+++ b/tests/common/test_scale.py
@@ -14,8 +14,7 @@
 
 def walked(site, zone):
     """What the check summed before it was kept: a walk over all that run."""
-    return sum(front.ways.caps[zone] or 0.0 for front in site.fronts()
-               if front.zone != zone and front.ways is not None)
+    return sum(front.ways.caps[zone] or 0.0 for front in site.fronts() if front.zone != zone and front.ways is not None)
 
 
 def test_sums_of_caps_are_those_of_a_walk_over_all_whatever_comes_and_goes():
@@ -48,8 +47,9 @@
     front = site.front("g1-1")
     site.check(site.net.now)
     caps = list(front.ways.caps)
-    free = max(zone.room * zone.part - zone.own - zone.reserve for _, plan in site.committed
-               for zone in [plan.zones[3]])
+    free = max(
+        zone.room * zone.part - zone.own - zone.reserve for _, plan in site.committed for zone in [plan.zones[3]]
+    )
     caps[3] = free - site.allowed(3) + caps[3] + 2.0  # 2 kB/s more than all may, by one of them
     site.net.at(site.net.now + 1, lambda: site.allow(front, Ways(front.ways.shares, tuple(caps))))
     with pytest.raises(Broken, match="of zone 3 allowed"):
@@ -62,8 +62,7 @@
     site.run(12)
     plan = site.committed[-1][1]
     assert site.allowed(3) > 1
-    none = [replace(zone, room=0.0, own=0.0, reserve=0.0)
-            for zone in plan.zones]
+    none = [replace(zone, room=0.0, own=0.0, reserve=0.0) for zone in plan.zones]
     site.planned(replace(plan, epoch=plan.epoch + 1, zones=tuple(none)))
     site.check(site.net.now + CHECK)
     with pytest.raises(Broken):
@@ -98,11 +97,16 @@
     run.step(3)
     leader = run.site.leader()
     assert leader is not None
-    return run, {"sent": run.site.net.sent, "lost": run.site.net.lost, "epochs": len(run.site.plans),
-                 "rate": (run.site.net.sent - sent) / 3 / 200,
-                 "bytes": sorted((one.sent_bytes - sizes[name]) / 3 for name, one in run.tallies.items()),
-                 "links": sorted(len(one.peers) for one in run.tallies.values()),
-                 "held": run.counts(run.plain()[:4]), "held_leader": run.counts([leader])}
+    return run, {
+        "sent": run.site.net.sent,
+        "lost": run.site.net.lost,
+        "epochs": len(run.site.plans),
+        "rate": (run.site.net.sent - sent) / 3 / 200,
+        "bytes": sorted((one.sent_bytes - sizes[name]) / 3 for name, one in run.tallies.items()),
+        "links": sorted(len(one.peers) for one in run.tallies.values()),
+        "held": run.counts(run.plain()[:4]),
+        "held_leader": run.counts([leader]),
+    }
 
 
 def test_two_hundred_gateways_send_and_hold_what_is_stated_and_the_same_again_by_the_same_seed():
@@ -131,12 +135,36 @@
 
 
 def test_one_line_says_all_that_the_letter_asks_for(capsys, tmp_path):
-    assert scale.main(["15", "--voters", "5", "--faults", "calm", "dead", "change", "killed", "zone", "storm",
-                       "--json", str(tmp_path / "one.json")]) == 0
+    assert (
+        scale.main(
+            [
+                "15",
+                "--voters",
+                "5",
+                "--faults",
+                "calm",
+                "dead",
+                "change",
+                "killed",
+                "zone",
+                "storm",
+                "--json",
+                str(tmp_path / "one.json"),
+            ]
+        )
+        == 0
+    )
     found = json.loads(capsys.readouterr().out.splitlines()[-1])
     assert found == json.loads((tmp_path / "one.json").read_text())
-    for key in ("cpu_ms_per_s", "bytes_per_s", "control_mb", "dead_known_s", "zone_known_s", "change_in_force_s",
-                "links_most"):
+    for key in (
+        "cpu_ms_per_s",
+        "bytes_per_s",
+        "control_mb",
+        "dead_known_s",
+        "zone_known_s",
+        "change_in_force_s",
+        "links_most",
+    ):
         assert found[key] is not None
     assert (found["gateways"], found["real"], found["hollow"], found["histories"]) == (15, 0, 15, 1)
     assert found["rules"] == "held" and found["false_deaths"] is None and found["rejoin_s"] is None
@@ -150,18 +178,21 @@
     assert found["cpu_ms_per_s"] is None and found["played"] == []
 
 
-@pytest.mark.parametrize("given, told", [
-    (["7", "--voters", "9"], "gateways: 7 is under 10"),
-    (["20", "--voters", "21"], "gateways: 20 is under 21"),
-    (["many"], "gateways: invalid int value: 'many'"),
-    (["50", "--voters", "4"], "--voters: 4 is no odd number"),
-    (["50", "--faults", "calm", "flood"], "--faults: 'flood' is none of calm"),
-    (["50", "--for", "0"], "--for: 0.0 is not above 0"),
-    (["50", "--calm", "-1"], "--calm: -1.0 is not above 0"),
-    (["50", "--for", "nan"], "--for: nan is not above 0"),
-    (["50", "--for", "inf"], "--for: inf is not above 0, 1e9 at most"),
-    (["50", "--json", "/nowhere/x.json"], "--json: '/nowhere' is no folder"),
-])
+@pytest.mark.parametrize(
+    "given, told",
+    [
+        (["7", "--voters", "9"], "gateways: 7 is under 10"),
+        (["20", "--voters", "21"], "gateways: 20 is under 21"),
+        (["many"], "gateways: invalid int value: 'many'"),
+        (["50", "--voters", "4"], "--voters: 4 is no odd number"),
+        (["50", "--faults", "calm", "flood"], "--faults: 'flood' is none of calm"),
+        (["50", "--for", "0"], "--for: 0.0 is not above 0"),
+        (["50", "--calm", "-1"], "--calm: -1.0 is not above 0"),
+        (["50", "--for", "nan"], "--for: nan is not above 0"),
+        (["50", "--for", "inf"], "--for: inf is not above 0, 1e9 at most"),
+        (["50", "--json", "/nowhere/x.json"], "--json: '/nowhere' is no folder"),
+    ],
+)
 def test_bad_input_is_told_in_one_line_and_nothing_starts(given, told, capsys, monkeypatch):
     monkeypatch.setattr(scale, "Run", None)
     with pytest.raises(SystemExit) as end:
@@ -183,15 +214,25 @@
     assert site.net.now < SECOND
 
 
-@pytest.mark.parametrize("planted, rules, histories", [
-    (lambda site: site.allow(site.front("g1-1"), Ways(site.front("g1-1").ways.shares, (0.0, 0.0, 0.0, 1e9, 0.0))),
-     "of zone 3 allowed", 1),
-    (lambda site: site.planned(replace(site.committed[-1][1], holds=1)), "two plans of epoch", 2)])
+@pytest.mark.parametrize(
+    "planted, rules, histories",
+    [
+        (
+            lambda site: site.allow(
+                site.front("g1-1"), Ways(site.front("g1-1").ways.shares, (0.0, 0.0, 0.0, 1e9, 0.0))
+            ),
+            "of zone 3 allowed",
+            1,
+        ),
+        (lambda site: site.planned(replace(site.committed[-1][1], holds=1)), "two plans of epoch", 2),
+    ],
+)
 def test_a_run_in_which_a_rule_breaks_says_which_and_exits_1(planted, rules, histories, capsys, monkeypatch):
     def broken(run, seconds):
         run.site.net.at(run.site.net.now + MS, lambda: planted(run.site))
         run.step(1)
         return {"reached": True}
+
     monkeypatch.setitem(scale.SCENARIOS, "broken", broken)
     assert scale.main(["10", "--faults", "broken", "calm"]) == 1
     found = json.loads(capsys.readouterr().out.splitlines()[-1])
@@ -203,6 +244,7 @@
     def halted(run, seconds):
         run.found["zone_known_s"] = 7.5
         raise scale.Stopped("time: so it is")
+
     monkeypatch.setitem(scale.SCENARIOS, "halted", halted)
     assert scale.main(["10", "--faults", "halted"]) == 1
     found = json.loads(capsys.readouterr().out.splitlines()[-1])
--- a/tests/config/test_common.py
+++ b/tests/config/test_common.py
@@ -27,30 +27,48 @@
 
 
 def line_of(text):
-    return GOOD[:GOOD.index(text)].count("\n") + 1
-
-
-@pytest.mark.parametrize(("changes", "at", "words"), [
-    ([('name="pa-1" zone="palermo" listen="127.0.0.1:0" peers="127.0.0.1:7404"',
-       'name="pa-1" zone="palermo" listen="127.0.0.1:0" peers="127.0.0.1:7404" votes="yes"')], '"ty-1"',
-     "is voter 4: an even council stands no more deaths than one of 3"),
-    ([('peers="127.0.0.1:7406" votes="yes"', 'peers="127.0.0.1:7406"'),
-      ('peers="127.0.0.1:7402"', 'peers="127.0.0.1:7402" votes="yes"')], '"ct-2"',
-     "votes as number 2 of 3 in zone 'catania': the council would be lost with that zone"),
-    ([('dwell="4s"/>', 'dwell="4s"><way from="catania" to="roma"/></common>')], "<common",
-     "zone 'roma' is none of catania, palermo"),
-    ([('dwell="4s"/>', 'dwell="4s"><way from="catania" to="catania"/></common>')], "<common", "to itself"),
-    ([(' peers="127.0.0.1:7403"', "")], '"ct-3"', "no peers"),
-    ([("127.0.0.1:7403", "0.0.0.0:7403")], '"ct-3"', "listens on every address"),
-    ([("127.0.0.1:7403", "127.0.0.1:7402")], '"ct-3"', "is already that of 'ct-2'"),
-    ([('region="east"', 'region="east" demand="900MB/s"')], 'name="taoyuan"', "its hosts give 7200kB/s"),
-    ([('holds="10s"', 'holds="3s"')], "<common", "plans would run out where nothing is lost but a leader"),
-    ([('period="1s"', 'period="500ms"')], "<common", "answer '400ms' is over half of period '500ms'"),
-    ([('store="folder"', 'store="folder" elect-least="500ms"')], "<common", "under three times heart"),
-    ([('store="folder"', 'store="folder" elect-most="1600ms"')], "<common", "one and a half times elect-least"),
-    ([('store="folder"', 'store="folder" drift="0.5"')], "<common", "no lease could be kept"),
-    ([(' votes="yes"', ""), (' votes="yes"', ""), (' votes="yes"', "")], "<common", "no gateway votes"),
-])
+    return GOOD[: GOOD.index(text)].count("\n") + 1
+
+
+@pytest.mark.parametrize(
+    ("changes", "at", "words"),
+    [
+        (
+            [
+                (
+                    'name="pa-1" zone="palermo" listen="127.0.0.1:0" peers="127.0.0.1:7404"',
+                    'name="pa-1" zone="palermo" listen="127.0.0.1:0" peers="127.0.0.1:7404" votes="yes"',
+                )
+            ],
+            '"ty-1"',
+            "is voter 4: an even council stands no more deaths than one of 3",
+        ),
+        (
+            [
+                ('peers="127.0.0.1:7406" votes="yes"', 'peers="127.0.0.1:7406"'),
+                ('peers="127.0.0.1:7402"', 'peers="127.0.0.1:7402" votes="yes"'),
+            ],
+            '"ct-2"',
+            "votes as number 2 of 3 in zone 'catania': the council would be lost with that zone",
+        ),
+        (
+            [('dwell="4s"/>', 'dwell="4s"><way from="catania" to="roma"/></common>')],
+            "<common",
+            "zone 'roma' is none of catania, palermo",
+        ),
+        ([('dwell="4s"/>', 'dwell="4s"><way from="catania" to="catania"/></common>')], "<common", "to itself"),
+        ([(' peers="127.0.0.1:7403"', "")], '"ct-3"', "no peers"),
+        ([("127.0.0.1:7403", "0.0.0.0:7403")], '"ct-3"', "listens on every address"),
+        ([("127.0.0.1:7403", "127.0.0.1:7402")], '"ct-3"', "is already that of 'ct-2'"),
+        ([('region="east"', 'region="east" demand="900MB/s"')], 'name="taoyuan"', "its hosts give 7200kB/s"),
+        ([('holds="10s"', 'holds="3s"')], "<common", "plans would run out where nothing is lost but a leader"),
+        ([('period="1s"', 'period="500ms"')], "<common", "answer '400ms' is over half of period '500ms'"),
+        ([('store="folder"', 'store="folder" elect-least="500ms"')], "<common", "under three times heart"),
+        ([('store="folder"', 'store="folder" elect-most="1600ms"')], "<common", "one and a half times elect-least"),
+        ([('store="folder"', 'store="folder" drift="0.5"')], "<common", "no lease could be kept"),
+        ([(' votes="yes"', ""), (' votes="yes"', ""), (' votes="yes"', "")], "<common", "no gateway votes"),
+    ],
+)
 def test_a_mistake_is_told_with_its_line(changes, at, words):
     found = mistakes(*changes)
     assert [line for line, text in found if words in text] == [line_of(at)], found
@@ -67,7 +85,7 @@
 
 def test_links_need_the_common_part():
     with pytest.raises(BadSettings, match="need a <common>"):
-        parse(GOOD.replace(GOOD[GOOD.index("  <common"):GOOD.index("  <titles>")], "").encode())
+        parse(GOOD.replace(GOOD[GOOD.index("  <common") : GOOD.index("  <titles>")], "").encode())
 
 
 def test_the_digest_is_of_what_all_must_agree_on_and_of_nothing_else():
@@ -111,6 +129,7 @@
     def text(count):
         more = "\n".join(one.format(n, n // 200, n % 200 + 1) for n in range(count - 12))
         return GOOD.replace(end, f"{more}\n{end}", 1).encode()
+
     assert len(parse(text(7400)).gateways) == 7400
     with pytest.raises(BadSettings, match="not expected"):
         parse(text(16385))
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -24,7 +24,7 @@
 
 
 def line_of(text):
-    return GOOD[:GOOD.index(text)].count("\n") + 1
+    return GOOD[: GOOD.index(text)].count("\n") + 1
 
 
 def test_the_example_is_good_and_becomes_the_modules_settings():
@@ -42,28 +42,31 @@
     assert (rate_kb("700kB/s"), rate_kb("1.5MB/s"), size("64kB")) == (700.0, 1500.0, 64_000)
 
 
-@pytest.mark.parametrize("old, new, wanted", [
-    ('aim="1500ms"', 'aim="1500"', "the value '1500' is not a number and ns, us, ms, s, min or h"),
-    ('rate="230kB/s"', 'rate="230"', "the value '230' is not a number and B/s"),
-    ('aim="1500ms"', 'aim="9s"', "aim '9s' is not above 0 and up to deadline '5s'"),
-    ('floor="1"', 'floor="9"', "floor '9' is above the ladder's highest rung 4"),
-    ('set-up="once"', 'set-up="repeatable"', "set-up must be 'once'"),
-    ('rate="420kB/s"', 'rate="200kB/s"', "rate '200kB/s' does not rise"),
-    ('name="gw-2"', 'name="gw-1"', "name 'gw-1' is already that of line"),
-    ('name="preview"', 'name="code-viewing"', "already that of line"),
-    ('<rules ', '<rules colour="red" ', "colour"),
-    ('timeout="3s"', 'timeout="2s"', "timeout is not above wait"),
-    ('url="http://127.0.0.1:0/hosts"', 'url="ftp://x"', "no http URL"),
-    ('cell="5" holders', 'cell="99" holders', "cell '99' is not under the fleet's 12"),
-    ('dead="3s"', 'dead="1s"', "dead is not above silence"),
-    ('connect="250ms"', 'connect="3s"', "connect is not under every class's deadline"),
-    ('name="streamer-02"', 'name="streamer-01"', "already that of line"),
-    ('listen="127.0.0.1:0"', 'listen="127.0.0.1:99999"', "no port up to 65535"),
-    ('listen="127.0.0.1:0"', 'listen="nowhere"', "the value 'nowhere' is not host:port"),
-    ('path="/classes/1"', 'path="/classes/2"', "path '/classes/2' is already that of line"),
-    ('<gateways>', '<gateways fronts="2">', "fronts 2 is under the 3"),
-    ('<zone name="catania"/>', '<zone name="catania"/><zone name="catania"/>', "already that of line"),
-])
+@pytest.mark.parametrize(
+    "old, new, wanted",
+    [
+        ('aim="1500ms"', 'aim="1500"', "the value '1500' is not a number and ns, us, ms, s, min or h"),
+        ('rate="230kB/s"', 'rate="230"', "the value '230' is not a number and B/s"),
+        ('aim="1500ms"', 'aim="9s"', "aim '9s' is not above 0 and up to deadline '5s'"),
+        ('floor="1"', 'floor="9"', "floor '9' is above the ladder's highest rung 4"),
+        ('set-up="once"', 'set-up="repeatable"', "set-up must be 'once'"),
+        ('rate="420kB/s"', 'rate="200kB/s"', "rate '200kB/s' does not rise"),
+        ('name="gw-2"', 'name="gw-1"', "name 'gw-1' is already that of line"),
+        ('name="preview"', 'name="code-viewing"', "already that of line"),
+        ("<rules ", '<rules colour="red" ', "colour"),
+        ('timeout="3s"', 'timeout="2s"', "timeout is not above wait"),
+        ('url="http://127.0.0.1:0/hosts"', 'url="ftp://x"', "no http URL"),
+        ('cell="5" holders', 'cell="99" holders', "cell '99' is not under the fleet's 12"),
+        ('dead="3s"', 'dead="1s"', "dead is not above silence"),
+        ('connect="250ms"', 'connect="3s"', "connect is not under every class's deadline"),
+        ('name="streamer-02"', 'name="streamer-01"', "already that of line"),
+        ('listen="127.0.0.1:0"', 'listen="127.0.0.1:99999"', "no port up to 65535"),
+        ('listen="127.0.0.1:0"', 'listen="nowhere"', "the value 'nowhere' is not host:port"),
+        ('path="/classes/1"', 'path="/classes/2"', "path '/classes/2' is already that of line"),
+        ("<gateways>", '<gateways fronts="2">', "fronts 2 is under the 3"),
+        ('<zone name="catania"/>', '<zone name="catania"/><zone name="catania"/>', "already that of line"),
+    ],
+)
 def test_each_mistake_is_told_with_its_line_and_value(old, new, wanted):
     error = mistakes((old, new))
     assert any(wanted in m.text for m in error.mistakes), str(error)
@@ -85,8 +88,8 @@
 def test_entities_are_not_followed(tmp_path):
     secret = tmp_path / "secret"
     secret.write_text("hidden")
-    text = GOOD.replace('<copperyard>', f'<!DOCTYPE copperyard [<!ENTITY x SYSTEM "file://{secret}">]>\n<copperyard>')
-    text = text.replace('<zones>', '<zones>&x;')
+    text = GOOD.replace("<copperyard>", f'<!DOCTYPE copperyard [<!ENTITY x SYSTEM "file://{secret}">]>\n<copperyard>')
+    text = text.replace("<zones>", "<zones>&x;")
     with pytest.raises(BadSettings) as caught:
         parse(text.encode())
     assert "hidden" not in str(caught.value)
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -42,9 +42,17 @@
 
     async def start(self, nursery, name, addresses=None):
         self.lives[name] += 1
-        made = self.make(self.network, name, FLEET, self.lives[name], addresses or self.addresses, CODEC,
-                         lambda sender, item: self.got[name].append((sender, item.number)),
-                         lambda event, fields: self.lines.append((event, dict(fields))), random.Random(1))
+        made = self.make(
+            self.network,
+            name,
+            FLEET,
+            self.lives[name],
+            addresses or self.addresses,
+            CODEC,
+            lambda sender, item: self.got[name].append((sender, item.number)),
+            lambda event, fields: self.lines.append((event, dict(fields))),
+            random.Random(1),
+        )
         known = self.addresses[name]
         listen = known if known != NOWHERE else "127.0.0.1:0"
         self.scopes[name] = trio.CancelScope()
@@ -52,6 +60,7 @@
         async def run(task_status):
             with self.scopes[name]:
                 await made.run(listen, task_status=task_status)
+
         address = await nursery.start(run)
         if self.relay is not None:
             self.relay.targets[name] = address
@@ -80,6 +89,7 @@
                 await pair.start(nursery, name)
             await test(pair, nursery)
             nursery.cancel_scope.cancel()
+
     virtual.run(main, 1)
 
 
@@ -91,6 +101,7 @@
                 await pair.start(nursery, name)
             await test(pair, nursery)
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
@@ -104,6 +115,7 @@
                 await pair.start(nursery, name, {b: relay.ports[name, b] for b in "abc" if b != name})
             await test(pair, nursery)
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
@@ -180,6 +192,7 @@
                 pass
         except OSError:
             pass
+
     nursery.start_soon(swallow)
     good = pair.links["a"].addresses
     pair.links["a"].addresses = {**good, "b": listener.address}
@@ -200,16 +213,23 @@
     await pair.start(nursery, "a", pair.relay and {b: pair.relay.ports["a", b] for b in "bc"})
     pair.send("b", 1000)
     await pair.until(lambda: 1000 in pair.numbers())
-    assert pair.numbers()[:len(before)] == before == list(range(len(before)))
+    assert pair.numbers()[: len(before)] == before == list(range(len(before)))
 
 
 async def strangers(pair, nursery):
     """Another fleet, an unknown name, a wrong receiver, a broken frame, one too long: each ends its own link."""
     address = pair.relay.targets["b"] if pair.relay else pair.addresses["b"]
     good = hello(Hello(FLEET, "c", "b", 99, 1))
-    for data in (hello(Hello(b"other", "c", "b", 1, 1)), hello(Hello(FLEET, "z", "b", 1, 1)),
-                 hello(Hello(FLEET, "c", "a", 1, 1)), good + struct.pack(">I", 3) + b"abc",
-                 good + struct.pack(">I", 1 << 30), b"RTSP/1.0 200 OK\r\n\r\n", b"", good + b"\x00"):
+    for data in (
+        hello(Hello(b"other", "c", "b", 1, 1)),
+        hello(Hello(FLEET, "z", "b", 1, 1)),
+        hello(Hello(FLEET, "c", "a", 1, 1)),
+        good + struct.pack(">I", 3) + b"abc",
+        good + struct.pack(">I", 1 << 30),
+        b"RTSP/1.0 200 OK\r\n\r\n",
+        b"",
+        good + b"\x00",
+    ):
         stream = await pair.network.connect(address)
         try:
             await module.send_all(stream, data)
@@ -287,6 +307,7 @@
             if out.queue:
                 kept.append(out.queue[0])
             return inner(when)
+
         out.next, out.kept = take, kept
         try:
             await super()._speak(to, out, stream)
@@ -334,9 +355,18 @@
         out.running = True
 
 
-@pytest.mark.parametrize(("broken", "promise"), [
-    (Unbounded, bounded), (Late, stale), (Trusts, strangers), (Deaf, half_open), (Shuffles, order), (Lingers, idle),
-    (Resends, restart)])
+@pytest.mark.parametrize(
+    ("broken", "promise"),
+    [
+        (Unbounded, bounded),
+        (Late, stale),
+        (Trusts, strangers),
+        (Deaf, half_open),
+        (Shuffles, order),
+        (Lingers, idle),
+        (Resends, restart),
+    ],
+)
 def test_a_broken_one_is_found(broken, promise):
     with pytest.raises(BaseException):  # noqa: B017 - an assertion, or a time that ran out, in a group
         memory(promise, broken)
@@ -363,4 +393,5 @@
         await pair.until(lambda: pair.send("b", 99) or 99 in pair.numbers())
         got = [n for n in pair.numbers() if 10 <= n < 60]
         assert relay.resets > 0 and got == sorted(set(got)) and len(got) < 50
+
     relayed(test, Links)
--- a/tests/contracts/test_shelves.py
+++ b/tests/contracts/test_shelves.py
@@ -36,9 +36,10 @@
         def write(handle, data, at):
             if left[0] <= 0:
                 raise OSError(errno.ENOSPC, "no space left")
-            done = real(handle, data[:left[0]], at)
+            done = real(handle, data[: left[0]], at)
             left[0] -= done
             return done
+
         self.monkeys.setattr(os, "pwrite", write)
 
     def free_disk(self):
@@ -80,6 +81,7 @@
             base = real(shelf, path)
             base.execute(f"PRAGMA max_page_count={self.pages}")
             return base
+
         self.monkeys.setattr(module.SqliteShelf, "_connect", connect)
 
     def died(self, shelf):
@@ -268,6 +270,7 @@
         shelf.close()
         shutil.copy(tmp_path / "votes.log", tmp_path / "votes.next")
         assert read(kind) == [b"one"] and not (tmp_path / "votes.next").exists()
+
     trio.run(main)
 
 
@@ -326,9 +329,18 @@
         return super().open(owner) + torn
 
 
-@pytest.mark.parametrize(("broken", "kind", "promise"), [
-    (Unlocked, OfMemory, held), (Unchecked, OfMemory, flipped), (Loses, OfMemory, kept), (Half, OfMemory, cancelled),
-    (Garbage, OfFolder, full_and_on), (Silent, OfMemory, full), (Takes, OfMemory, torn)])
+@pytest.mark.parametrize(
+    ("broken", "kind", "promise"),
+    [
+        (Unlocked, OfMemory, held),
+        (Unchecked, OfMemory, flipped),
+        (Loses, OfMemory, kept),
+        (Half, OfMemory, cancelled),
+        (Garbage, OfFolder, full_and_on),
+        (Silent, OfMemory, full),
+        (Takes, OfMemory, torn),
+    ],
+)
 def test_a_broken_one_is_found(broken, kind, promise, tmp_path):
     with pytest.raises((AssertionError, Damaged, pytest.fail.Exception)):
         trio.run(promise, kind(tmp_path, broken))
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -16,8 +16,17 @@
 
 MS, SECOND = helpers.MS, helpers.SECOND
 WIRE = Limits(8000, 64, 65536, 65535, 32)
-BOUNDS = Bounds(connections=100, sessions=100, open_requests=50, queue=10_000, stall=2 * SECOND, idle=20 * SECOND,
-                silence=SECOND, dead=3 * SECOND, codes=100)
+BOUNDS = Bounds(
+    connections=100,
+    sessions=100,
+    open_requests=50,
+    queue=10_000,
+    stall=2 * SECOND,
+    idle=20 * SECOND,
+    silence=SECOND,
+    dead=3 * SECOND,
+    codes=100,
+)
 TRACKS = (Track("video", 26, "JPEG", 90_000), Track("audio", 0, "PCMU", 8_000))
 FILM = Title(1, "/films/a", "A film", 8 * SECOND, 0, 3, TRACKS)
 OTHER = Title(2, "/films/b", "Another", 8 * SECOND, 1, 3, TRACKS[:1])
--- a/tests/control/node/helpers.py
+++ b/tests/control/node/helpers.py
@@ -12,32 +12,75 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LIMITS = Limits(8192, 64, 16384, 0, 1)  # what a client takes
-CEILINGS = {"maxAttempts": 3, "retryAfter": True, "maxRetryAfter": SECOND, "connectTimeout": 250 * MS,
-            "probes": False, "cancelling": True, "streamsPerConn": 100, "connIdle": 15 * SECOND}
+CEILINGS = {
+    "maxAttempts": 3,
+    "retryAfter": True,
+    "maxRetryAfter": SECOND,
+    "connectTimeout": 250 * MS,
+    "probes": False,
+    "cancelling": True,
+    "streamsPerConn": 100,
+    "connIdle": 15 * SECOND,
+}
 OPTIONS: dict[str, Any] = {
-    "balancers": 1, "tick": MS, "locality": 0, "zones": ["catania"], "kinds": ["three-core"],
+    "balancers": 1,
+    "tick": MS,
+    "locality": 0,
+    "zones": ["catania"],
+    "kinds": ["three-core"],
     "classes": [
         {"name": "preview", "aim": SECOND, "hardLimit": 4 * SECOND, "effect": "safe"},
-        {"name": "paid", "aim": SECOND, "hardLimit": 3 * SECOND, "credit": 2.0, "effect": "unsafe"}],
+        {"name": "paid", "aim": SECOND, "hardLimit": 3 * SECOND, "credit": 2.0, "effect": "unsafe"},
+    ],
     "ceilings": CEILINGS,
-    "contract": {"coldFrom": 0.4, "warmWithin": 5 * SECOND, "drainGrace": 250 * MS, "fall": 3 * SECOND,
-                 "fallMultiple": 3.0, "freeResends": 3.0, "furtherRatio": 0.2, "ratioSpan": 5 * SECOND},
-    "extra": {"positions": 3, "shelves": 1, "rungKb": [100.0, 300.0], "levelWorth": [0.4, 1.0],
-              "placesByKind": [50], "kbPerWeight": 10_000.0, "rackKb": 60_000.0, "floorByClass": [0, 0]},
+    "contract": {
+        "coldFrom": 0.4,
+        "warmWithin": 5 * SECOND,
+        "drainGrace": 250 * MS,
+        "fall": 3 * SECOND,
+        "fallMultiple": 3.0,
+        "freeResends": 3.0,
+        "furtherRatio": 0.2,
+        "ratioSpan": 5 * SECOND,
+    },
+    "extra": {
+        "positions": 3,
+        "shelves": 1,
+        "rungKb": [100.0, 300.0],
+        "levelWorth": [0.4, 1.0],
+        "placesByKind": [50],
+        "kbPerWeight": 10_000.0,
+        "rackKb": 60_000.0,
+        "floorByClass": [0, 0],
+    },
     "reporting": {"via": "pull", "columns": ["x0", "x1"]},
 }
 TITLE = "7f3a9c21e0b4d655"
 
 
 def host(n, **more):
-    return Host(**{"name": f"s-{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "catania", "kind": "three-core",
-                   "cell": n, "state": READY, "weight": 1.0, "started": 0, **more})
-
-
-def setup(session, cls="preview", patience="2000", facts="home:0;copies:3;top:1;viewer:00", body=b"d", title=TITLE,
-          more=""):
-    head = (f"SETUP rtsp://media/{title} RTSP/1.0\r\nCSeq: 1\r\nSession: {session}\r\nSubject: {cls}\r\n"
-            f"X-Patience: {patience}\r\nX-Facts: {facts}\r\n{more}Content-Length: {len(body)}\r\n\r\n")
+    return Host(
+        **{
+            "name": f"s-{n}",
+            "address": f"127.0.0.1:{9000 + n}",
+            "zone": "catania",
+            "kind": "three-core",
+            "cell": n,
+            "state": READY,
+            "weight": 1.0,
+            "started": 0,
+            **more,
+        }
+    )
+
+
+def setup(
+    session, cls="preview", patience="2000", facts="home:0;copies:3;top:1;viewer:00", body=b"d", title=TITLE, more=""
+):
+    head = (
+        f"SETUP rtsp://media/{title} RTSP/1.0\r\nCSeq: 1\r\nSession: {session}\r\nSubject: {cls}\r\n"
+        f"X-Patience: {patience}\r\nX-Facts: {facts}\r\n{more}Content-Length: {len(body)}\r\n\r\n"
+    )
     return head.encode() + body
 
 
@@ -46,8 +89,10 @@
 
 
 def teardown(session, reason=""):
-    return (f"TEARDOWN rtsp://media/{session} RTSP/1.0\r\nCSeq: 2\r\nSession: {session}\r\n{reason}"
-            "Content-Length: 0\r\n\r\n").encode()
+    return (
+        f"TEARDOWN rtsp://media/{session} RTSP/1.0\r\nCSeq: 2\r\nSession: {session}\r\n{reason}"
+        "Content-Length: 0\r\n\r\n"
+    ).encode()
 
 
 def answer(session, size=0):
@@ -63,12 +108,12 @@
     found = []
     while data:
         size, kind, session = struct.unpack_from(">HB8s", data)
-        params, rest = {}, data[11:size + 2]
+        params, rest = {}, data[11 : size + 2]
         while rest:
             code, length = struct.unpack_from(">BH", rest)
-            params[code], rest = rest[3:3 + length], rest[3 + length:]
+            params[code], rest = rest[3 : 3 + length], rest[3 + length :]
         found.append((kind, session.hex(), params))
-        data = data[size + 2:]
+        data = data[size + 2 :]
     return found
 
 
@@ -142,8 +187,12 @@
 
     def setups(self, link=None):
         """(link, session) of all set-ups that left."""
-        return [(one, session) for one, sent in self.sent.items() for kind, session, _ in sent
-                if kind == Kind.SETUP and link in (None, one)]
+        return [
+            (one, session)
+            for one, sent in self.sent.items()
+            for kind, session, _ in sent
+            if kind == Kind.SETUP and link in (None, one)
+        ]
 
     def releases(self):
         return [session for sent in self.sent.values() for kind, session, _ in sent if kind == Kind.RELEASE]
--- a/tests/control/node/test_any_settings.py
+++ b/tests/control/node/test_any_settings.py
@@ -28,36 +28,70 @@
     classes = rng.randint(1, 5)
     floors = [rng.randrange(rungs) for _ in range(classes)]
     raw = {
-        "balancers": rng.choice([1, 2, 30, 230]), "tick": MS, "zones": rng.sample(["a", "zone-b", "c d", "Ω"], 3),
-        "locality": rng.randrange(3), "kinds": ["k1", "k2"], "slotNo": 0,
-        "classes": [{"name": f"class {n}" if rng.random() < 0.3 else f"c{n}", "aim": rng.randint(50, 1500) * MS,
-                     "hardLimit": rng.randint(300, 6000) * MS, "credit": rng.choice([0.5, 1, 4.0]),
-                     "effect": rng.choice(EFFECTS)} for n in range(classes)],
-        "ceilings": {"maxAttempts": rng.randint(1, 6), "retryAfter": rng.random() < 0.5, "probes": rng.random() < 0.5,
-                     "maxRetryAfter": rng.choice([0, 300, 2000]) * MS, "cancelling": True,
-                     "connectTimeout": rng.choice([100, 250, 1000]) * MS,
-                     "streamsPerConn": rng.choice([1, 3, 100]), "mostHeld": rng.choice([5, 1_500_000, 1_500_000])},
-        "contract": {"coldFrom": rng.choice([0.1, 0.4, 1.0]), "warmWithin": rng.choice([0, 2, 12]) * SECOND,
-                     "drainGrace": rng.choice([100, 1000]) * MS, "fall": rng.choice([500, 3000]) * MS,
-                     "fallMultiple": rng.choice([1.5, 3.0, 6.0])},
-        "extra": {"positions": 4, "shelves": rng.randint(1, 4), "rungKb": [float(x) for x in rates],
-                  "levelWorth": sorted(rng.random() for _ in range(rungs)),
-                  "placesByKind": [rng.choice([1, 4, 60]) for _ in range(2)],
-                  "kbPerWeight": rng.choice([2000.0, 9000.0, 90000.0]),
-                  "rackKb": rng.choice([0.0, 20000.0, 90000.0]), "fullFrom": rng.choice([0, 1.0, 1.2]),
-                  "joinAdds": rng.choice([1.0, 0.15])},
-        "reporting": {"via": rng.choice(["pull", "piggyback", "silent"]),
-                      "columns": rng.sample(COLUMNS, rng.randint(0, 4))},
+        "balancers": rng.choice([1, 2, 30, 230]),
+        "tick": MS,
+        "zones": rng.sample(["a", "zone-b", "c d", "Ω"], 3),
+        "locality": rng.randrange(3),
+        "kinds": ["k1", "k2"],
+        "slotNo": 0,
+        "classes": [
+            {
+                "name": f"class {n}" if rng.random() < 0.3 else f"c{n}",
+                "aim": rng.randint(50, 1500) * MS,
+                "hardLimit": rng.randint(300, 6000) * MS,
+                "credit": rng.choice([0.5, 1, 4.0]),
+                "effect": rng.choice(EFFECTS),
+            }
+            for n in range(classes)
+        ],
+        "ceilings": {
+            "maxAttempts": rng.randint(1, 6),
+            "retryAfter": rng.random() < 0.5,
+            "probes": rng.random() < 0.5,
+            "maxRetryAfter": rng.choice([0, 300, 2000]) * MS,
+            "cancelling": True,
+            "connectTimeout": rng.choice([100, 250, 1000]) * MS,
+            "streamsPerConn": rng.choice([1, 3, 100]),
+            "mostHeld": rng.choice([5, 1_500_000, 1_500_000]),
+        },
+        "contract": {
+            "coldFrom": rng.choice([0.1, 0.4, 1.0]),
+            "warmWithin": rng.choice([0, 2, 12]) * SECOND,
+            "drainGrace": rng.choice([100, 1000]) * MS,
+            "fall": rng.choice([500, 3000]) * MS,
+            "fallMultiple": rng.choice([1.5, 3.0, 6.0]),
+        },
+        "extra": {
+            "positions": 4,
+            "shelves": rng.randint(1, 4),
+            "rungKb": [float(x) for x in rates],
+            "levelWorth": sorted(rng.random() for _ in range(rungs)),
+            "placesByKind": [rng.choice([1, 4, 60]) for _ in range(2)],
+            "kbPerWeight": rng.choice([2000.0, 9000.0, 90000.0]),
+            "rackKb": rng.choice([0.0, 20000.0, 90000.0]),
+            "fullFrom": rng.choice([0, 1.0, 1.2]),
+            "joinAdds": rng.choice([1.0, 0.15]),
+        },
+        "reporting": {
+            "via": rng.choice(["pull", "piggyback", "silent"]),
+            "columns": rng.sample(COLUMNS, rng.randint(0, 4)),
+        },
         "penalties": {"crossZone": rng.choice([0, 0.05]), "probe": rng.choice([0, 0.01, 0.5])},
     }
     if rng.random() < 0.7:
-        raw["contract"] |= {"freeResends": rng.choice([0, 1, 3]), "furtherRatio": rng.choice([0, 0.1, 1.0]),
-                            "ratioSpan": rng.choice([2, 10]) * SECOND}
+        raw["contract"] |= {
+            "freeResends": rng.choice([0, 1, 3]),
+            "furtherRatio": rng.choice([0, 0.1, 1.0]),
+            "ratioSpan": rng.choice([2, 10]) * SECOND,
+        }
     if rng.random() < 0.7:
-        raw["extra"] |= {"floorByClass": floors, "topByClass": [rng.randint(f, rungs + 2) for f in floors],
-                         "scaleByClass": [rng.choice([0.3, 1, 2.0]) for _ in floors],
-                         "classSeats": [rng.choice([0, 0, 2]) for _ in floors],
-                         "live": [rng.random() < 0.3 for _ in floors]}
+        raw["extra"] |= {
+            "floorByClass": floors,
+            "topByClass": [rng.randint(f, rungs + 2) for f in floors],
+            "scaleByClass": [rng.choice([0.3, 1, 2.0]) for _ in floors],
+            "classSeats": [rng.choice([0, 0, 2]) for _ in floors],
+            "live": [rng.random() < 0.3 for _ in floors],
+        }
     return raw
 
 
@@ -82,8 +116,11 @@
 
     def hosts(self):
         zones, kinds = self.raw["zones"], self.raw["kinds"]
-        return tuple(host(n, zone=zones[n % 3], kind=kinds[n % 2], state=state, started=started)
-                     for n, (state, started) in enumerate(self.states) if state is not None)
+        return tuple(
+            host(n, zone=zones[n % 3], kind=kinds[n % 2], state=state, started=started)
+            for n, (state, started) in enumerate(self.states)
+            if state is not None
+        )
 
     def turn(self):
         while orders := self.core.take():
@@ -183,8 +220,16 @@
         held = len(self.core.sessions) >= self.core.platform.held
         if not held:
             self.taken.append(self.now)
-        self.say(viewer, setup(session, self.set.classes[cls].name, str(patience), title=title,
-                               facts=f"home:{rng.randrange(4)};copies:{rng.randint(1, 4)};top:{top};viewer:{session}"))
+        self.say(
+            viewer,
+            setup(
+                session,
+                self.set.classes[cls].name,
+                str(patience),
+                title=title,
+                facts=f"home:{rng.randrange(4)};copies:{rng.randint(1, 4)};top:{top};viewer:{session}",
+            ),
+        )
 
     def host_speaks(self):
         if not self.open:
@@ -194,8 +239,11 @@
         if link.state is not State.UP:
             return
         stands = self.answered.get(session) == 200
-        cause = self.rng.choice([None, None, Cause.FULL, Cause.MOOT, Cause.ERROR, Cause.RESET] if not stands
-                                else [Cause.NORMAL, Cause.RESET])
+        cause = self.rng.choice(
+            [None, None, Cause.FULL, Cause.MOOT, Cause.ERROR, Cause.RESET]
+            if not stands
+            else [Cause.NORMAL, Cause.RESET]
+        )
         if cause is None:
             return self.host_says(link, answer(session))
         self.ended(session, cause)
@@ -236,8 +284,11 @@
     def list_changes(self):
         n = self.rng.randrange(4)
         state, _ = self.states[n]
-        self.states[n] = self.rng.choice([[DRAINING, 0], [None, 0], [READY, self.now // MS]]) \
-            if state == READY else [READY, self.now // MS]
+        self.states[n] = (
+            self.rng.choice([[DRAINING, 0], [None, 0], [READY, self.now // MS]])
+            if state == READY
+            else [READY, self.now // MS]
+        )
         self.serial += 1
         name = f"s-{n}"
         if self.states[n][0] == READY:
@@ -251,8 +302,12 @@
 
     def play(self):
         self.wait(self.rng.choice([0, 0, 13]))
-        steps = [self.arrives] * 6 + [self.host_speaks] * 20 + [self.link_rises] * 6 + [
-            self.link_fails, self.client_goes, self.list_changes]
+        steps = (
+            [self.arrives] * 6
+            + [self.host_speaks] * 20
+            + [self.link_rises] * 6
+            + [self.link_fails, self.client_goes, self.list_changes]
+        )
         for _ in range(200):
             self.rng.choice(steps)()
             self.wait(self.rng.choice([0, 0, 0.01, 0.1]))
@@ -270,11 +325,13 @@
 
 def test_two_cores_with_other_settings_share_nothing():
     """Interleaved in one process, each does what it does alone."""
+
     def trail(evenings):
         for _ in range(60):
             for one in evenings:
                 one.rng.choice([one.arrives, one.host_speaks, one.link_rises, one.list_changes])()
                 one.wait(0.05)
         return [[(kind, session) for sent in one.sent.values() for kind, session, _ in sent] for one in evenings]
+
     alone = [trail([Evening(seed)])[0] for seed in (3, 4, 5)]
     assert trail([Evening(seed) for seed in (3, 4, 5)]) == alone
--- a/tests/control/node/test_core.py
+++ b/tests/control/node/test_core.py
@@ -25,7 +25,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1), facts=f"home:0;copies:3;top:1;{PLAYS}", body=b"v=0\r\n\xff"))
-    (link, session), = desk.setups()
+    ((link, session),) = desk.setups()
     params = next(p for kind, _, p in desk.sent[link] if kind == Kind.SETUP)
     assert session == sid(1) and params[Param.DESCRIPTION] == b"v=0\r\n\xff" and params[Param.CLASS] == b"preview"
     assert params[Param.RUNG] == b"1" and 0 < int(params[Param.WAIT]) <= 2000
@@ -47,8 +47,9 @@
     tests = [(link, one) for link, sent in desk.sent.items() for one in sent if one[0] == Kind.TEST]
     assert tests and all(one[2][Param.CAUSE] == b"\1" for _, one in tests)
     for link, (_, id, _) in tests:
-        desk.host_says(link, encode(Kind.TESTED, bytes.fromhex(id), (
-            (Param.CAUSE, b"\1"), (Param.REPORT, b"x0:0.9;x1:0.2"))))
+        desk.host_says(
+            link, encode(Kind.TESTED, bytes.fromhex(id), ((Param.CAUSE, b"\1"), (Param.REPORT, b"x0:0.9;x1:0.2")))
+        )
     told = [server.link.seen for server in desk.core.module.servers.values() if server.link.seen_at > 0]
     assert told == [0.9] * len(tests)
 
@@ -70,7 +71,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1), "paid"))
-    (link, _), = desk.setups()
+    ((link, _),) = desk.setups()
     desk.down(link)
     assert desk.statuses(viewer) == [500] and len(desk.setups()) == 1
 
@@ -93,7 +94,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1)))
-    (first, _), = desk.setups()
+    ((first, _),) = desk.setups()
     desk.wait(0.55)
     assert [kind for kind, _, _ in desk.sent[first]].count(Kind.RELEASE) == 1
     (_, _), (second, _) = desk.setups()
@@ -110,7 +111,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1)))
-    (link, _), = desk.setups()
+    ((link, _),) = desk.setups()
     desk.say(viewer, teardown(sid(1)))
     desk.host_says(link, answer(sid(1)))
     assert desk.releases() == [sid(1), sid(1)] and not desk.core.sessions
@@ -196,7 +197,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1), "paid"))
-    (link, _), = desk.setups()
+    ((link, _),) = desk.setups()
     desk.host_says(link, answer(sid(1))[:9])
     desk.wait(0.2)
     assert desk.statuses(viewer) == []
@@ -208,7 +209,7 @@
     desk = Desk(hosts=1)
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1), facts="home:0;copies:1;top:1;viewer:00"))
-    (first, _), = desk.setups()
+    ((first, _),) = desk.setups()
     desk.at_once = False
     desk.wait(0.55)
     desk.say(viewer, setup(sid(2), facts="home:0;copies:1;top:1;viewer:00"))
@@ -232,10 +233,19 @@
 def test_what_makes_no_sense_is_refused_and_never_served():
     desk = Desk()
     viewer = desk.viewer()
-    for bad in (setup(sid(1), "nobody"), setup("12"), setup(sid(1), patience="NaN"), setup(sid(1), patience="-5"),
-                setup(sid(1), patience="99999"), setup(sid(1), facts="home:99;copies:3;top:1"),
-                setup(sid(1), facts="home:0;copies:0"), setup(sid(1), facts="home:0;copies:3;top:7"),
-                setup(sid(1), body=b""), setup(sid(1), title="x"), setup(sid(1), more="X-Guess: 1e400\r\n")):
+    for bad in (
+        setup(sid(1), "nobody"),
+        setup("12"),
+        setup(sid(1), patience="NaN"),
+        setup(sid(1), patience="-5"),
+        setup(sid(1), patience="99999"),
+        setup(sid(1), facts="home:99;copies:3;top:1"),
+        setup(sid(1), facts="home:0;copies:0"),
+        setup(sid(1), facts="home:0;copies:3;top:7"),
+        setup(sid(1), body=b""),
+        setup(sid(1), title="x"),
+        setup(sid(1), more="X-Guess: 1e400\r\n"),
+    ):
         desk.say(viewer, bad)
     assert desk.statuses(viewer) == [400] * 11 and desk.setups() == []
     desk.say(viewer, setup(sid(1), facts="home:0;copies:3;at:s-99"))  # a host that nobody knows
@@ -266,10 +276,13 @@
 
 def test_bytes_that_cannot_be_followed_end_the_connection_with_an_error():
     desk = Desk()
-    for bad, status in ((b"\x16\x03\x01\x00garbage\r\n\r\n", 400), (b"$\x00\x00\x04abcd", 413),
-                        (b"SETUP rtsp://media/1 RTSP/1.0\r\nContent-Length: -1\r\n\r\n", 400),
-                        (b"SETUP rtsp://media/1 RTSP/1.0\r\nContent-Length: 60000000\r\n\r\n", 413),
-                        (b"x" * 9000, 414)):
+    for bad, status in (
+        (b"\x16\x03\x01\x00garbage\r\n\r\n", 400),
+        (b"$\x00\x00\x04abcd", 413),
+        (b"SETUP rtsp://media/1 RTSP/1.0\r\nContent-Length: -1\r\n\r\n", 400),
+        (b"SETUP rtsp://media/1 RTSP/1.0\r\nContent-Length: 60000000\r\n\r\n", 413),
+        (b"x" * 9000, 414),
+    ):
         viewer = desk.viewer()
         desk.say(viewer, bad)
         assert desk.statuses(viewer) == [status] and viewer.closing
@@ -303,8 +316,9 @@
         desk.heard.clear()
         desk.sent.clear()
         if n % 100 == 0:  # each host is replaced by another at its address
-            desk.core.fleet_told(desk.now, 2 + n, tuple(
-                host(i, name=f"s-{n}-{i}", address=f"127.0.0.1:{9000 + i}") for i in range(3)))
+            desk.core.fleet_told(
+                desk.now, 2 + n, tuple(host(i, name=f"s-{n}-{i}", address=f"127.0.0.1:{9000 + i}") for i in range(3))
+            )
             desk.turn()
             desk.wait(1)
         desk.wait(0.01)
@@ -421,7 +435,7 @@
     desk = Desk()
     viewer = desk.viewer()
     desk.say(viewer, setup(sid(1), "paid"))
-    (link, _), = desk.setups()
+    ((link, _),) = desk.setups()
     desk.host_says(link, encode(Kind.ANSWER, bytes.fromhex(sid(1)), ((Param.DESCRIPTION, bytes(16_000)),)))
     assert desk.statuses(viewer) == [500] and desk.releases() == [sid(1)] and not desk.core.sessions
 
--- a/tests/control/node/test_orders_of_the_end.py
+++ b/tests/control/node/test_orders_of_the_end.py
@@ -11,8 +11,12 @@
 from tests.control.node.helpers import SECOND, Desk, answer, release, setup, sid, teardown
 
 STEPS = ("signal", "request", "word", "close", "late")
-WORDS = {"stands": answer(sid(1)), "full": release(sid(1), Cause.FULL), "error": release(sid(1), Cause.ERROR),
-         "reset": None}
+WORDS = {
+    "stands": answer(sid(1)),
+    "full": release(sid(1), Cause.FULL),
+    "error": release(sid(1), Cause.ERROR),
+    "reset": None,
+}
 
 
 @pytest.mark.parametrize("cls", ["preview", "paid"])
@@ -26,8 +30,11 @@
 
 def finals(desk, viewer):
     """What was said of the set-up, CSeq 1; the answer to its TEARDOWN carries CSeq 2."""
-    return [one.response.status if hasattr(one, "response") else one.method for one in desk.answers(viewer)
-            if hasattr(one, "method") or one.response.header("CSeq") == "1"]
+    return [
+        one.response.status if hasattr(one, "response") else one.method
+        for one in desk.answers(viewer)
+        if hasattr(one, "method") or one.response.header("CSeq") == "1"
+    ]
 
 
 def play(order, cls, word, close, apart):
--- a/tests/control/test_cells.py
+++ b/tests/control/test_cells.py
@@ -29,8 +29,13 @@
 from copperyard.membership.gateways.cells import CellMap
 from copperyard.state.agreement.council import Kept
 
-PRICES = ((0.0, 1.0, 1.0, 3.0, 3.0), (1.0, 0.0, 1.0, 3.0, 3.0), (1.0, 1.0, 0.0, 3.0, 3.0),
-          (3.0, 3.0, 3.0, 0.0, 1.0), (3.0, 3.0, 3.0, 1.0, 0.0))
+PRICES = (
+    (0.0, 1.0, 1.0, 3.0, 3.0),
+    (1.0, 0.0, 1.0, 3.0, 3.0),
+    (1.0, 1.0, 0.0, 3.0, 3.0),
+    (3.0, 3.0, 3.0, 0.0, 1.0),
+    (3.0, 3.0, 3.0, 1.0, 0.0),
+)
 TERMS = Terms(PRICES, (1.0,), (100.0,), (60,) * 5)
 ROSTER = {f"g{z}-{n}": z for z in range(5) for n in range(60)}
 CELLS = CellMap(ROSTER, 5)
@@ -93,9 +98,17 @@
     assert both.delegates(1) == RANKS[2:4]
 
 
-@pytest.mark.parametrize("sender, ns", [
-    ("g1-nobody", RESIGNED), ("g0-0", RESIGNED), (RANKS[0], 0), (RANKS[0], -1), (RANKS[0], 2 * RESIGNED + 1),
-    (RANKS[0], 1 << 62)])
+@pytest.mark.parametrize(
+    "sender, ns",
+    [
+        ("g1-nobody", RESIGNED),
+        ("g0-0", RESIGNED),
+        (RANKS[0], 0),
+        (RANKS[0], -1),
+        (RANKS[0], 2 * RESIGNED + 1),
+        (RANKS[0], 1 << 62),
+    ],
+)
 def test_a_resignation_of_a_stranger_or_for_ever_is_none(sender, ns):
     one = duty(RANKS[2])
     one.resigned(0, sender, Resign(ns))
@@ -120,10 +133,17 @@
 # ---- what it hears of members
 
 
-@pytest.mark.parametrize("sender, report", [
-    ("g0-0", told("g0-0")), (CELLS.zones[1][1].names[0], told(CELLS.zones[1][1].names[0])),
-    (RANKS[6], told(RANKS[7])), (RANKS[6], told(RANKS[6], asked=NONE[:4])), (RANKS[6], told(RANKS[6], asked=NONE * 2)),
-    ("g1-nobody", told("g1-nobody"))])
+@pytest.mark.parametrize(
+    "sender, report",
+    [
+        ("g0-0", told("g0-0")),
+        (CELLS.zones[1][1].names[0], told(CELLS.zones[1][1].names[0])),
+        (RANKS[6], told(RANKS[7])),
+        (RANKS[6], told(RANKS[6], asked=NONE[:4])),
+        (RANKS[6], told(RANKS[6], asked=NONE * 2)),
+        ("g1-nobody", told("g1-nobody")),
+    ],
+)
 def test_a_report_of_another_cell_of_anothers_name_or_of_a_wrong_shape_is_passed_over(sender, report):
     one = duty(RANKS[5])
     one.reported(SECOND, sender, report)
@@ -278,8 +298,8 @@
     one = duty()
     tos, resigned = played(one, 28)
     at = CUT // SECOND + 1
-    assert resigned == [(at, Resign(RESIGNED))] and len({*tos[:at + 1]}) >= 2
-    assert tos[at + 1:at + 20] == [None] * 19 and tos[at + 20] == "v1"
+    assert resigned == [(at, Resign(RESIGNED))] and len({*tos[: at + 1]}) >= 2
+    assert tos[at + 1 : at + 20] == [None] * 19 and tos[at + 20] == "v1"
     assert one.delegates(at * SECOND) == RANKS[1:3]
 
 
@@ -365,5 +385,6 @@
     assert not core.facts.known
     core.hear(SECOND, RANKS[0], report)
     assert list(core.facts.known) == [(1, 0)]
-    assert [order.message for order in core.take() if isinstance(getattr(order, "message", None), Heard)] \
-        == [Heard(report.number)]
+    assert [order.message for order in core.take() if isinstance(getattr(order, "message", None), Heard)] == [
+        Heard(report.number)
+    ]
--- a/tests/control/test_parts.py
+++ b/tests/control/test_parts.py
@@ -122,9 +122,16 @@
     assert len(gate._last) <= 4097
 
 
-@pytest.mark.parametrize("url, wanted", [
-    ("rtsp://h/films/a", Admission(ENTRIES[0], None)), ("rtsp://h/films/a?code=X1", Admission(ENTRIES[1], "X1")),
-    ("rtsp://h/films/a?code=", 400), ("rtsp://h/films/a?code=a%20b", 400), ("rtsp://h/films/a?code=" + "x" * 129, 400)])
+@pytest.mark.parametrize(
+    "url, wanted",
+    [
+        ("rtsp://h/films/a", Admission(ENTRIES[0], None)),
+        ("rtsp://h/films/a?code=X1", Admission(ENTRIES[1], "X1")),
+        ("rtsp://h/films/a?code=", 400),
+        ("rtsp://h/films/a?code=a%20b", 400),
+        ("rtsp://h/films/a?code=" + "x" * 129, 400),
+    ],
+)
 def test_a_class_by_path_and_code(url, wanted):
     found = admit(rules(), FILM, parse_url(url))
     assert (found.status if isinstance(found, Denial) else found) == wanted
@@ -132,6 +139,7 @@
 
 def test_titles_for_codes_only_and_for_none():
     from dataclasses import replace
+
     paid, free = replace(rules(), entries=ENTRIES[1:]), replace(rules(), entries=ENTRIES[:1])
     assert admit(paid, FILM, parse_url("rtsp://h/films/a")).status == 402
     assert admit(free, FILM, parse_url("rtsp://h/films/a?code=X")).status == 403
@@ -149,8 +157,12 @@
         Catalogue((FILM, FILM))
 
 
-FRAMES = st.lists(st.tuples(st.integers(0, 5), st.integers(0, 70_000), st.integers(0, 1 << 33), st.integers(1, 2),
-                            st.integers(0, 20)), max_size=12)
+FRAMES = st.lists(
+    st.tuples(
+        st.integers(0, 5), st.integers(0, 70_000), st.integers(0, 1 << 33), st.integers(1, 2), st.integers(0, 20)
+    ),
+    max_size=12,
+)
 
 
 @given(FRAMES)
--- a/tests/control/test_plays.py
+++ b/tests/control/test_plays.py
@@ -254,6 +254,7 @@
 
 def test_a_teardown_races_with_the_hosts_own_end():
     from copperyard.protocol.rtp import Bye, encode_compound
+
     core = front()
     guest, play, attempt = begun(core)
     host = play_through(core, attempt)
@@ -304,9 +305,16 @@
     assert guest.answer(play).status == 453
 
 
-@pytest.mark.parametrize("reply", [b"RTSP/1.0 200 OK\r\nCSeq: 77\r\n\r\n", b"nonsense\r\n\r\n", b"$\xff\xff",
-                                   b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n",
-                                   b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: a b\r\n\r\n"])
+@pytest.mark.parametrize(
+    "reply",
+    [
+        b"RTSP/1.0 200 OK\r\nCSeq: 77\r\n\r\n",
+        b"nonsense\r\n\r\n",
+        b"$\xff\xff",
+        b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n",
+        b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: a b\r\n\r\n",
+    ],
+)
 def test_bytes_of_a_host_that_make_no_sense(reply):
     core = front()
     guest, play, attempt = begun(core, "?code=X1")
@@ -384,8 +392,9 @@
         elif luck < 0.7:
             guest, session = self.random.choice(self.guests)
             if not guest.visitor.gone and not guest.visitor.closing:
-                cseq = guest.ask(self.random.choice(("PLAY", "PAUSE", "TEARDOWN", "GET_PARAMETER")), FILM, session,
-                                 now=self.now)
+                cseq = guest.ask(
+                    self.random.choice(("PLAY", "PAUSE", "TEARDOWN", "GET_PARAMETER")), FILM, session, now=self.now
+                )
                 self.plays.append((guest, cseq))
         else:
             guest, _ = self.random.choice(self.guests)
--- a/tests/control/test_redemption.py
+++ b/tests/control/test_redemption.py
@@ -47,8 +47,11 @@
     assert codes.claim("C", 5) is Verdict.REDEEM and len(codes) == 2
 
 
-@given(st.lists(st.tuples(st.sampled_from("ABC"), st.sampled_from(("claim", "carry", "prove", "redeem", "settle"))),
-                max_size=60))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from("ABC"), st.sampled_from(("claim", "carry", "prove", "redeem", "settle"))), max_size=60
+    )
+)
 def test_no_order_of_events_carries_a_code_twice(steps):
     codes, ref, open_refs, may_have_run = Redemptions(50), 0, {}, {}
     for code, step in steps:
--- a/tests/control/test_scheduler.py
+++ b/tests/control/test_scheduler.py
@@ -51,8 +51,12 @@
     ran = drive(one, 60_000 * MS, lambda job: 5 * MS)
     names = [name for _, name in ran]
     assert names.count("soon") > names.count("house") >= 60_000 * MS // PATIENCE - 2
-    waits = [b - a for (a, _), (b, _) in zip([r for r in ran if r[1] == "house"],
-                                             [r for r in ran if r[1] == "house"][1:], strict=False)]
+    waits = [
+        b - a
+        for (a, _), (b, _) in zip(
+            [r for r in ran if r[1] == "house"], [r for r in ran if r[1] == "house"][1:], strict=False
+        )
+    ]
     assert max(waits) <= PATIENCE + 400 * MS
 
 
@@ -62,6 +66,7 @@
     def piece(now):
         times.append(now)
         return now + 100 * MS if len(times) < 4 else None
+
     one.add(0, "a", Priority.USUAL, piece, at=50 * MS)
     drive(one, 10_000 * MS, lambda job: 1000)
     assert times == [50 * MS, 150 * MS, 250 * MS, 350 * MS] and one.next(0) is None and not list(one)
@@ -80,6 +85,7 @@
 
     def bad(now):
         raise ValueError("no")
+
     one.add(0, "bad", Priority.SOON, bad)
     one.add(0, "good", Priority.IDLE, always)
     with pytest.raises(ValueError):
--- a/tests/control/test_visits.py
+++ b/tests/control/test_visits.py
@@ -33,21 +33,28 @@
     assert not core.plays.plays and not core.visits.sessions and not core.plays.controller.sessions
 
 
-@pytest.mark.parametrize("method, url, headers, status", [
-    ("DESCRIBE", "rtsp://gw/films/none", (), 404),
-    ("DESCRIBE", FILM, (("Accept", "text/html"),), 406),
-    ("DESCRIBE", FILM, (("Require", "play.nonsense"),), 551),
-    ("SETUP", FILM, TRANSPORT, 459),
-    ("SETUP", FILM + "/track3", TRANSPORT, 404),
-    ("SETUP", FILM + "/track1", (("Transport", "RTP/AVP;unicast;client_port=5000-5001"),), 461),
-    ("SETUP", FILM + "/track1", (), 461),
-    ("SETUP", FILM + "/track1", (("Session", "none"), *TRANSPORT), 454),
-    ("PLAY", FILM, (), 454), ("PLAY", FILM, (("Session", "none"),), 454),
-    ("PLAY", FILM, (("Session", "a b"),), 400),
-    ("RECORD", FILM, (), 405), ("ANNOUNCE", FILM, (), 405), ("FLY", FILM, (), 501),
-    ("PLAY", "http://gw/films/a", (), 400), ("OPTIONS", "*", (("X", "y"),), 200),
-    ("GET_PARAMETER", FILM, (), 200),
-])
+@pytest.mark.parametrize(
+    "method, url, headers, status",
+    [
+        ("DESCRIBE", "rtsp://gw/films/none", (), 404),
+        ("DESCRIBE", FILM, (("Accept", "text/html"),), 406),
+        ("DESCRIBE", FILM, (("Require", "play.nonsense"),), 551),
+        ("SETUP", FILM, TRANSPORT, 459),
+        ("SETUP", FILM + "/track3", TRANSPORT, 404),
+        ("SETUP", FILM + "/track1", (("Transport", "RTP/AVP;unicast;client_port=5000-5001"),), 461),
+        ("SETUP", FILM + "/track1", (), 461),
+        ("SETUP", FILM + "/track1", (("Session", "none"), *TRANSPORT), 454),
+        ("PLAY", FILM, (), 454),
+        ("PLAY", FILM, (("Session", "none"),), 454),
+        ("PLAY", FILM, (("Session", "a b"),), 400),
+        ("RECORD", FILM, (), 405),
+        ("ANNOUNCE", FILM, (), 405),
+        ("FLY", FILM, (), 501),
+        ("PLAY", "http://gw/films/a", (), 400),
+        ("OPTIONS", "*", (("X", "y"),), 200),
+        ("GET_PARAMETER", FILM, (), 200),
+    ],
+)
 def test_the_status_for_each_mistake(method, url, headers, status):
     core = front()
     guest = Guest(core)
@@ -207,6 +214,7 @@
 
 def test_bounds_on_connections_sessions_and_open_requests():
     from dataclasses import replace
+
     core = front(bounds=replace(BOUNDS, connections=2, sessions=1, open_requests=0))
     guest = Guest(core)
     Guest(core)
--- a/tests/control/zones/helpers.py
+++ b/tests/control/zones/helpers.py
@@ -16,8 +16,12 @@
 
 def view(demand, rooms, silent=(), ways=None):
     n = len(rooms)
-    return View([list(row) if isinstance(row, tuple) else [row, 0.0] for row in demand], rooms,
-                ways or [[1.0] * n for _ in range(n)], [z in silent for z in range(n)])
+    return View(
+        [list(row) if isinstance(row, tuple) else [row, 0.0] for row in demand],
+        rooms,
+        ways or [[1.0] * n for _ in range(n)],
+        [z in silent for z in range(n)],
+    )
 
 
 class Site:
--- a/tests/control/zones/test_follow.py
+++ b/tests/control/zones/test_follow.py
@@ -130,18 +130,30 @@
     assert sends(one.handle(SECOND, request(1)))
 
 
-def summary(name, number=1, demand=(10.0, 0.0), rooms=(100.0, 100.0, 100.0), life=1, epoch=0, tried=(0, 0, 0),
-            broke=(0, 0, 0)):
-    return Summary(name, life, number, epoch, demand, tuple(
-        HostsOf(room, 0.0, 1, 0, t, b) for room, t, b in zip(rooms, tried, broke, strict=True)))
+def summary(
+    name, number=1, demand=(10.0, 0.0), rooms=(100.0, 100.0, 100.0), life=1, epoch=0, tried=(0, 0, 0), broke=(0, 0, 0)
+):
+    return Summary(
+        name,
+        life,
+        number,
+        epoch,
+        demand,
+        tuple(HostsOf(room, 0.0, 1, 0, t, b) for room, t, b in zip(rooms, tried, broke, strict=True)),
+    )
 
 
 ROSTER = {"a": 0, "b": 0, "c": 1, "d": 2}
 
 
 def test_summaries_merge_in_any_order_and_twice():
-    news = [summary("a", 1), summary("a", 2, (30.0, 5.0)), summary("b", 1, (7.0, 0.0)), summary("c", 9, life=1),
-            summary("c", 1, (1.0, 0.0), life=2)]
+    news = [
+        summary("a", 1),
+        summary("a", 2, (30.0, 5.0)),
+        summary("b", 1, (7.0, 0.0)),
+        summary("c", 9, life=1),
+        summary("c", 1, (1.0, 0.0), life=2),
+    ]
     found = []
     for order in (news, news[::-1], news + news, news[2:] + news[:2] + news):
         facts = Facts(ROSTER, terms())
--- a/tests/control/zones/test_planner.py
+++ b/tests/control/zones/test_planner.py
@@ -75,8 +75,10 @@
     lost = view([800, 810, 200], [0, 1000, 1000])
     for _ in range(20):
         site.step(lost)
-        assert wrong(site.terms, None, replace(site.plan, zones=tuple(replace(z, owed=z.caps) for z in site.plan.zones))
-                     ) is None
+        assert (
+            wrong(site.terms, None, replace(site.plan, zones=tuple(replace(z, owed=z.caps) for z in site.plan.zones)))
+            is None
+        )
     assert site.plan.zones[0].caps[1] == 0
     assert site.plan.zones[0].caps[2] == pytest.approx(610, rel=0.02)
     refused = 1 - sum(share for _, share in site.plan.zones[0].shares[0])
@@ -177,8 +179,16 @@
 
 
 @settings(max_examples=150)
-@given(st.lists(st.tuples(st.tuples(amounts, amounts), st.sampled_from([0.0, 500.0, 1000.0, 1500.0]), st.booleans(),
-                          st.booleans()), min_size=4, max_size=60), st.integers(0, 3))
+@given(
+    st.lists(
+        st.tuples(
+            st.tuples(amounts, amounts), st.sampled_from([0.0, 500.0, 1000.0, 1500.0]), st.booleans(), st.booleans()
+        ),
+        min_size=4,
+        max_size=60,
+    ),
+    st.integers(0, 3),
+)
 def test_any_course_of_things_gives_plans_that_pass_the_check(course, seed):
     """And at no time may fronts that hold different plans, one of the last few each, do more at a zone together than
     it had free when the last of these was made."""
@@ -194,8 +204,15 @@
             if before is not None:
                 for z in range(4):
                     free = max(0.0, plan.zones[z].room * plan.zones[z].part - plan.zones[z].own - plan.zones[z].reserve)
-                    pairs = [(before.zones[h].caps[z], max(plan.zones[h].caps[z], plan.zones[h].owed[z]),
-                              plan.zones[h].caps[z]) for h in range(4) if h != z]
+                    pairs = [
+                        (
+                            before.zones[h].caps[z],
+                            max(plan.zones[h].caps[z], plan.zones[h].owed[z]),
+                            plan.zones[h].caps[z],
+                        )
+                        for h in range(4)
+                        if h != z
+                    ]
                     assert all(plan.zones[h].owed[z] >= before.zones[h].caps[z] for h in range(4) if h != z)
                     if any(new > old + 1e-6 for old, _, new in pairs):
                         assert sum(held for _, held, _ in pairs) <= free + 1e-3
@@ -226,16 +243,19 @@
     return replace(plan, epoch=plan.epoch + 1, zones=tuple(zones))
 
 
-@pytest.mark.parametrize(("z", "more", "word"), [
-    (0, {"caps": (0.0, 5000.0, 0.0)}, "5000 kB/s for strangers"),
-    (2, {"caps": (0.0, 200.0, 0.0)}, "for strangers"),
-    (0, {"caps": (5.0, 0.0, 0.0)}, "a cap for its own hosts"),
-    (0, {"caps": (0.0, float("nan"), 0.0)}, "shape"),
-    (0, {"caps": (0.0, 0.0)}, "shape"),
-    (0, {"shares": (((0, 0.7), (1, 0.7)), ())}, "shares that are none"),
-    (0, {"shares": (((7, 0.7),), ())}, "shares that are none"),
-    (1, {"standing": Standing.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
-])
+@pytest.mark.parametrize(
+    ("z", "more", "word"),
+    [
+        (0, {"caps": (0.0, 5000.0, 0.0)}, "5000 kB/s for strangers"),
+        (2, {"caps": (0.0, 200.0, 0.0)}, "for strangers"),
+        (0, {"caps": (5.0, 0.0, 0.0)}, "a cap for its own hosts"),
+        (0, {"caps": (0.0, float("nan"), 0.0)}, "shape"),
+        (0, {"caps": (0.0, 0.0)}, "shape"),
+        (0, {"shares": (((0, 0.7), (1, 0.7)), ())}, "shares that are none"),
+        (0, {"shares": (((7, 0.7),), ())}, "shares that are none"),
+        (1, {"standing": Standing.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
+    ],
+)
 def test_a_plan_that_would_overfill_or_makes_no_sense_is_refused_whoever_proposes_it(z, more, word):
     one, plan = planned()
     assert word in (wrong(one, plan, changed(plan, z, **more)) or "")
@@ -260,10 +280,21 @@
     """Storm 456: zone 4 was owed 4,210 of an earlier plan, was lowered, and raised again to all that was free, while a
     front of zone 0 still had what the plan between had given it."""
     one, plan = planned()
-    first = replace(plan, zones=(replace(plan.zones[0], caps=(0.0, 100.0, 0.0), owed=(0.0, 310.0, 0.0),
-                                         shares=(((0, 0.5),), ())),
-                                 plan.zones[1], replace(plan.zones[2], caps=(0.0, 50.0, 0.0))))
-    again = replace(first, epoch=first.epoch + 1, zones=(
-        replace(first.zones[0], caps=(0.0, 310.0, 0.0)), first.zones[1],
-        replace(first.zones[2], caps=(0.0, 0.0, 0.0), owed=(0.0, 50.0, 0.0))))
+    first = replace(
+        plan,
+        zones=(
+            replace(plan.zones[0], caps=(0.0, 100.0, 0.0), owed=(0.0, 310.0, 0.0), shares=(((0, 0.5),), ())),
+            plan.zones[1],
+            replace(plan.zones[2], caps=(0.0, 50.0, 0.0)),
+        ),
+    )
+    again = replace(
+        first,
+        epoch=first.epoch + 1,
+        zones=(
+            replace(first.zones[0], caps=(0.0, 310.0, 0.0)),
+            first.zones[1],
+            replace(first.zones[2], caps=(0.0, 0.0, 0.0), owed=(0.0, 50.0, 0.0)),
+        ),
+    )
     assert "with what earlier plans still allow" in (wrong(one, first, again) or "")
--- a/tests/control/zones/test_rollup.py
+++ b/tests/control/zones/test_rollup.py
@@ -98,8 +98,9 @@
     def __init__(self, sizes, prompt):
         self.terms, self.prompt = terms(len(sizes)), prompt
         self.now, self.committed, self.lags = 100 * SECOND, 3, [0, 0]
-        self.cells = {(z, c): [f"{z}.{c}.{n}" for n in range(size)]
-                      for z, row in enumerate(sizes) for c, size in enumerate(row)}
+        self.cells = {
+            (z, c): [f"{z}.{c}.{n}" for n in range(size)] for z, row in enumerate(sizes) for c, size in enumerate(row)
+        }
         self.names = [name for names in self.cells.values() for name in names]
         self.cell_of = {name: key for key, names in self.cells.items() for name in names}
         self.flat = Facts({name: key[0] for name, key in self.cell_of.items()}, self.terms)
@@ -120,10 +121,17 @@
             self.epochs[name] = max(self.epochs[name], self.committed - rng.randrange(2))
         self.numbers[name] += 1
         pool = 4 if draw % 2 else 1000
-        one = Summary(name, self.lives[name], self.numbers[name], self.epochs[name],
-                      (rng.random() * 100, rng.random()), tuple(
-                          HostsOf(float(rng.randrange(pool)), 0.0, int(rng.random() < 0.9), 0, 4 + n, rng.randrange(4))
-                          for n in range(self.terms.zones)))
+        one = Summary(
+            name,
+            self.lives[name],
+            self.numbers[name],
+            self.epochs[name],
+            (rng.random() * 100, rng.random()),
+            tuple(
+                HostsOf(float(rng.randrange(pool)), 0.0, int(rng.random() < 0.9), 0, 4 + n, rng.randrange(4))
+                for n in range(self.terms.zones)
+            ),
+        )
         key = self.cell_of[name]
         heard = [by for n, by in enumerate(self.cells[key][:3]) if mask >> n & 1]
         for by in heard:
@@ -133,8 +141,13 @@
             self.said[name].append((self.now, one.epoch))
 
     def report(self, key, by, collector):
-        self.flights.append((self.now, collector, self.books[key, by].report(
-            self.now, by, self.lives[by], {}, (UNASKED,) * self.terms.zones)))
+        self.flights.append(
+            (
+                self.now,
+                collector,
+                self.books[key, by].report(self.now, by, self.lives[by], {}, (UNASKED,) * self.terms.zones),
+            )
+        )
 
     def deliver(self, flight):
         at, collector, report = flight
@@ -192,8 +205,11 @@
         found = self.leader.epochs(self.now)
         since = self.now - self.terms.silent - sum(self.lags)
         for z, epoch in enumerate(found):
-            said = [max((e for at, e in self.said[name] if at >= since), default=0)
-                    for name in self.names if self.cell_of[name][0] == z]
+            said = [
+                max((e for at, e in self.said[name] if at >= since), default=0)
+                for name in self.names
+                if self.cell_of[name][0] == z
+            ]
             assert epoch <= min(said, default=1 << 60)
         if self.prompt:
             assert all(a <= b for a, b in zip(found, self.flat.epochs(self.now), strict=True))
@@ -207,7 +223,7 @@
         self.now += SECOND
         flights = []
         for n, (key, names) in enumerate(sorted(self.cells.items())):
-            for by in names[:3][:1 + (orders + n) % 2]:
+            for by in names[:3][: 1 + (orders + n) % 2]:
                 self.report(key, by, (orders + n) % 2)
                 flights.append(self.flights[-1])
         rng = random.Random(orders)
@@ -221,10 +237,33 @@
             self.pass_on(one)
 
 
-drawn_ops = st.lists(st.tuples(
-    st.sampled_from(["tell", "all tell", "all tell", "commit", "wait", "wait", "report", "report", "report", "again",
-                     "gather", "gather", "pass on", "pass on", "restart"]),
-    st.integers(0, 99), st.integers(0, 255), st.integers(0, 99)), max_size=60)
+drawn_ops = st.lists(
+    st.tuples(
+        st.sampled_from(
+            [
+                "tell",
+                "all tell",
+                "all tell",
+                "commit",
+                "wait",
+                "wait",
+                "report",
+                "report",
+                "report",
+                "again",
+                "gather",
+                "gather",
+                "pass on",
+                "pass on",
+                "restart",
+            ]
+        ),
+        st.integers(0, 99),
+        st.integers(0, 255),
+        st.integers(0, 99),
+    ),
+    max_size=60,
+)
 sizes_ = st.lists(st.lists(st.integers(1, 14), min_size=1, max_size=3), min_size=2, max_size=4)
 
 
@@ -241,8 +280,11 @@
         for a, b in zip(rolled, one, strict=True):
             assert a == pytest.approx(b)
     told = [s for s in flat.fresh(now) if any(z.hosts for z in s.zones)]
-    exact = all(len({s.zones[z].room for s in told if site.cell_of[s.name] == key}) <= MOST_POINTS
-                for key in site.cells for z in range(site.terms.zones))
+    exact = all(
+        len({s.zones[z].room for s in told if site.cell_of[s.name] == key}) <= MOST_POINTS
+        for key in site.cells
+        for z in range(site.terms.zones)
+    )
     assert not exact or leader.rooms(now) == flat.rooms(now)
     for z, room in enumerate(leader.rooms(now)):
         who = [s for s in told if site.cell_of[s.name][0] == z] or told
@@ -255,18 +297,35 @@
     assert [one[0] - one[4] for one in leader.lives(now)] == [heard[z] for z in range(site.terms.zones)]
 
 
-reports_ = st.lists(st.tuples(st.integers(0, 3), st.integers(1, 2), st.integers(1, 3), st.integers(0, 16)),
-                    min_size=1, max_size=12)
+reports_ = st.lists(
+    st.tuples(st.integers(0, 3), st.integers(1, 2), st.integers(1, 3), st.integers(0, 16)), min_size=1, max_size=12
+)
 
 
 @settings(max_examples=200)
 @given(reports_, st.randoms(use_true_random=False))
 def test_reports_in_any_order_and_twice_by_several_ways_say_the_same(drawn, rng):
     """The same report always says the same; only how long it lay differs by the way it came."""
+
     def report(by, life, number):
         room = ((float(number), 2),)
-        return CellReport(0, 0, 7, f"m{by}", life, number, by * SECOND, 4 - by // 2, life + number if by < 2 else 0, 0,
-                          number % 4, 0, (float(by), float(life)), (Zonal(room, 9, number, 0, 0, 0, 0),) * 3)
+        return CellReport(
+            0,
+            0,
+            7,
+            f"m{by}",
+            life,
+            number,
+            by * SECOND,
+            4 - by // 2,
+            life + number if by < 2 else 0,
+            0,
+            number % 4,
+            0,
+            (float(by), float(life)),
+            (Zonal(room, 9, number, 0, 0, 0, 0),) * 3,
+        )
+
     events = [(report(by, life, number), lay * SECOND) for by, life, number, lay in drawn]
     found = []
     for order in (events, events[::-1], events + events, rng.sample(events, len(events)) + events[::2]):
@@ -274,8 +333,17 @@
         for one, lay in order:
             facts.learn(20 * SECOND, one, lay)
         now = 21 * SECOND
-        found.append((facts.demand(now), facts.rooms(now), facts.ways(now), facts.epochs(now), facts.silent(now, 0),
-                      facts.lives(now), facts.gather(now)))
+        found.append(
+            (
+                facts.demand(now),
+                facts.rooms(now),
+                facts.ways(now),
+                facts.epochs(now),
+                facts.silent(now, 0),
+                facts.lives(now),
+                facts.gather(now),
+            )
+        )
     assert all(one == found[0] for one in found)
 
 
@@ -289,9 +357,18 @@
     assert book.learn(0, summary("m1", 1, life=2)) and not book.learn(0, summary("m1", 9))
     assert not book.learn(0, summary("x"))
     assert not book.learn(0, summary("m2", zones=2)) and not book.learn(0, summary("m2", demand=(1.0,)))
-    for wrong in ({"demand": (-1.0, 0.0)}, {"demand": (1e300, 0.0)}, {"room": 1e300}, {"room": math.nan},
-                  {"epoch": -1}, {"epoch": 1 << 62}, {"life": 1 << 62}, {"number": 1 << 62}, {"tried": 1 << 62},
-                  {"tried": 1, "broke": 2}):
+    for wrong in (
+        {"demand": (-1.0, 0.0)},
+        {"demand": (1e300, 0.0)},
+        {"room": 1e300},
+        {"room": math.nan},
+        {"epoch": -1},
+        {"epoch": 1 << 62},
+        {"life": 1 << 62},
+        {"number": 1 << 62},
+        {"tried": 1 << 62},
+        {"tried": 1, "broke": 2},
+    ):
         assert not book.learn(0, summary("m2", **wrong)), wrong
     assert cell.report(SECOND).heard == 1
 
@@ -306,8 +383,9 @@
     assert found.zones[1] == Zonal(((30.0, 2), (50.0, 1)), 6, 2, asked=9, reached=8, heard=7, late=6)
     cell.tell(3 * SECOND, ["m3"], epoch=5, hosts=0)
     whole = cell.report(3 * SECOND)
-    assert (whole.heard, whole.epoch) == (4, 4) and whole.zones == replace(found, zones=tuple(
-        replace(z, asked=0, reached=0, heard=0, late=0) for z in found.zones)).zones
+    assert (whole.heard, whole.epoch) == (4, 4) and whole.zones == replace(
+        found, zones=tuple(replace(z, asked=0, reached=0, heard=0, late=0) for z in found.zones)
+    ).zones
     assert cell.council.learn(3 * SECOND, found) and cell.council.learn(3 * SECOND, whole)
 
 
@@ -486,10 +564,28 @@
     assert [r.by for r, _ in cell.council.gather(6 * SECOND)[0].reports] == ["d2", "d3", "d4", "d5"]
 
 
-@pytest.mark.parametrize("more", [
-    {"digest": 8}, {"age": -1}, {"age": 1 << 60}, {"heard": 5}, {"heard": -1}, {"heard": 3}, {"epoch": -1},
-    {"epoch": 1 << 60}, {"suspect": 16}, {"dead": -1}, {"left": 1 << 40}, {"demand": (1.0,)},
-    {"demand": (-1.0, 0.0)}, {"demand": (1e300, 0.0)}, {"life": 1 << 60}, {"life": -1}, {"number": 1 << 60}])
+@pytest.mark.parametrize(
+    "more",
+    [
+        {"digest": 8},
+        {"age": -1},
+        {"age": 1 << 60},
+        {"heard": 5},
+        {"heard": -1},
+        {"heard": 3},
+        {"epoch": -1},
+        {"epoch": 1 << 60},
+        {"suspect": 16},
+        {"dead": -1},
+        {"left": 1 << 40},
+        {"demand": (1.0,)},
+        {"demand": (-1.0, 0.0)},
+        {"demand": (1e300, 0.0)},
+        {"life": 1 << 60},
+        {"life": -1},
+        {"number": 1 << 60},
+    ],
+)
 def test_a_report_that_no_cell_of_this_site_can_make_is_passed_over(more):
     cell = Cell()
     cell.tell(0, epoch=4)
@@ -497,11 +593,25 @@
     assert cell.council.epochs(0)[0] == 0 and cell.council.gather(0) == []
 
 
-@pytest.mark.parametrize("more", [
-    {"rooms": ((1.0, 1), (1.0, 1))}, {"rooms": ((2.0, 1), (1.0, 1))}, {"rooms": ((1.0, 0),)}, {"rooms": ((1.0, 5),)},
-    {"rooms": ((-1.0, 1),)}, {"rooms": ((1e300, 1),)}, {"rooms": tuple((float(n), 1) for n in range(10))},
-    {"tried": -1, "broke": -1}, {"broke": 1}, {"tried": 1 << 62}, {"reached": 1}, {"asked": 1 << 62}, {"heard": -1},
-    {"late": 1 << 62}])
+@pytest.mark.parametrize(
+    "more",
+    [
+        {"rooms": ((1.0, 1), (1.0, 1))},
+        {"rooms": ((2.0, 1), (1.0, 1))},
+        {"rooms": ((1.0, 0),)},
+        {"rooms": ((1.0, 5),)},
+        {"rooms": ((-1.0, 1),)},
+        {"rooms": ((1e300, 1),)},
+        {"rooms": tuple((float(n), 1) for n in range(10))},
+        {"tried": -1, "broke": -1},
+        {"broke": 1},
+        {"tried": 1 << 62},
+        {"reached": 1},
+        {"asked": 1 << 62},
+        {"heard": -1},
+        {"late": 1 << 62},
+    ],
+)
 def test_a_zones_part_that_no_cell_can_have_is_passed_over(more):
     cell = Cell()
     cell.tell(0, epoch=4)
@@ -543,6 +653,7 @@
         for one in reports:
             assert found.learn(0, one)
         return found
+
     lost = council(asked(1, 4, 0), asked(2, 2, 0))
     assert lost.unreached(0) == [True, False, False] and lost.silent(0, 0) == NEVER and lost.silent(0, 1) == 0
     assert lost.unreached(RECENT) == [True, False, False] and lost.unreached(RECENT + 1) == [False] * 3
@@ -598,10 +709,18 @@
     rng, names = random.Random(3), [name.format(n) for n in range(size)]
     book = CellBook(0, 0, names, (1 << 62) + 1, terms(zones))
     for n, one in enumerate(names):
-        assert book.learn(1000 * SECOND - n, Summary(one, 1764650000000, 90000, 70000, (rng.random() * 1e6, 0.3), tuple(
-            HostsOf(rng.random() * 1e6, 1.0, 40, 0, 300, 7) for _ in range(zones))))
-    return book.report(1001 * SECOND, names[3], 1764650000000, {names[0]: 1, names[-1]: 2},
-                       ((72, 70, 71, 3),) * zones)
+        assert book.learn(
+            1000 * SECOND - n,
+            Summary(
+                one,
+                1764650000000,
+                90000,
+                70000,
+                (rng.random() * 1e6, 0.3),
+                tuple(HostsOf(rng.random() * 1e6, 1.0, 40, 0, 300, 7) for _ in range(zones)),
+            ),
+        )
+    return book.report(1001 * SECOND, names[3], 1764650000000, {names[0]: 1, names[-1]: 2}, ((72, 70, 71, 3),) * zones)
 
 
 def test_reports_go_through_frames_and_back():
--- a/tests/gateway/node/confined.py
+++ b/tests/gateway/node/confined.py
@@ -13,10 +13,29 @@
 
 told = -1
 temporary = os.path.realpath(os.environ.get("TMPDIR", "/tmp"))
-STARTS = ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "pty.spawn",
-          "subprocess.Popen")
-WRITES = ("os.remove", "os.rename", "os.mkdir", "os.rmdir", "os.link", "os.symlink", "os.truncate", "os.chmod",
-          "os.chown", "os.utime", "os.setxattr")
+STARTS = (
+    "os.fork",
+    "os.forkpty",
+    "os.exec",
+    "os.posix_spawn",
+    "os.spawn",
+    "os.system",
+    "pty.spawn",
+    "subprocess.Popen",
+)
+WRITES = (
+    "os.remove",
+    "os.rename",
+    "os.mkdir",
+    "os.rmdir",
+    "os.link",
+    "os.symlink",
+    "os.truncate",
+    "os.chmod",
+    "os.chown",
+    "os.utime",
+    "os.setxattr",
+)
 
 
 def outside(path):
@@ -59,7 +78,9 @@
 
 
 PLANTS = {
-    "fork": fork, "program": lambda: subprocess.run(["true"], check=True), "unix": unix,
+    "fork": fork,
+    "program": lambda: subprocess.run(["true"], check=True),
+    "unix": unix,
     "six": lambda: socket.socket(socket.AF_INET6).close(),
     "file": lambda: (Path(temporary).parent / "outside").write_text("x"),
     "folder": lambda: os.mkdir(Path(temporary).parent / "folder"),
@@ -69,6 +90,7 @@
     told = os.open(sys.argv[1], os.O_WRONLY | os.O_APPEND)
     sys.addaudithook(hook)
     from copperyard.gateway.node.__main__ import main
+
     if len(sys.argv) > 2:
         threading.Timer(0.2, PLANTS[sys.argv[2]]).start()
     sys.exit(main())
--- a/tests/gateway/node/sockets.py
+++ b/tests/gateway/node/sockets.py
@@ -200,13 +200,26 @@
         self.names.bind(("127.0.0.1", 0))
         self.names.setblocking(False)
         since = round(time.time() * 1e3) - 10 if fresh else 0
-        members = [{"id": host.name, "host_port": f"127.0.0.1:{host.port}", "locality": "catania", "cell": n,
-                    "flavor": "three-core", "phase": "Ready", "size": 1, "up_since_ms": since}
-                   for n, host in enumerate(self.hosts)]
+        members = [
+            {
+                "id": host.name,
+                "host_port": f"127.0.0.1:{host.port}",
+                "locality": "catania",
+                "cell": n,
+                "flavor": "three-core",
+                "phase": "Ready",
+                "size": 1,
+                "up_since_ms": since,
+            }
+            for n, host in enumerate(self.hosts)
+        ]
         self.config = {
-            "seed": "8c1f30d27a5be964", "limits": {"sockets": sockets}, "settings": settings,
+            "seed": "8c1f30d27a5be964",
+            "limits": {"sockets": sockets},
+            "settings": settings,
             "dns": f"127.0.0.1:{self.names.getsockname()[1]}",
-            "known": {"n": 1, "events": [{"members": {"complete": True, "members": members}}]}}
+            "known": {"n": 1, "events": [{"members": {"complete": True, "members": members}}]},
+        }
         place = parse_place("n0", "127.0.0.1:0", self.config)
         self.node = Node(place, self.network, lambda event, fields: self.lines.append((event, dict(fields))))
 
@@ -241,8 +254,14 @@
     def is_clean(self):
         """Nothing is held for anybody, neither in the ledger nor in a seat."""
         core, module = self.node.core, self.node.core.module
-        return not (core.sessions or core.by_id or module.sessions or module.held or module.seats
-                    or any(server.link.own for server in module.servers.values()))
+        return not (
+            core.sessions
+            or core.by_id
+            or module.sessions
+            or module.held
+            or module.seats
+            or any(server.link.own for server in module.servers.values())
+        )
 
 
 class Program:
@@ -259,9 +278,14 @@
         else:
             self.write()
         environ = {**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": self.address, "NODE_CONFIG": str(self.path)}
-        self.process = subprocess.Popen([sys.executable, "-m", "copperyard.gateway.node"], env=environ,
-                                        cwd=Path(__file__).parents[3], stderr=stderr, stdout=subprocess.PIPE,
-                                        preexec_fn=preexec)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "copperyard.gateway.node"],
+            env=environ,
+            cwd=Path(__file__).parents[3],
+            stderr=stderr,
+            stdout=subprocess.PIPE,
+            preexec_fn=preexec,
+        )
 
     async def start(self):
         for host in self.world.hosts:
@@ -319,6 +343,7 @@
 
 def beside(path, body, **more):
     """Run `body(program)` beside a node that has started as a process."""
+
     async def main():
         async with trio.open_nursery() as nursery:
             program = Program(nursery, path, **more)
@@ -329,17 +354,20 @@
                 program.process.kill()
                 program.process.wait()
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
 def within(body, **more):
     """Run `body(world)` with a node that has started."""
+
     async def main():
         async with trio.open_nursery() as nursery:
             world = World(nursery, **more)
             await world.start()
             await body(world)
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
--- a/tests/gateway/node/test_confined.py
+++ b/tests/gateway/node/test_confined.py
@@ -40,8 +40,14 @@
     place.write_text(json.dumps(config(dns=f"127.0.0.1:{port(socket.SOCK_DGRAM)}")))
     listen = port()
     words = [sys.executable, str(Path(confined.__file__)), str(told), *([plant] if plant else [])]
-    env = {"PATH": os.environ["PATH"], "PYTHONPATH": str(ROOT), "TMPDIR": str(folder), "NODE_NAME": "n0",
-           "NODE_LISTEN": f"127.0.0.1:{listen}", "NODE_CONFIG": str(place)}
+    env = {
+        "PATH": os.environ["PATH"],
+        "PYTHONPATH": str(ROOT),
+        "TMPDIR": str(folder),
+        "NODE_NAME": "n0",
+        "NODE_LISTEN": f"127.0.0.1:{listen}",
+        "NODE_CONFIG": str(place),
+    }
     node = subprocess.Popen(words, env=env, cwd=tmp_path)
     try:
         viewer = None
--- a/tests/gateway/node/test_end.py
+++ b/tests/gateway/node/test_end.py
@@ -18,6 +18,7 @@
 
 def test_what_lies_unread_when_nothing_is_left_to_do_is_still_answered():
     """On a connection that stands, on one that waits to be accepted, and behind half a request."""
+
     async def body(world):
         stands, half = world.client(), world.client()
         half.send(setup(sid(2))[:40])
@@ -37,11 +38,13 @@
             assert one.at_end
         with trio.fail_after(3):
             await world.node.ended.wait()
+
     within(body)
 
 
 def test_bytes_in_the_instant_of_the_last_answer():
     """The last session's answer leaves, and a further request lies unread in that very step."""
+
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: None
@@ -58,6 +61,7 @@
         with trio.fail_after(3):
             await world.node.ended.wait()
         assert world.is_clean()
+
     within(body, hosts=1)
 
 
@@ -67,8 +71,7 @@
         host.says = lambda session: answer(session, 14000)
         one = world.client()
         one.send(setup(sid(1)))
-        await world.until(lambda: world.node.core.sessions and any(
-            pipe.rest for pipe in world.node._callers.values()))
+        await world.until(lambda: world.node.core.sessions and any(pipe.rest for pipe in world.node._callers.values()))
         one.send(teardown(sid(1)))
         await world.until(lambda: not world.node.core.sessions)
         world.nursery.start_soon(world.node.end)
@@ -85,6 +88,7 @@
         assert [event.response.status for event in one.wire.receive(got)] == [200, 200]
         with trio.fail_after(5):
             await world.node.ended.wait()
+
     within(body, hosts=1, narrow=True)
 
 
@@ -107,6 +111,7 @@
         await world.until(lambda: host.releases == [sid(1)])
         with trio.fail_after(3):
             await world.node.ended.wait()
+
     within(body, hosts=1)
 
 
@@ -122,6 +127,7 @@
         began = trio.current_time()
         await world.node.end()
         assert trio.current_time() - began < (bounds.END_LEAST + bounds.END_CLEAR + bounds.END_PART) / 1e9 + 1
+
     within(body, hosts=1, narrow=True)
 
 
@@ -131,6 +137,7 @@
 def test_a_process_that_was_behind_answers_what_came_meanwhile(tmp_path):
     """Stopped from 0.3 s after the signal until after it was to end: twenty requests, half of them on connections that
     nobody has accepted yet, meet the time of the end in one instant."""
+
     async def body(program):
         stands = [program.client() for _ in range(10)]
         await trio.sleep(0.1)
@@ -146,6 +153,7 @@
             assert await one.answers(2) == [503] and one.at_end
         code, said = await program.exit()
         assert code == 0 and "Traceback" not in said
+
     beside(tmp_path, body)
 
 
@@ -168,11 +176,13 @@
         code, said = await program.exit()
         assert code == 0 and "Traceback" not in said
         assert sorted(program.world.hosts[0].releases) == [sid(1), sid(2)]
+
     beside(tmp_path, body)
 
 
 def test_what_stands_goes_on_and_what_is_out_gets_its_answer_after_the_signal(tmp_path):
     """A paid set-up is out when the signal comes, and stands 1.5 s later; another one stood before."""
+
     async def body(program):
         (host,) = program.world.hosts
         one, two = program.client(), program.client()
@@ -193,6 +203,7 @@
         assert await two.answers(2) == [200]
         code, said = await program.exit()
         assert code == 0 and "Traceback" not in said and host.releases == [sid(2)]
+
     beside(tmp_path, body)
 
 
@@ -208,6 +219,7 @@
         one.send(teardown(sid(1)))
         code, said = await program.exit()
         assert code == 0 and "configuration not taken" in said and "Traceback" not in said
+
     beside(tmp_path, body)
 
 
@@ -215,6 +227,7 @@
 def test_a_signal_while_the_process_reads_its_configuration(tmp_path, number):
     """The file is a pipe that this test fills: the signal comes between the first line of the program and its ready
     one. SIGHUP ends nothing, and SIGTERM is a planned end like any other."""
+
     async def main():
         async with trio.open_nursery() as nursery:
             program = Program(nursery, tmp_path, pipe=True)
@@ -239,6 +252,7 @@
                 program.process.kill()
                 program.process.wait()
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
@@ -256,11 +270,13 @@
                 program.process.kill()
                 program.process.wait()
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
 def test_a_start_in_the_instant_in_which_the_process_of_before_ends(tmp_path):
     """Its address is still in use when the next one wants it: that one waits, and serves once it is free."""
+
     async def main():
         async with trio.open_nursery() as nursery:
             program = Program(nursery, tmp_path, pipe=True)
@@ -281,6 +297,7 @@
             _, said = await program.exit()
             assert "address in use" in said and "Traceback" not in said
             nursery.cancel_scope.cancel()
+
     trio.run(main)
 
 
--- a/tests/gateway/node/test_gone.py
+++ b/tests/gateway/node/test_gone.py
@@ -34,8 +34,11 @@
 
 def withdraws_behind_others(client, n):
     """What it said before fills more than one read of the node."""
-    client.send(b"".join(setup(sid(1000 + k), body=bytes(900)) for k in range(60)) + teardown(sid(n))
-                + b"".join(teardown(sid(1000 + k)) for k in range(60)))
+    client.send(
+        b"".join(setup(sid(1000 + k), body=bytes(900)) for k in range(60))
+        + teardown(sid(n))
+        + b"".join(teardown(sid(1000 + k)) for k in range(60))
+    )
 
 
 WAYS = pytest.mark.parametrize("goes", [closes, resets, half_closes, withdraws, withdraws_behind_others])
@@ -57,6 +60,7 @@
 @WAYS
 def test_a_timer_fires(goes):
     """At a cold host the second set-up waits for its time, which only a timer brings."""
+
     async def body(world):
         one, two = world.client(), world.client()
         one.send(setup(sid(1)))
@@ -71,6 +75,7 @@
         three.send(teardown(sid(99)))
         one.send(teardown(sid(1)))
         await world.until(world.is_clean)
+
     within(body, hosts=1, fresh=True, contract=PACED)
 
 
@@ -90,6 +95,7 @@
         assert world.setups == [sid(1)]
         world.let_go()
         await world.until(world.is_clean)
+
     within(body)
 
 
@@ -102,6 +108,7 @@
         await world.until(lambda: world.node.core.sessions)
         await gone(world, client, 2, goes, others=[world.network.dials.set])
         await world.until(world.is_clean)
+
     within(body)
 
 
@@ -130,12 +137,14 @@
         host.reads.set()
         await trio.sleep(0.3)
         assert sid(2) not in host.setups and sid(100) in host.setups
+
     within(body, hosts=1, narrow=True, extra={"placesByKind": [500]})
 
 
 @WAYS
 def test_the_process_wakes_after_a_stall(goes):
     """It stands still while the client goes and the time of a second attempt comes; twenty are held at once."""
+
     async def body(world):
         one = world.client()
         one.send(setup(sid(1)))
@@ -151,11 +160,13 @@
         assert world.setups == [sid(1)]
         one.send(teardown(sid(1)))
         await world.until(world.is_clean)
+
     within(body, hosts=1, fresh=True, contract=PACED)
 
 
 def test_what_did_run_is_released():
     """The client goes while its first attempt is out: the host that may have set it up is told."""
+
     async def body(world):
         for host in world.hosts:
             host.says = lambda session: None
@@ -165,12 +176,14 @@
         client.reset()
         await world.until(lambda: [s for host in world.hosts for s in host.releases] == [sid(1)])
         assert world.setups == [sid(1)] and world.is_clean()
+
     within(body)
 
 
 def test_a_hosts_end_behind_its_last_words_is_seen_before_a_set_up_is_entrusted_to_it():
     """The host says something and closes: reading the words alone would leave the end unseen, and a paid set-up
     written to that connection could not be proved not to have run."""
+
     async def body(world):
         (host,) = world.hosts
         one, two = world.client(), world.client()
@@ -185,13 +198,14 @@
         core.viewer_said(now(), viewer, setup(sid(2), "paid"))
         world.node.carry_out()
         assert await two.answers(1) == [200]
-    within(body, hosts=1)
 
+    within(body, hosts=1)
 
 
 @pytest.mark.parametrize("goes", [closes, resets, half_closes])
 def test_a_release_is_not_told_to_a_connection_whose_end_lies_unread(goes):
     """Its session stands on, as no connection owns one: whatever ends it is told where somebody reads."""
+
     async def body(world):
         (host,) = world.hosts
         one, two = world.client(), world.client()
@@ -205,12 +219,14 @@
         world.let_go()
         two.send(teardown(sid(2)))
         await world.until(world.is_clean)
+
     within(body, hosts=1)
 
 
 @pytest.mark.parametrize("goes", [closes, resets, half_closes, withdraws])
 def test_a_session_that_comes_to_stand_when_its_client_has_gone_is_ended_at_its_host(goes):
     """The client's end lies unread when the host's answer comes: nobody would ever end that session."""
+
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: None
@@ -223,4 +239,5 @@
         await world.until(lambda: host.releases == [sid(1)])
         await world.until(world.is_clean)
         world.let_go()
+
     within(body, hosts=1)
--- a/tests/gateway/node/test_idle.py
+++ b/tests/gateway/node/test_idle.py
@@ -24,6 +24,7 @@
         world.let_go()
         one.send(teardown(sid(1)))
         assert await one.answers(1) == [200] and not one.at_end
+
     within(body)
 
 
@@ -39,6 +40,7 @@
         one.send(setup(sid(1)))
         assert await one.answers(1) == [200]
         assert await idle.answers(1) == [] and idle.at_end
+
     within(body)
 
 
@@ -58,6 +60,7 @@
         assert await clients[0].answers(1) == [200] and await clients[1].answers(1) == [200]
         assert await clients[2].answers(1) == [] and clients[2].at_end
         assert len(world.node._callers) <= share
+
     within(body, sockets=64)
 
 
@@ -80,11 +83,13 @@
         assert await new.answers(1) == [200]
         assert len(world.node._callers) <= share
         assert await slow.answers(2) == [200, 200]
+
     within(body, hosts=1, sockets=64, narrow=True)
 
 
 def test_more_connections_at_once_than_there_is_room_for_take_each_others_place():
     """All are accepted in one turn; the last ones are served, and the bound of descriptors holds at every moment."""
+
     async def body(world):
         most = 0
         accepted = world.node._accepted
@@ -93,6 +98,7 @@
             nonlocal most
             accepted(stream)
             most = max(most, len(world.node._callers))
+
         world.node._accepted = counted
         world.hold_back()
         mute = [world.client() for _ in range(150)]
@@ -101,6 +107,7 @@
         world.let_go()
         assert await last.answers(1) == [200]
         assert most <= bounds.viewers_share(64) and mute
+
     within(body, sockets=64)
 
 
@@ -109,6 +116,7 @@
         one = world.client()
         one.send(setup(sid(1), cls="nobody") + setup(sid(2)) + setup(sid(3), patience="soon") + setup(sid(4)))
         assert sorted(await one.answers(4)) == [200, 200, 400, 400]
+
     within(body)
 
 
@@ -126,6 +134,7 @@
         await host.say(release(sid(1)) + release(sid(2), Cause.RESET))
         assert await one.answers(1) == ["TEARDOWN"] and await two.answers(1) == ["TEARDOWN"]
         await world.until(world.is_clean)
+
     within(body, hosts=1)
 
 
@@ -139,7 +148,7 @@
         for n in range(25):
             for one in slow:
                 try:
-                    one.sock.send(request[n:n + 1])
+                    one.sock.send(request[n : n + 1])
                 except OSError:
                     pass
             if n % 5 == 0:
@@ -150,11 +159,13 @@
         assert len(world.node._callers) <= 1 + 20  # those that were ended are heard out for a while, and no more
         for one in slow:
             assert await one.answers(2) == [408] and one.at_end
+
     within(body)
 
 
 def test_a_host_that_gives_a_byte_now_and_then_does_not_hold_a_connection():
     """A message is to be whole a connect's time after it began, however often a byte of it comes."""
+
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: None
@@ -166,11 +177,11 @@
         with trio.move_on_after(0.8):
             for n in range(len(slow)):
                 try:
-                    await host.say(slow[n:n + 1])
+                    await host.say(slow[n : n + 1])
                 except trio.BrokenResourceError:
                     break
                 await trio.sleep(0.05)
         assert await one.answers(1) == [500]  # it may have run there
         assert trio.current_time() - began < 1
-    within(body, hosts=1)
 
+    within(body, hosts=1)
--- a/tests/gateway/node/test_node.py
+++ b/tests/gateway/node/test_node.py
@@ -27,14 +27,28 @@
 
 
 def member(n, **more):
-    return {"id": f"s-{n}", "host_port": f"127.0.0.1:{9000 + n}", "locality": "catania", "flavor": "three-core",
-            "cell": n, "phase": "Ready", "size": 1, "up_since_ms": 0, **more}
+    return {
+        "id": f"s-{n}",
+        "host_port": f"127.0.0.1:{9000 + n}",
+        "locality": "catania",
+        "flavor": "three-core",
+        "cell": n,
+        "phase": "Ready",
+        "size": 1,
+        "up_since_ms": 0,
+        **more,
+    }
 
 
 def config(hosts=3, **more):
-    return {"seed": "8c1f30d27a5be964", "limits": {"sockets": 64}, "dns": "127.0.0.1:5300", "settings": OPTIONS,
-            "known": {"n": 1, "events": [
-                {"members": {"complete": True, "members": [member(n) for n in range(hosts)]}}]}, **more}
+    return {
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 64},
+        "dns": "127.0.0.1:5300",
+        "settings": OPTIONS,
+        "known": {"n": 1, "events": [{"members": {"complete": True, "members": [member(n) for n in range(hosts)]}}]},
+        **more,
+    }
 
 
 ONE = "home:0;copies:1;top:1;viewer:00"
@@ -74,8 +88,13 @@
         self.names, self.setups, self.mute, self.says = [], [], False, answer
         self.lines, self.hosts = [], []
         place = parse_place("n0", "127.0.0.1:2905", config(**more))
-        self.node = Node(place, self.network, lambda event, fields: self.lines.append((event, dict(fields))),
-                         self._datagrams, lambda: 0)
+        self.node = Node(
+            place,
+            self.network,
+            lambda event, fields: self.lines.append((event, dict(fields))),
+            self._datagrams,
+            lambda: 0,
+        )
 
     def _datagrams(self, address):
         self.names.append(Names(address))
@@ -100,7 +119,7 @@
                         if not self.mute:
                             back = self.says(session)
                             while back:
-                                back = back[stream.send_now(back):]
+                                back = back[stream.send_now(back) :]
         except OSError:
             pass
 
@@ -114,7 +133,7 @@
 
     def send(self, data):
         while data:
-            data = data[self.stream.send_now(data):]
+            data = data[self.stream.send_now(data) :]
 
     async def next(self, most=10.0):
         """The next message, None at the end of the connection."""
@@ -138,6 +157,7 @@
             await trio.sleep(6)
             await body(world)
             nursery.cancel_scope.cancel()
+
     virtual.run(main, seed)
 
 
@@ -152,8 +172,9 @@
         for host in world.hosts:  # each knows of its own; the others' words mean nothing
             back = b"".join(release(sid(n + 1)) for n in range(20))
             while back:
-                back = back[host.send_now(back):]
+                back = back[host.send_now(back) :]
         assert [await viewer.next() for _ in range(20)] == ["TEARDOWN"] * 20
+
     within(body, manners=Manners(chop=0.5))
 
 
@@ -168,6 +189,7 @@
         core.viewer_said(now(), next(iter(core.viewers)), setup(sid(2), "paid", facts=ONE))
         world.node.carry_out()
         assert await viewer.next() == 200 and world.setups == [sid(1), sid(2)]
+
     within(body)
 
 
@@ -186,6 +208,7 @@
         pipe.rest.clear()
         pipe.roomy()
         assert await viewer.next() == 503 and world.setups == [sid(1)]
+
     within(body)
 
 
@@ -202,6 +225,7 @@
         pipe.rest[:] = b""
         pipe.roomy()
         assert await viewer.next() == 200 and world.setups == [sid(1), sid(2)]
+
     within(body)
 
 
@@ -224,6 +248,7 @@
                 assert told.pop() == ("roomy" if reads else "broke")
             pipe.write(bytes(65))
             assert "broke" in told
+
     virtual.run(main, 1)
 
 
@@ -235,11 +260,13 @@
 
         async def none(address):
             raise OSError(errno.EMFILE, "none left")
+
         world.network.connect = none
         world.hosts[0].close()
         with trio.move_on_after(12) as waiting:
             await viewer.next(20)
         assert waiting.cancelled_caught and any(event == "no connection" for event, _ in world.lines)
+
     within(body)
 
 
@@ -254,6 +281,7 @@
         viewer.send(teardown(sid(1)))
         await trio.sleep(0.05)
         assert link.state is State.DOWN and link not in world.node._pipes
+
     within(body)
 
 
@@ -265,6 +293,7 @@
         world.node.core.orders.write += [plain, ending]
         world.node.carry_out()
         assert written == [ending, plain]
+
     within(body)
 
 
@@ -274,16 +303,19 @@
             (names,) = world.names
             names.unread.append(reply(names.asked[-1], 9, []))  # all have gone; nobody woke the reader
             return release(session, Cause.RESET)
+
         world.says = full
         viewer = await world.viewer()
         viewer.send(setup(sid(1), patience="500"))
         assert await viewer.next() == 503 and world.setups == [sid(1)]
+
     within(body)
 
 
 def test_an_answer_that_lies_unread_when_its_time_is_over_is_taken():
     """The process stands still while an answer comes in and the attempt's time runs out."""
     for seed in range(12):
+
         async def body(world):
             world.mute = True
             viewer = await world.viewer()
@@ -295,6 +327,7 @@
             assert isinstance(clock, trio.testing.MockClock)
             clock.jump(0.2)
             assert await viewer.next() == 200
+
         within(body, seed=seed)
 
 
@@ -306,6 +339,7 @@
             for _ in range(50):
                 await viewer.stream.send_some(bytes(65536))
         assert await viewer.next() == 413 and await viewer.next() is None
+
     within(body)
 
 
@@ -318,6 +352,7 @@
         await trio.sleep(0.01)
         assert len(world.node._callers) <= 32
         assert await mute[0].next() is None
+
     within(body)
 
 
@@ -337,6 +372,7 @@
         names.unread.append(reply(names.asked[-1], 9, []))  # nobody woke the reader: all have gone
         viewer.send(setup(sid(1), patience="500"))
         assert await viewer.next() == 503 and world.setups == [] and world.node.core.fleet.serial == 9
+
     within(body)
 
 
@@ -348,6 +384,7 @@
         names.unread += [b"\x00\x01noise"] * 500
         world.node.names.drain()
         assert len(names.unread) == 500 - bounds.MOST_UNREAD
+
     within(body)
 
 
@@ -361,7 +398,9 @@
                 if isinstance(one, Exception):
                     raise one
                 return one
+
             await world.node.reload(reading)
+
         await again()
         await trio.sleep(0.4)
         old, new = world.names
@@ -370,6 +409,7 @@
         new.tell(12, [("s-0", 9000, 0)])
         await trio.sleep(0.01)
         assert world.node.core.fleet.serial == 12
+
     within(body)
 
 
@@ -390,14 +430,19 @@
             assert not world.node.ended.is_set()
             viewer.send(teardown(sid(1)) + teardown(sid(2)))
         assert world.node.ended.is_set()
+
     within(body)
 
 
 def program(path, listen):
     path.write_text(json.dumps(config(dns="127.0.0.1:9")))
     environ = {**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": listen, "NODE_CONFIG": str(path)}
-    return subprocess.Popen([sys.executable, "-m", "copperyard.gateway.node"], env=environ,
-                            cwd=Path(__file__).parents[3], stderr=subprocess.PIPE)
+    return subprocess.Popen(
+        [sys.executable, "-m", "copperyard.gateway.node"],
+        env=environ,
+        cwd=Path(__file__).parents[3],
+        stderr=subprocess.PIPE,
+    )
 
 
 def test_the_program_starts_serves_survives_sighup_and_ends_on_sigterm(tmp_path):
@@ -429,6 +474,7 @@
             running.kill()
             running.wait()
         assert running.returncode == 0
+
     trio.run(main)
 
 
@@ -436,10 +482,22 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(dns="nowhere")))
     environ = {**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:0", "NODE_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-m", "copperyard.gateway.node"], env=environ, capture_output=True,
-                          cwd=Path(__file__).parents[3], text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "copperyard.gateway.node"],
+        env=environ,
+        capture_output=True,
+        cwd=Path(__file__).parents[3],
+        text=True,
+        timeout=30,
+    )
     assert done.returncode == 2 and done.stderr == "copperyard node: dns is no host:port: 'nowhere'\n"
     del environ["NODE_NAME"]
-    done = subprocess.run([sys.executable, "-m", "copperyard.gateway.node"], env=environ, capture_output=True,
-                          cwd=Path(__file__).parents[3], text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "copperyard.gateway.node"],
+        env=environ,
+        capture_output=True,
+        cwd=Path(__file__).parents[3],
+        text=True,
+        timeout=30,
+    )
     assert done.returncode == 2 and done.stderr == "copperyard node: NODE_NAME is not set\n"
--- a/tests/gateway/node/test_repeats.py
+++ b/tests/gateway/node/test_repeats.py
@@ -69,6 +69,7 @@
         if status == 200:
             client.send(teardown(sid(1)))
             await world.until(world.is_clean)
+
     within(body, hosts=3, contract={"drainGrace": SECOND // 4})
 
 
@@ -82,11 +83,13 @@
         await trio.sleep(0.2)
         assert not client.heard and world.setups == [sid(1)]
         assert [one for host in world.hosts for one in host.releases] == []
+
     within(body)
 
 
 def test_an_answer_that_crosses_the_give_up_does_not_leave_a_session_behind():
     """The host's answer lies unread when its client withdraws: the client is owed nothing, the host is told."""
+
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: None
@@ -98,14 +101,17 @@
         assert await client.answers(1) in ([200], [503])
         await world.until(lambda: sid(1) in host.releases)
         await world.until(world.is_clean)
+
     within(body, hosts=1)
 
 
-@pytest.mark.parametrize("free, share, taken, further", [
-    (0, 0.0, 1, 0), (1, 0.0, 3, 1), (3, 0.0, 8, 3), (1, 0.5, 8, 5)])
+@pytest.mark.parametrize(
+    "free, share, taken, further", [(0, 0.0, 1, 0), (1, 0.0, 3, 1), (3, 0.0, 8, 3), (1, 0.5, 8, 5)]
+)
 def test_the_last_permitted_one_and_one_more(free, share, taken, further):
     """All requests of one window meet hosts that are in error: of the further attempts as many leave as the budget has,
     and the same again once the oldest has left the window, also across a new configuration."""
+
     async def body(world):
         for host in world.hosts:
             host.says = lambda session: release(session, Cause.ERROR)
@@ -122,6 +128,7 @@
             assert left == further, (window, left)
             world.node.names.move(world.node.names.address)  # SIGHUP with the same place: nothing begins anew
             await trio.sleep_until(began + 3.1)
+
     within(body, hosts=3, contract={"freeResends": free, "furtherRatio": share, "ratioSpan": 3 * SECOND})
 
 
@@ -129,6 +136,7 @@
 def test_the_client_repeats_its_request(cls):
     """Under a new id while the first is out, as its answer is being written, and after; and under the same id on the
     same connection, whose answers could not be told apart."""
+
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: None
@@ -151,4 +159,5 @@
         client.send(setup(sid(2), cls))  # it stands: no second one
         assert await client.answers(1) == [400]
         assert host.setups.count(sid(2)) == 1
+
     within(body, hosts=1)
--- a/tests/gateway/node/test_scarce.py
+++ b/tests/gateway/node/test_scarce.py
@@ -43,6 +43,7 @@
 def test_idle_clients_fill_the_descriptors_while_the_name_service_is_silent(tmp_path):
     """The configuration speaks of 1,024 descriptors, the system of 64. Idle clients come by hundreds, the service moves
     meanwhile, and so a new socket is needed for it; when it speaks, the node hears it."""
+
     async def body(program):
         world = program.world
         idle = [program.client() for _ in range(300)]
@@ -77,6 +78,7 @@
         _, said = await program.exit()
         assert said.count("clients' connections at their bound") <= 2 and "Traceback" not in said
         assert "clients' connections at their bound" in said
+
     beside(tmp_path, body, preexec=limited, sockets=1024)
 
 
@@ -90,11 +92,13 @@
 
 def test_the_name_service_answers_late_short_older_or_under_another_id():
     """Through each of these what was known holds, and the first good answer counts."""
+
     async def body(world):
         port = world.hosts[0].port
 
         def lines(state):
             return [("s-0", port, state)]
+
         ready = lines(0)
         query, peer = await asked(world.names)
         late = reply(query, 5, ready)
@@ -119,11 +123,13 @@
         await world.until(lambda: world.node.core.fleet.serial == 9)
         client.send(setup(sid(2), patience="300"))
         assert await client.answers(1) == [503]
+
     within(body, hosts=1)
 
 
 def test_the_service_moves_while_a_query_is_out():
     """What the old one says from then on is not heard, and the new one is asked at once."""
+
     async def body(world):
         query, peer = await asked(world.names)
         moved = socket.socket(type=socket.SOCK_DGRAM)
@@ -140,12 +146,14 @@
         client = world.client()
         client.send(setup(sid(1)))
         assert await client.answers(1) == [200]
+
     within(body, hosts=1)
 
 
 def test_news_that_lie_unread_count_for_a_set_up_that_leaves_in_that_step():
     """The drain of the host lies unread while a dial to it completes: the reader of the service is held back, and so
     nothing but the look before the write can read it."""
+
     async def body(world):
         sockets = world.node.names
         real = sockets._socket.readable
@@ -154,6 +162,7 @@
         async def readable():
             await held.wait()
             await real()
+
         sockets._socket.readable = readable
         world.network.dials = trio.Event()
         client = world.client()
@@ -163,12 +172,14 @@
         world.names.sendto(reply(query, 9, [("s-0", world.hosts[0].port, 1)]), peer)
         world.network.dials.set()
         assert await client.answers(1) == [503] and world.setups == []
+
     within(body, hosts=1)
 
 
 def test_a_flood_leaves_the_usual_clients_their_turn():
     """Thirty connections pump set-ups and their withdrawals as fast as they can, two hundred connections come and go;
     a usual client's set-ups are answered in time all the while."""
+
     async def body(world):
         flood = b"".join(setup(sid(10_000 + n)) + teardown(sid(10_000 + n)) for n in range(300))
         took = []
@@ -179,7 +190,7 @@
             with trio.move_on_after(3):
                 while rest:
                     try:
-                        rest = rest[one.sock.send(rest[:65536]):]
+                        rest = rest[one.sock.send(rest[:65536]) :]
                         one.sock.recv(65536)
                     except BlockingIOError:
                         await trio.sleep(0.002)
@@ -205,6 +216,7 @@
             nursery.cancel_scope.cancel()
         # each has answers for all of its requests or none yet: nothing is lost in the noise
         assert max(took) < 3.9, took
+
     within(body, extra={"placesByKind": [5000], "kbPerWeight": 9e6, "rackKb": 9e6})
 
 
@@ -232,4 +244,5 @@
         good.send(setup(sid(99)))
         assert await good.answers(1) == [200]
         assert program.process.poll() is None
+
     beside(tmp_path, body, stderr=writes)
--- a/tests/gateway/peers/test_neighbours.py
+++ b/tests/gateway/peers/test_neighbours.py
@@ -32,8 +32,15 @@
         self.plates = {name: Plate() for name in NAMES}
         self.lines, self.ways, self.running, self.scopes = [], {}, {}, {}
         self.lives = 0
-        server = {z: SimpleNamespace(gone=False, bad=0.0, entry=SimpleNamespace(zone=z),
-                                     link=SimpleNamespace(cap=1000.0, load=lambda when: 0.1)) for z in range(3)}
+        server = {
+            z: SimpleNamespace(
+                gone=False,
+                bad=0.0,
+                entry=SimpleNamespace(zone=z),
+                link=SimpleNamespace(cap=1000.0, load=lambda when: 0.1),
+            )
+            for z in range(3)
+        }
         self.controller: Any = SimpleNamespace(servers=server, sessions={})
 
     async def start(self, nursery, name):
@@ -41,20 +48,33 @@
         place = CommonPlace.of(name, CellMap(ROSTER, 3), NAMES, NAMES, TERMS)
         hood = Neighbourhood(place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name]))
         gauge = Gauge(name, self.lives, 3, (SECOND,), TERMS, now())
-        made = Neighbours(hood, gauge, lambda: self.controller, self.network,
-                          lambda ways: self.ways.__setitem__(name, ways),
-                          lambda event, fields: self.lines.append((name, event, dict(fields))),
-                          random.Random(self.lives), 1000 + self.lives)
+        made = Neighbours(
+            hood,
+            gauge,
+            lambda: self.controller,
+            self.network,
+            lambda ways: self.ways.__setitem__(name, ways),
+            lambda event, fields: self.lines.append((name, event, dict(fields))),
+            random.Random(self.lives),
+            1000 + self.lives,
+        )
         self.running[name], self.scopes[name] = made, trio.CancelScope()
 
         async def run(task_status):
             with self.scopes[name]:
                 await made.run(task_status=task_status)
+
         await nursery.start(run)
 
     def leader(self):
-        return next((n for n, one in self.running.items()
-                     if one.common.council.lease(now()) and not self.scopes[n].cancel_called), None)
+        return next(
+            (
+                n
+                for n, one in self.running.items()
+                if one.common.council.lease(now()) and not self.scopes[n].cancel_called
+            ),
+            None,
+        )
 
     def events(self, name, event):
         return [fields for who, what, fields in self.lines if (who, what) == (name, event)]
@@ -70,6 +90,7 @@
             assert {one.common.plan.epoch for one in world.running.values()} and world.leader()
             await test(world, nursery)
             nursery.cancel_scope.cancel()
+
     virtual.run(main, 1)
 
 
@@ -77,8 +98,11 @@
     async def test(world, nursery):
         epochs = {one.common.plan.epoch for one in world.running.values()}
         assert len(epochs) == 1
-        assert all(world.ways[name].caps[n] is None and sum(c or 0 for c in world.ways[name].caps) > 0
-                   for n, name in enumerate(NAMES))
+        assert all(
+            world.ways[name].caps[n] is None and sum(c or 0 for c in world.ways[name].caps) > 0
+            for n, name in enumerate(NAMES)
+        )
+
     play(test)
 
 
@@ -93,6 +117,7 @@
         await trio.sleep(5)
         assert len(world.events(leader, "shelf well again")) == 1
         assert len({one.common.plan.epoch for one in world.running.values()}) == 1
+
     play(test)
 
 
@@ -114,6 +139,7 @@
         await world.start(nursery, name)
         await trio.sleep(6)
         assert len(world.events(name, "shelf damaged")) == 1
+
     play(test)
 
 
@@ -133,6 +159,7 @@
         await trio.sleep(12)
         assert len(common._durable) < 10 and common.plan == world.running[world.leader()].common.plan
         assert not common.stuck and common.council.leader == world.leader()
+
     play(test)
 
 
@@ -142,12 +169,14 @@
 
         def wrong(when):
             raise AssertionError("planted")
+
         world.running[name].common.members.wake = wrong
         await trio.sleep(5)
         assert "planted" in world.events(name, "defect")[0]["error"]
         assert [c for c in world.ways[name].caps if c] == []
         await trio.sleep(5)
         assert world.leader()
+
     play(test)
 
 
@@ -159,4 +188,5 @@
         await world.start(nursery, "a")
         await trio.sleep(8)
         assert world.running["a"].common.plan is not None
+
     play(test)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -17,6 +17,7 @@
 
 def within(one, body, seed=1, log=lambda event, fields: None):
     """Run `body(fleet)` against a whole site; the fleet."""
+
     async def main():
         network = MemoryNetwork()
         fleet = Fleet(one, network, seed, log)
@@ -27,6 +28,7 @@
             await body(fleet)
             nursery.cancel_scope.cancel()
         return fleet
+
     return virtual.run(main, seed)
 
 
@@ -69,8 +71,13 @@
                 frames += len(other.frames)
                 other.frames.clear()
                 most = max([most, *(v.outbox.size for v in visitors)])
-        seen.update(most=most, frames=frames, sessions=len(core.visits.sessions), plays=len(core.plays.plays),
-                    hosts=sum(len(h.sessions) for h in fleet.hosts))
+        seen.update(
+            most=most,
+            frames=frames,
+            sessions=len(core.visits.sessions),
+            plays=len(core.plays.plays),
+            hosts=sum(len(h.sessions) for h in fleet.hosts),
+        )
 
     rules_kept(within(one, body))
     assert seen["most"] < 100_000 + 2 * 65536
@@ -85,8 +92,15 @@
         good = await connect(fleet)
         _, answer = await opened(good)
         assert answer.status == 200
-        for data in (b"\xff\xfe\r\n\r\n", b"PLAY " + b"x" * 9000, b"SETUP * RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
-                     b"$\xff\xff\xff", b"RTSP/1.0 200 OK\r\nCSeq: 3\r\n\r\n", b"\r\n" * 500, b"OPTIONS"):
+        for data in (
+            b"\xff\xfe\r\n\r\n",
+            b"PLAY " + b"x" * 9000,
+            b"SETUP * RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
+            b"$\xff\xff\xff",
+            b"RTSP/1.0 200 OK\r\nCSeq: 3\r\n\r\n",
+            b"\r\n" * 500,
+            b"OPTIONS",
+        ):
             bad = await connect(fleet)
             await bad.write(data)
             with trio.move_on_after(1):
@@ -112,8 +126,11 @@
         twice = fleet.lists.body
 
         def two_of_one_id(after):
-            return b'{"generation": 99, "hosts": [{"id": "h0", "address": "a:1", "cell": 0},' \
-                   b'{"id": "h0", "address": "a:2", "cell": 0}]}'
+            return (
+                b'{"generation": 99, "hosts": [{"id": "h0", "address": "a:1", "cell": 0},'
+                b'{"id": "h0", "address": "a:2", "cell": 0}]}'
+            )
+
         fleet.lists.body = two_of_one_id
         fleet.lists.publish(fleet.hosts[0], "ready")
         await trio.sleep(2)
@@ -139,6 +156,7 @@
         fleet.lists.fail(False)
         await trio.sleep(2)
         assert not core.plays.hosts.may_start(core.roster.numbers["h1"])
+
     within(site(), body)
 
 
@@ -149,6 +167,7 @@
         _, answer = await opened(await connect(fleet))
         assert answer.status in (200, 453)
         assert fleet.gateways[0].gateway.core.plays.counts.outcomes.get("RESET", 0) == 0
+
     rules_kept(within(site(), body))
 
 
@@ -161,8 +180,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(gateway.drain, 30)
             await trio.sleep(0.5)
-            refused = await client.call("SETUP", f"rtsp://{client.stream.peer}/f/1/track1",
-                                        (("Transport", "RTP/AVP/TCP;interleaved=8-9"),))
+            refused = await client.call(
+                "SETUP", f"rtsp://{client.stream.peer}/f/1/track1", (("Transport", "RTP/AVP/TCP;interleaved=8-9"),)
+            )
             assert refused.status == 503
             try:
                 await connect(fleet)
@@ -171,6 +191,7 @@
                 pass
             assert (await client.call("TEARDOWN", f"rtsp://{client.stream.peer}/f/0", named)).status == 200
         assert not gateway.core.plays.plays
+
     within(site(), body)
 
 
@@ -188,6 +209,7 @@
         await trio.sleep(1.5)
         _, answer = await opened(await connect(fleet))
         assert answer.status == 200
+
     within(site(), body)
 
 
@@ -217,6 +239,7 @@
 def test_a_gateway_that_is_cancelled_anywhere_closes_all_its_sockets():
     # cancel at many moments of a set-up: whatever the task was waiting for, hosts and viewers see the end
     for delay in range(0, 60, 4):
+
         async def body(fleet, delay=delay):
             client = await connect(fleet)
 
@@ -227,12 +250,14 @@
                         await client.read()
                 except (Broken, OSError):
                     return
+
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.sleep(delay / 1000)
                 fleet.kill_gateway(fleet.gateways[0])
             await trio.sleep(0.1)
             assert sum(len(h._streams) for h in fleet.hosts) == 0
+
         within(site(), body)
 
 
@@ -243,11 +268,13 @@
         one = site()
         from copperyard.gateway.daemon import Station
         from copperyard.gateway.listing import list_place
+
         station = Station("g", taken.address, one.rules, one.catalogue(), one.zones, list_place("http://a:1/", 1, 2))
         try:
             await Gateway(station, network, 1, random.Random(1), QUIET["log"]).run()
         except OSError as error:
             return str(error)
+
     assert "in use" in virtual.run(main, 1)
 
 
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -22,6 +22,7 @@
 
 def keeping(**changes):
     from copperyard.config import parse
+
     text = site_text(**changes).replace("<titles>", '<state folder="state"/><titles>')
     return parse(text.encode())
 
@@ -88,6 +89,7 @@
             await body(evening)
             nursery.cancel_scope.cancel()
         return evening
+
     return virtual.run(main, seed)
 
 
@@ -138,6 +140,7 @@
     def at_once(self, now, attempt):
         attempt.intent = 0
         return whole(self, now, attempt)
+
     monkeypatch.setattr(Plays, "_leave", at_once)
 
     async def body(evening):
@@ -148,6 +151,7 @@
             evening.disk.pause = 0.0
             await evening.restart(True)
         await evening.ask()
+
     evening = run(body)
     asked = [code for _, code, _ in evening.fleet.office.asked]
     assert asked.count("family7") == 2
@@ -165,6 +169,7 @@
             await evening.restart()
             await trio.sleep(0.5)
         assert await evening.ask() == 200
+
     assert kept(run(body)) == 1
 
 
@@ -186,6 +191,7 @@
         await evening.fleet.revive(carrier)
         await trio.sleep(5)
         assert await evening.ask() == 200
+
     assert kept(run(body)) == 1
 
 
@@ -202,6 +208,7 @@
         assert await evening.ask("?code=other2") == 200
         await evening.restart(True)
         assert await evening.ask("?code=other2") == 200
+
     evening = run(body)
     assert kept(evening) == 1
     events = [event for event, _ in evening.log]
@@ -220,6 +227,7 @@
             await trio.sleep(0.4)
             if await evening.ask() == 200:
                 return
+
     evening = run(body)
     assert kept(evening) == 1 and evening.statuses[-1] == 200
 
@@ -235,6 +243,7 @@
         evening.disk.pause = 0.0
         await trio.sleep(5)
         assert await evening.ask() == 200
+
     assert kept(run(body)) == 1
 
 
@@ -247,6 +256,7 @@
         await fleet.start_gateway(evening.gateway)
         await trio.sleep(0.5)
         assert await evening.ask("") == 200
+
     evening = run(body)
     kept(evening)
     assert "list kept from before" in [event for event, _ in evening.log]
@@ -255,10 +265,12 @@
 def test_a_second_gateway_on_the_same_state_is_refused():
     async def body(evening):
         from copperyard.gateway.disk import LockedError
+
         with pytest.raises(LockedError):
             evening.disk.lock("another")
         evening.fleet.kill_gateway(evening.gateway)
         evening.disk.lock("another")  # a dead one holds nothing
+
     run(body)
 
 
@@ -273,11 +285,13 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(_again(evening).run)
         assert caught.group_contains(StateRefused)
+
     run(body)
 
 
 def _again(evening):
     from copperyard.gateway.daemon import Gateway
+
     return Gateway(evening.gateway.station, evening.fleet.network, 5, random.Random(5), evening.fleet.log)
 
 
@@ -285,6 +299,7 @@
     async def body(evening):
         def budget():
             return evening.gateway.gateway.core.plays.budget
+
         budget()._spent.extend([round(trio.current_time() * 1e9)] * 2)
         await evening.gateway.gateway.drain(1.0)
         await trio.sleep(0.1)
@@ -294,6 +309,7 @@
         evening.fleet.kill_gateway(evening.gateway)
         await evening.restart()
         assert len(budget()._spent) == 3  # not known, so all of it
+
     run(body)
 
 
@@ -310,6 +326,7 @@
                 nursery.start_soon(evening.ask)
         await trio.sleep(0.5)
         assert await evening.ask() == 200
+
     evening = run(body)
     assert kept(evening) == 1
 
@@ -339,6 +356,7 @@
             assert all(not g.gateway.core.plays.budget.spend(round(trio.current_time() * 1e9)) for g in fleet.gateways)
         await trio.sleep(2)
         assert all(len(g.gateway.core.plays.settler) == 0 for g in fleet.gateways)
+
     evening = run(body, one)
     breaks = Auditor(one.rules, evening.fleet.tap, 5 * MS, 10 * MS, True).check()
     assert not breaks, breaks
@@ -360,11 +378,13 @@
         await trio.sleep(61)
         assert len(book.state.codes) == 1
         assert await evening.ask() == 200
+
     assert kept(run(body)) == 1
 
 
 def test_codes_are_forgotten_once_no_office_takes_them():
     from copperyard.config import parse
+
     text = site_text().replace("<titles>", '<state folder="s" code-life="90s"/><titles>')
 
     async def body(evening):
@@ -375,6 +395,7 @@
         await trio.sleep(130)
         assert len(evening.gateway.gateway.core.plays.codes) == 0
         assert not evening.gateway.gateway._store.book.state.codes
+
     run(body, parse(text.encode()))
 
 
@@ -390,6 +411,7 @@
         evening.fleet.gateways.reverse()
         await evening.restart()
         assert await evening.ask() == 200
+
     evening = run(body, one)
     assert len(evening.fleet.office.receipts) == 1
 
@@ -415,6 +437,7 @@
         await trio.sleep(1)
         assert not [name for name in evening.disk.names() if name.endswith(".part")]
         assert [name for name in evening.disk.names() if name.endswith(".snap")]
+
     evening = run(body)
     kept_codes = [code for _, code, _ in evening.fleet.office.asked]
     assert len(kept_codes) == len(set(kept_codes)) == 6
@@ -425,6 +448,7 @@
     # the machine and the code's host go down right after the answer: only the receipt on disk helps the family
     if rule == "taken out":
         from copperyard.control.attempt import Attempt
+
         monkeypatch.setattr(Attempt, "hold", property(lambda self: False, lambda self, value: None), raising=False)
 
     async def body(evening):
@@ -437,11 +461,13 @@
         await evening.restart()
         await trio.sleep(0.5)
         assert await evening.ask() == (200 if rule == "kept" else 500)
+
     assert kept(run(body)) == 1
 
 
 def test_a_set_up_that_waited_for_the_disk_leaves_after_the_unread_list(monkeypatch):
     from copperyard.gateway.listing import Follower
+
     steps = []
     look, leave = Follower.catch_up, Plays.stored
 
@@ -452,11 +478,13 @@
     def left(self, now):
         steps.append("leave")
         leave(self, now)
+
     monkeypatch.setattr(Follower, "catch_up", looked)
     monkeypatch.setattr(Plays, "stored", left)
 
     async def body(evening):
         steps.clear()
         assert await evening.ask() == 200
+
     run(body)
     assert "leave" in steps and all(a == "look" for a, b in zip(steps, steps[1:], strict=False) if b == "leave")
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -21,8 +21,12 @@
 
 @pytest.fixture
 def up():
-    program = subprocess.Popen([sys.executable, "-m", "copperyard.cli.main", "lab", "up", SETTINGS, "--for", "60s"],
-                               stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
+    program = subprocess.Popen(
+        [sys.executable, "-m", "copperyard.cli.main", "lab", "up", SETTINGS, "--for", "60s"],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        text=True,
+    )
     try:
         yield program, json.loads(program.stdout.readline())
     finally:
@@ -66,8 +70,12 @@
 
 
 def test_serve_says_where_it_listens_and_drains_on_a_signal(tmp_path):
-    program = subprocess.Popen([sys.executable, "-m", "copperyard.cli.main", "serve", SETTINGS, "--name", "gw-2"],
-                               stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    program = subprocess.Popen(
+        [sys.executable, "-m", "copperyard.cli.main", "serve", SETTINGS, "--name", "gw-2"],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     ready = json.loads(program.stdout.readline())
     assert ready["gateways"][0].startswith("rtsp://127.0.0.1:")
     program.send_signal(signal.SIGINT)
--- a/tests/gateway/test_stopped.py
+++ b/tests/gateway/test_stopped.py
@@ -56,8 +56,12 @@
         return fleet
 
     fleet = trio.run(main)
-    later = [t for side in fleet.tap.hosts for t in side.messages if t[2].__class__.__name__ == "Request"
-             and t[2].method == "SETUP" and t[0] > fleet.stopped]
+    later = [
+        t
+        for side in fleet.tap.hosts
+        for t in side.messages
+        if t[2].__class__.__name__ == "Request" and t[2].method == "SETUP" and t[0] > fleet.stopped
+    ]
     assert not later and not Auditor(one.rules, fleet.tap, 50 * MS, 500 * MS).check()
     assert fleet.answers[0] == 200 and all(status == 453 for status in fleet.answers[1:])
 
@@ -77,8 +81,18 @@
     waiting = []
     for _ in range(5):
         waiting.append(await client())
-        named = (("Session", (await waiting[-1].call("SETUP", f"rtsp://{address}/f/0/track1", (
-            ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),))).header("Session").split(";")[0]),)
+        named = (
+            (
+                "Session",
+                (
+                    await waiting[-1].call(
+                        "SETUP", f"rtsp://{address}/f/0/track1", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
+                    )
+                )
+                .header("Session")
+                .split(";")[0],
+            ),
+        )
         waiting[-1].named = named
     os.kill(pid, signal.SIGSTOP)
     fleet.stopped = round(trio.current_time() * 1e9)
@@ -86,6 +100,7 @@
 
         async def play(one):
             fleet.answers.append((await one.call("PLAY", f"rtsp://{address}/f/0", one.named)).status)
+
         for one in waiting:
             nursery.start_soon(play, one)  # these lie before the news, and are read before it
         await trio.sleep(0.1)
@@ -94,4 +109,3 @@
         await trio.sleep(0.5)
         fleet.tap.front_stood(fleet.stopped, round(trio.current_time() * 1e9), "gw-0")
         os.kill(pid, signal.SIGCONT)
-
--- a/tests/lab/helpers.py
+++ b/tests/lab/helpers.py
@@ -13,17 +13,30 @@
 from copperyard.lab.strikes import USUAL, Strike, Whom
 
 MS, SECOND = 1_000_000, 1_000_000_000
-TRACKS = ('<track kind="video" payload-type="26" codec="JPEG" clock="90000"/>'
-          '<track kind="audio" payload-type="0" codec="PCMU" clock="8000"/>')
+TRACKS = (
+    '<track kind="video" payload-type="26" codec="JPEG" clock="90000"/>'
+    '<track kind="audio" payload-type="0" codec="PCMU" clock="8000"/>'
+)
 
 
 def site(**changes):
     return parse(site_text(**changes).encode())
 
 
-def site_text(hosts=4, gateways=1, titles=2, seats=50, further='further="3" further-share="0.2"', link="9MB/s",
-         limits='stall="2s" idle="20s" silence="1s" dead="3s"', scale="0.01", length="6s", places=32,
-         warm="1s", grace="250ms"):
+def site_text(
+    hosts=4,
+    gateways=1,
+    titles=2,
+    seats=50,
+    further='further="3" further-share="0.2"',
+    link="9MB/s",
+    limits='stall="2s" idle="20s" silence="1s" dead="3s"',
+    scale="0.01",
+    length="6s",
+    places=32,
+    warm="1s",
+    grace="250ms",
+):
     return f"""<copperyard>
   <gateways>{''.join(f'<gateway name="gw-{n}" listen="127.0.0.1:0"/>' for n in range(gateways))}</gateways>
   <ladder><rung rate="200kB/s" worth="0.3"/><rung rate="400kB/s" worth="0.6"/><rung rate="800kB/s" worth="1"/></ladder>
@@ -59,9 +72,11 @@
 
 def weakened(**changes):
     """Makes gateways whose module was told other settings than the site's: a rule's defence taken out."""
+
     def make(station, network, seed, rng):
         rules = replace(station.rules, settings=replace(station.rules.settings, **changes))
         return Gateway(replace(station, rules=rules), network, seed, rng, lambda event, fields: None)
+
     return make
 
 
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -40,6 +40,7 @@
         (slot,) = self.slots
         whole(self, now, infos)
         self.visitor.outbox.put(slot.data)
+
     monkeypatch.setattr(Session, "played", twice)
     assert broken(play(site(), CROWD)) == {1}
 
@@ -75,8 +76,10 @@
         first = self.plays[action.ref].attempt if action.ref in self.plays else None
         if first is not None:
             from copperyard.control.orders import Start
+
             second = type(first)(first.plan, first.limits, first.splices, now, first.limit)
             self.orders.append(Start(second))
+
     monkeypatch.setattr(Plays, "_send", doubled)
     assert 2 in broken(play(site(), script))
 
@@ -89,6 +92,7 @@
     def deaf(self, now, news, addresses):
         if news.kind != ListKind.DELTA or all(e.state == ServerState.READY for e in news.entries):
             whole(self, now, news, addresses)
+
     monkeypatch.setattr(Plays, "listed", deaf)
     assert broken(play(site(), script)) == {3}
 
@@ -99,6 +103,7 @@
     from copperyard.lab.memnet import Manners, MemoryNetwork
     from copperyard.lab.run import run_rehearsal
     from tests.lab.helpers import MS
+
     one = site(further="", grace="50ms")
     slow = weakened(connect_timeout=10**9)
     script = day(strike("drain", 3.0, 8.0, 0, 1, 2), rate=40.0, seconds=5.0, watch=(0.5, 1.0))
@@ -106,6 +111,7 @@
     def run():
         network = MemoryNetwork(Manners(connect=0.3))
         return virtual.run(lambda: run_rehearsal(one, script, network, 1, 5 * MS, 10 * MS, make=slow), 1)
+
     assert 3 not in broken(run())
     monkeypatch.setattr(HostBook, "may_start", lambda self, server, decided=None: True)
     assert 3 in broken(run())
@@ -137,8 +143,7 @@
     assert first.visits != play(site(gateways=2), script, seed + 10).visits
 
 
-@pytest.mark.parametrize("killed, excused", [
-    (None, False), (1, False), (2, True), (4, True), (7, True), (9, False)])
+@pytest.mark.parametrize("killed, excused", [(None, False), (1, False), (2, True), (4, True), (7, True), (9, False)])
 def test_only_a_death_between_a_connections_begin_and_the_answers_time_excuses_it(killed, excused):
     # connected at 2 s, asked at 4 s and never answered: due by 9 s
     one, tap = site(), Tap()
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -30,8 +30,8 @@
 def erlang_wait(rate, service, cores):
     """Mean wait of M/M/c."""
     a = rate * service
-    top = a ** cores / math.factorial(cores) * cores / (cores - a)
-    busy = top / (sum(a ** k / math.factorial(k) for k in range(cores)) + top)
+    top = a**cores / math.factorial(cores) * cores / (cores - a)
+    busy = top / (sum(a**k / math.factorial(k) for k in range(cores)) + top)
     return busy * service / (cores - a)
 
 
@@ -39,7 +39,7 @@
 def test_one_core_waits_as_pollaczek_and_khinchine_say(load):
     for spread in (0.0, 0.5):  # M/D/1 and M/G/1
         one = model(cores=1, service=10 * MS, spread=spread, queue=100_000)
-        second = 0.01 ** 2 * math.exp(spread ** 2)
+        second = 0.01**2 * math.exp(spread**2)
         known = load / 0.01 * second / (2 * (1 - load))
         assert mean_wait(one, load / 0.01) == pytest.approx(known, rel=0.08)
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -24,24 +24,29 @@
 HEAD = '<rehearsal name="x" teaches="y" seconds="20">\n<load rate="5"/>\n'
 
 
-@pytest.mark.parametrize("line, wanted", [
-    ('<strike kind="crash" at="1s" for="2s"/>', "crash names no host"),
-    ('<strike kind="crash" at="1s" for="2s" hosts="streamer-99"/>', "names 'streamer-99'"),
-    ('<strike kind="crash" at="1s" for="0s" share="0.2"/>', "ends before it starts"),
-    ('<strike kind="crash" at="20s" for="2s" share="0.2"/>', "at '20s' lies past the end, 20 s"),
-    ('<strike kind="errors" at="1s" for="2s" share="0.2" hard="2"/>', "is a share of at most 1"),
-    ('<strike kind="gateway-crash" at="1s" for="2s"/>', "no gateways"),
-    ('<strike kind="gateway-crash" at="1s" for="2s" gateways="gw-9"/>', "names 'gw-9'"),
-    ('<strike kind="zone-cut" at="1s" for="2s"/>', "names no zone"),
-    ('<strike kind="zone-cut" at="1s" for="2s" zone="mars"/>', "zone 'mars' is none of catania"),
-    ('<strike kind="uplink-weak" at="1s" for="2s" rack="5"/>', "rack '5' is not under 2"),
-    ('<strike kind="crash" at="1s" for="5s" rack="0"/>\n<strike kind="crash" at="5s" for="5s" rack="0"/>',
-     "the same at the same time as line 3"),
-    ('<strike kind="flood" at="1s" for="2s"/>', "flood"),
-    ('<strike kind="hang" at="1" for="2s" rack="0"/>', "'1'"),
-    ('<crowd at="5s" viewers="30" title="/none"/>', "title '/none' is none"),
-    ('<crowd at="50s" viewers="30" title="/classes/1"/>', "lies past the end"),
-])
+@pytest.mark.parametrize(
+    "line, wanted",
+    [
+        ('<strike kind="crash" at="1s" for="2s"/>', "crash names no host"),
+        ('<strike kind="crash" at="1s" for="2s" hosts="streamer-99"/>', "names 'streamer-99'"),
+        ('<strike kind="crash" at="1s" for="0s" share="0.2"/>', "ends before it starts"),
+        ('<strike kind="crash" at="20s" for="2s" share="0.2"/>', "at '20s' lies past the end, 20 s"),
+        ('<strike kind="errors" at="1s" for="2s" share="0.2" hard="2"/>', "is a share of at most 1"),
+        ('<strike kind="gateway-crash" at="1s" for="2s"/>', "no gateways"),
+        ('<strike kind="gateway-crash" at="1s" for="2s" gateways="gw-9"/>', "names 'gw-9'"),
+        ('<strike kind="zone-cut" at="1s" for="2s"/>', "names no zone"),
+        ('<strike kind="zone-cut" at="1s" for="2s" zone="mars"/>', "zone 'mars' is none of catania"),
+        ('<strike kind="uplink-weak" at="1s" for="2s" rack="5"/>', "rack '5' is not under 2"),
+        (
+            '<strike kind="crash" at="1s" for="5s" rack="0"/>\n<strike kind="crash" at="5s" for="5s" rack="0"/>',
+            "the same at the same time as line 3",
+        ),
+        ('<strike kind="flood" at="1s" for="2s"/>', "flood"),
+        ('<strike kind="hang" at="1" for="2s" rack="0"/>', "'1'"),
+        ('<crowd at="5s" viewers="30" title="/none"/>', "title '/none' is none"),
+        ('<crowd at="50s" viewers="30" title="/classes/1"/>', "lies past the end"),
+    ],
+)
 def test_mistakes_are_told_with_line_and_value_before_anything_starts(line, wanted):
     with pytest.raises(BadSettings) as caught:
         parse_rehearsal((HEAD + line + "\n</rehearsal>").encode(), CARUSO, "r.xml")
@@ -63,11 +68,32 @@
 
 
 def test_the_library_has_every_kind_of_the_bench():
-    kinds = {s.kind for p in INCIDENTS for s in
-             load_rehearsal(str(p), FLOORS if "three-floors" in p.read_text() else CARUSO).strikes}
-    assert kinds >= {"answers-lost", "gateway-crash", "gateway-stall", "crash", "errors", "hang", "neighbour",
-                     "slow-origin", "replace", "reports-late", "uplink-weak", "links-weak", "vanish", "zone-cut",
-                     "zone-loss"} and len(INCIDENTS) >= 20
+    kinds = {
+        s.kind
+        for p in INCIDENTS
+        for s in load_rehearsal(str(p), FLOORS if "three-floors" in p.read_text() else CARUSO).strikes
+    }
+    assert (
+        kinds
+        >= {
+            "answers-lost",
+            "gateway-crash",
+            "gateway-stall",
+            "crash",
+            "errors",
+            "hang",
+            "neighbour",
+            "slow-origin",
+            "replace",
+            "reports-late",
+            "uplink-weak",
+            "links-weak",
+            "vanish",
+            "zone-cut",
+            "zone-loss",
+        }
+        and len(INCIDENTS) >= 20
+    )
 
 
 @pytest.mark.parametrize("name", ["zone-loss", "replaced-in-waves", "gateway-stall", "vanish", "answers-lost"])
@@ -81,12 +107,12 @@
 
 def test_a_cold_host_hit_by_every_gateway_at_once_stands_with_the_module_and_falls_without():
     one = site(hosts=1, gateways=12, places=40, link="90MB/s", scale="0.001", warm="10s", further="")
-    script = day(strike("crash", 1.0, 3.0, 0), rate=10.0, seconds=8.0, paid=0.0,
-                 crowds=(Crowd(3.2, 0.5, 60, "/f/0"),))
+    script = day(strike("crash", 1.0, 3.0, 0), rate=10.0, seconds=8.0, paid=0.0, crowds=(Crowd(3.2, 0.5, 60, "/f/0"),))
     assert play(one, script).summary["fallen"] == 0
     make = baselines.maker("reckless")
-    reckless = virtual.run(lambda: run_rehearsal(one, script, MemoryNetwork(), 1, 5 * MS, 10 * MS, make=make,
-                                                 fleet_made=make.see), 1)
+    reckless = virtual.run(
+        lambda: run_rehearsal(one, script, MemoryNetwork(), 1, 5 * MS, 10 * MS, make=make, fleet_made=make.see), 1
+    )
     assert reckless.summary["fallen"] == 1
 
 
@@ -95,8 +121,16 @@
     script = day(*(strike("gateway-stall", 1.5 + n, 2.4 + n, gateways=("gw-0",)) for n in range(0, 6, 2)), paid=0.0)
 
     async def main():
-        return await run_rehearsal(site(further=""), script, MemoryNetwork(), 1, 5 * MS, 10 * MS,
-                                   lambda event, fields: lines.append((event, str(fields.get("text", "")))))
+        return await run_rehearsal(
+            site(further=""),
+            script,
+            MemoryNetwork(),
+            1,
+            5 * MS,
+            10 * MS,
+            lambda event, fields: lines.append((event, str(fields.get("text", "")))),
+        )
+
     result = virtual.run(main, 1)
     assert not result.breaks, result.breaks
     assert sum("on trial" in text for event, text in lines if event == "module") <= 4
@@ -104,16 +138,31 @@
 
 def test_every_policy_runs_and_the_module_is_far_above_a_random_choice():
     text = (ROOT / "examples" / "caruso.xml").read_bytes()
-    incident = (b'<rehearsal name="x" teaches="y" seconds="10"><load rate="12" paid="0.35"/>'
-                b'<strike kind="links-weak" at="2s" for="6s" share="0.2" hard="3"/></rehearsal>')
-    found = {p: float(str(experiment.run_job(experiment.Job(text, incident, p, 1, None))["service"]))
-             for p in ("module", "random", "middle", "full-view")}
+    incident = (
+        b'<rehearsal name="x" teaches="y" seconds="10"><load rate="12" paid="0.35"/>'
+        b'<strike kind="links-weak" at="2s" for="6s" share="0.2" hard="3"/></rehearsal>'
+    )
+    found = {
+        p: float(str(experiment.run_job(experiment.Job(text, incident, p, 1, None))["service"]))
+        for p in ("module", "random", "middle", "full-view")
+    }
     assert found["module"] > 1.5 * found["random"] and found["full-view"] > found["random"] and found["middle"] > 0
 
 
 def test_the_same_seed_is_the_same_trace_in_another_process_with_another_hash_seed():
-    words = [sys.executable, "-m", "copperyard.cli.main", "lab", "day", "bad", "--virtual", "--seed", "9",
-             "--settings", str(ROOT / "examples" / "caruso.xml")]
+    words = [
+        sys.executable,
+        "-m",
+        "copperyard.cli.main",
+        "lab",
+        "day",
+        "bad",
+        "--virtual",
+        "--seed",
+        "9",
+        "--settings",
+        str(ROOT / "examples" / "caruso.xml"),
+    ]
     traces = set()
     for hashes in ("1", "77"):
         done = subprocess.run(words, capture_output=True, text=True, env={"PYTHONHASHSEED": hashes, "PATH": ""})
@@ -123,10 +172,25 @@
 
 def test_an_experiment_writes_its_page_and_its_records(tmp_path):
     incident = tmp_path / "small.xml"
-    incident.write_text('<rehearsal name="small" teaches="that it runs" seconds="5"><load rate="6" paid="0.3"/>'
-                        '<strike kind="errors" at="1s" for="3s" share="0.3"/></rehearsal>')
-    words = ["lab", "run", str(incident), "--settings", str(ROOT / "examples" / "caruso.xml"), "--repeat", "2",
-             "--policy", "module", "--policy", "middle", "--report", str(tmp_path / "a")]
+    incident.write_text(
+        '<rehearsal name="small" teaches="that it runs" seconds="5"><load rate="6" paid="0.3"/>'
+        '<strike kind="errors" at="1s" for="3s" share="0.3"/></rehearsal>'
+    )
+    words = [
+        "lab",
+        "run",
+        str(incident),
+        "--settings",
+        str(ROOT / "examples" / "caruso.xml"),
+        "--repeat",
+        "2",
+        "--policy",
+        "module",
+        "--policy",
+        "middle",
+        "--report",
+        str(tmp_path / "a"),
+    ]
     first = CliRunner().invoke(app, words)
     assert first.exit_code == 0, first.output
     page = (tmp_path / "a" / "index.html").read_text()
@@ -155,6 +219,7 @@
 def test_a_difference_under_its_noise_is_a_tie():
     def rows(*values):
         return [{"seed": n, **{f: v for f in experiment.FIGURES}} for n, v in enumerate(values)]
+
     clear = experiment.compare(rows(0.5, 0.6, 0.55), rows(0.55, 0.66, 0.6))
     assert clear["service"]["verdict"] == "better"
     assert experiment.compare(rows(0.5, 0.6, 0.55), rows(0.6, 0.5, 0.55))["service"]["verdict"] == "tie"
@@ -171,8 +236,15 @@
 def test_all_fronts_start_within_a_second_while_all_hosts_are_cold(places):
     # nobody knows what its earlier life sent, the list tells late, and each host takes a set-up or two
     one = site(hosts=3, gateways=3, places=places, warm="6s", link="90MB/s")
-    script = day(strike("crash", 1.0, 2.0, 0, 1, 2), strike("gateway-crash", 2.05, 2.5, share=1.0),
-                 strike("gateway-crash", 4.0, 4.3, share=0.5), rate=14.0, seconds=9.0, paid=0.0, watch=(0.3, 1.0))
+    script = day(
+        strike("crash", 1.0, 2.0, 0, 1, 2),
+        strike("gateway-crash", 2.05, 2.5, share=1.0),
+        strike("gateway-crash", 4.0, 4.3, share=0.5),
+        rate=14.0,
+        seconds=9.0,
+        paid=0.0,
+        watch=(0.3, 1.0),
+    )
     for seed in (1, 2):
         found = play(one, script, seed)
         assert not found.breaks, (seed, found.breaks[:2])
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -47,6 +47,7 @@
 
 # ---- what a run is laid out to be
 
+
 def test_a_drawn_site_has_two_regions_five_zones_and_a_voter_in_each():
     site = parse(settings(61))
     assert len(site.gateways) == 61 and len(site.zones) == 5
@@ -58,8 +59,9 @@
 def test_where_links_listen_is_no_part_of_what_gateways_agree_on():
     one = drawn_site(12, 1)
     names = [str(g.get("name")) for g in etree.fromstring(one).iterfind("gateways/gateway")]
-    first, other = (parse(placed(one, {name: f"127.{k}.0.{n + 1}:7400" for n, name in enumerate(names)}))
-                    for k in (64, 65))
+    first, other = (
+        parse(placed(one, {name: f"127.{k}.0.{n + 1}:7400" for n, name in enumerate(names)})) for k in (64, 65)
+    )
     assert first.common.fleet == other.common.fleet and first.common.reach != other.common.reach
     assert first.common.fleet != parse(settings(13)).common.fleet
 
@@ -111,6 +113,7 @@
 def test_who_is_drawn_comes_from_the_seed():
     def drawn(seed):
         return [names for _, names, _ in prepare(60, 4, seed=seed)[2].troubles]
+
     assert drawn(3) == drawn(3) and len({tuple(map(tuple, drawn(n))) for n in range(5)}) > 1
 
 
@@ -122,6 +125,7 @@
 
 # ---- what it refuses, with nothing started
 
+
 def test_a_wish_beyond_the_machine_is_told_how_many_fit_and_so_many_do():
     room = layout.Room(3000, 20_000, 40, 1000)
     with pytest.raises(layout.Refused, match="--gateways '5000': [0-9]+ fit this machine") as caught:
@@ -132,9 +136,15 @@
         prepare(most + 1, 4, room=room)
 
 
-@pytest.mark.parametrize("room", [
-    layout.Room(1000, 1 << 20, 300, 60_000), layout.Room(1e6, 300, 300, 60_000), layout.Room(1e6, 1 << 20, 10, 60_000),
-    layout.Room(1e6, 1 << 20, 300, 150)])
+@pytest.mark.parametrize(
+    "room",
+    [
+        layout.Room(1000, 1 << 20, 300, 60_000),
+        layout.Room(1e6, 300, 300, 60_000),
+        layout.Room(1e6, 1 << 20, 10, 60_000),
+        layout.Room(1e6, 1 << 20, 300, 150),
+    ],
+)
 def test_memory_descriptors_processes_and_the_settings_bound_it(room):
     assert prepare(600)
     with pytest.raises(layout.Refused, match="fit this machine"):
@@ -152,7 +162,8 @@
     (["--gateways", "9999999"], "--gateways '9999999': "),
     (["{folder}/none.xml"], "none.xml: No such file"),
     (["--faults", "{folder}/none.xml"], "none.xml: No such file"),
-    ([str(ROOT / "examples" / "caruso.xml")], "no <common>")]
+    ([str(ROOT / "examples" / "caruso.xml")], "no <common>"),
+]
 
 
 @pytest.mark.parametrize(("words", "said"), BAD)
@@ -163,15 +174,19 @@
     assert len(found.output.splitlines()) == 1 and said in found.output
 
 
-@pytest.mark.parametrize(("body", "said"), [
-    ('<fault kind="melt" at="1s" who="zone"/>', "'melt'"),
-    ('<fault kind="kill" at="1s" who="roma"/>', "who 'roma' is no gateway, zone or region of this site"),
-    ('<fault kind="kill" at="1s"/>', "kind 'kill' without 'who'"),
-    ('<fault kind="pause" at="1s" who="rack"/>', "kind 'pause' without 'for' would never end"),
-    ('<fault kind="kill" at="50s" for="10s" who="rack"/>', "at '50s' and for '10s' reach to 60 s of a run of 60 s"),
-    ('<fault kind="churn" at="1s" for="3s" who="rack"/>', "who 'rack' means nothing to 'churn'"),
-    ('<fault kind="start" at="1s" who="leader"/>', "who 'leader' cannot be held back"),
-    ('<fault kind="change" at="1s"/>', "kind 'change': a change of settings is a restart of all today")])
+@pytest.mark.parametrize(
+    ("body", "said"),
+    [
+        ('<fault kind="melt" at="1s" who="zone"/>', "'melt'"),
+        ('<fault kind="kill" at="1s" who="roma"/>', "who 'roma' is no gateway, zone or region of this site"),
+        ('<fault kind="kill" at="1s"/>', "kind 'kill' without 'who'"),
+        ('<fault kind="pause" at="1s" who="rack"/>', "kind 'pause' without 'for' would never end"),
+        ('<fault kind="kill" at="50s" for="10s" who="rack"/>', "at '50s' and for '10s' reach to 60 s of a run of 60 s"),
+        ('<fault kind="churn" at="1s" for="3s" who="rack"/>', "who 'rack' means nothing to 'churn'"),
+        ('<fault kind="start" at="1s" who="leader"/>', "who 'leader' cannot be held back"),
+        ('<fault kind="change" at="1s"/>', "kind 'change': a change of settings is a restart of all today"),
+    ],
+)
 def test_a_fault_that_cannot_be_is_one_line_with_its_place(body, said, monkeypatch, tmp_path):
     monkeypatch.setattr(scale, "run_scale", None)
     place = tmp_path / "faults.xml"
@@ -183,9 +198,21 @@
 
 def test_every_kind_of_fault_reads_but_a_change_of_settings():
     site = parse(settings(20))
-    body = "".join(f'<fault kind="{kind}" at="1s" for="2s" who="{who}"/>' for kind, who in (
-        ("kill", "rack"), ("kill", "zone"), ("kill", "voter leader"), ("pause", "gateway"), ("cut", "south"),
-        ("start", "z2"), ("kill", "z1-0001"))) + '<fault kind="churn" at="1s" for="2s"/>'
+    body = (
+        "".join(
+            f'<fault kind="{kind}" at="1s" for="2s" who="{who}"/>'
+            for kind, who in (
+                ("kill", "rack"),
+                ("kill", "zone"),
+                ("kill", "voter leader"),
+                ("pause", "gateway"),
+                ("cut", "south"),
+                ("start", "z2"),
+                ("kill", "z1-0001"),
+            )
+        )
+        + '<fault kind="churn" at="1s" for="2s"/>'
+    )
     found = read_troubles(faults(body), site, ("north",) * 3 + ("south",) * 2, 60.0, "x")
     assert [one.kind for one in found] == ["kill"] * 3 + ["pause", "cut", "start", "kill", "churn"]
     assert found[-1] == Trouble("churn", 1.0, 3.0, (), 0.1)
@@ -215,8 +242,12 @@
 def test_a_hollow_process_refuses_settings_of_other_gateways(tmp_path):
     (tmp_path / "site.xml").write_bytes(settings(12))
     other = parse(settings(13)).common.fleet.hex()
-    found = subprocess.run([sys.executable, "-m", "copperyard.lab.sites.hollow", str(tmp_path / "site.xml"),
-                            str(tmp_path), "1", other], input=b"", capture_output=True, timeout=60)
+    found = subprocess.run(
+        [sys.executable, "-m", "copperyard.lab.sites.hollow", str(tmp_path / "site.xml"), str(tmp_path), "1", other],
+        input=b"",
+        capture_output=True,
+        timeout=60,
+    )
     lines = found.stderr.decode().splitlines()
     assert found.returncode == 2 and len(lines) == 1 and "settings of other gateways" in lines[0] and other in lines[0]
 
@@ -228,9 +259,19 @@
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
     text = placed(text, {name: block.address(n) for n, name in enumerate(names)})
     (tmp_path / "site.xml").write_bytes(text)
-    process = subprocess.Popen([sys.executable, "-m", "copperyard.lab.sites.hollow", str(tmp_path / "site.xml"),
-                                str(tmp_path), "1", parse(text).common.fleet.hex()],
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    process = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "copperyard.lab.sites.hollow",
+            str(tmp_path / "site.xml"),
+            str(tmp_path),
+            "1",
+            parse(text).common.fleet.hex(),
+        ],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    )
     try:
         orders = [{"do": what, "names": names} for what in ("start", "kill", "start")] + [{"do": "tell"}]
         process.stdin.write(b"".join(json.dumps(one).encode() + b"\n" for one in orders))
@@ -253,6 +294,7 @@
 
 # ---- what a run comes to
 
+
 def tally(downs=(), begin=100.0, end=200.0):
     found = Tally(frozenset("abcd"), frozenset("r"), begin, end, downs=list(downs))
     for name in "abcdr":
@@ -288,11 +330,14 @@
 
 def test_a_death_is_known_when_the_last_that_lives_knows():
     one = tally([Down("kill", frozenset("a"), 120.0, math.inf), Down("kill", frozenset("bc"), 150.0, math.inf)])
-    one.deaths = [Death(125.0, "d", "a", True), Death(128.0, "r", "a", False), Death(129.0, "r", "a", False),
-                  Death(160.0, "d", "b", True)]
+    one.deaths = [
+        Death(125.0, "d", "a", True),
+        Death(128.0, "r", "a", False),
+        Death(129.0, "r", "a", False),
+        Death(160.0, "d", "b", True),
+    ]
     # b and c did not live all the while
-    assert one.dead_known() == {"dead_known_s": 8.0, "dead_first_s": 5.0, "dead_median_s": 8.0,
-                                "dead_known_by": [2, 2]}
+    assert one.dead_known() == {"dead_known_s": 8.0, "dead_first_s": 5.0, "dead_median_s": 8.0, "dead_known_by": [2, 2]}
 
 
 def test_a_zone_is_known_when_the_plan_without_it_is_in_force_at_all_that_live():
@@ -337,14 +382,25 @@
     assert plan_digest(fields) == plan_digest(line) != plan_digest({**fields, "z1": "closed 0.00"})
 
 
-@pytest.mark.parametrize(("lags", "void"), [
-    ([], False), ([(110.0, 0.4), (150.0, 0.5)], False), ([(99.0, 3.0), (202.0, 3.0)], False), ([(150.0, 0.6)], True)])
+@pytest.mark.parametrize(
+    ("lags", "void"),
+    [([], False), ([(110.0, 0.4), (150.0, 0.5)], False), ([(99.0, 3.0), (202.0, 3.0)], False), ([(150.0, 0.6)], True)],
+)
 def test_a_run_in_which_a_process_ran_late_between_begin_and_end_is_void(lags, void, tmp_path):
     text, site, plan, _ = prepare(12, 0)
     block = Block()
     try:
-        run = scale.Scale(site, text, layout.regions_of(text), plan, layout.Wish(12, 0, None, 60.0, 1), tmp_path, block,
-                          lambda words: None, lambda done: None)
+        run = scale.Scale(
+            site,
+            text,
+            layout.regions_of(text),
+            plan,
+            layout.Wish(12, 0, None, 60.0, 1),
+            tmp_path,
+            block,
+            lambda words: None,
+            lambda done: None,
+        )
     finally:
         block.close()
     run.tally.begin, run.tally.end = 100.0, 200.0
@@ -353,8 +409,12 @@
 
 
 def test_what_processes_used_is_told_by_gateway_and_second():
-    samples = [Used(10.0, 1.0, 0, {"a": (0, 0)}), Used(11.0, 1.1, 0, {"a": (100, 50)}),
-               Used(13.0, 1.5, 0, {"a": (20, 10)}), Used(14.0, 2.5, 0, {"a": (40, 30)})]
+    samples = [
+        Used(10.0, 1.0, 0, {"a": (0, 0)}),
+        Used(11.0, 1.1, 0, {"a": (100, 50)}),
+        Used(13.0, 1.5, 0, {"a": (20, 10)}),
+        Used(14.0, 2.5, 0, {"a": (40, 30)}),
+    ]
     assert rates(samples, 10.0, 13.0, 10) == pytest.approx([10.0, 20.0])
     assert traffic(samples, 10.0, 20.0) == {"a": [(100.0, 50.0), (20.0, 20.0)]}  # 13 s: another life
     assert quantile([1, 2, 3, 4], 0.5) == 2 and quantile([1, 2, 3, 4], 0.99) == 4
@@ -406,6 +466,7 @@
 
 # ---- whole runs
 
+
 def play(tmp_path, *words, body=""):
     place = tmp_path / "faults.xml"
     place.write_bytes(faults(body))
@@ -416,8 +477,20 @@
 def test_120_gateways_of_which_a_rack_is_killed_and_comes_back(tmp_path):
     """The short form. Counts are told, not times. (200 took 42 s on eight cores with a load of 18, and more than a
     minute with 20.)"""
-    found, last = play(tmp_path, "--gateways", "120", "--real", "2", "--processes", "4", "--for", "7s",
-                       "--rate", "0.5", body='<fault kind="kill" at="2s" for="3s" who="rack"/>')
+    found, last = play(
+        tmp_path,
+        "--gateways",
+        "120",
+        "--real",
+        "2",
+        "--processes",
+        "4",
+        "--for",
+        "7s",
+        "--rate",
+        "0.5",
+        body='<fault kind="kill" at="2s" for="3s" who="rack"/>',
+    )
     assert found.returncode == 0, found.stderr
     assert (last["gateways"], last["real"], last["hollow"], last["processes"]) == (120, 2, 118, 11)
     assert last["histories"] == 1 and last["rules"] == {str(n): 0 for n in range(1, 7)} and last["faults"] == []
@@ -428,8 +501,19 @@
     # the rack, of which each comes back within its period, asked and answered since: nobody is silent, nobody floods
     assert 118 * 10 < state["frames"] < 118 * 60 * 60 and state["events"]["plan"] >= 118
     assert state["events"].get("defect", 0) == 0 and "plan refused" not in state["events"]
-    keys = {"cpu_ms_per_s", "bytes_per_s", "control_mb", "dead_known_s", "zone_known_s", "false_deaths",
-            "change_in_force_s", "rejoin_s", "seed", "for_s", "mechanism"}
+    keys = {
+        "cpu_ms_per_s",
+        "bytes_per_s",
+        "control_mb",
+        "dead_known_s",
+        "zone_known_s",
+        "false_deaths",
+        "change_in_force_s",
+        "rejoin_s",
+        "seed",
+        "for_s",
+        "mechanism",
+    }
     assert keys <= set(last) and set(last["cpu_ms_per_s"]) == {"median", "p99", "leader", "relay"}
     assert set(last["bytes_per_s"]) == {"median", "p99", "leader", "relay"} and last["cpu_ms_per_s"]["leader"] > 0
 
@@ -459,8 +543,12 @@
     """A run of 12 under way: its process, and those that it has started, once all gateways run."""
     place = tmp_path / "faults.xml"
     place.write_bytes(faults(body))
-    process = subprocess.Popen([*COMMAND, "--gateways", "12", "--for", "60s", "--faults", str(place), *words],
-                               stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [*COMMAND, "--gateways", "12", "--for", "60s", "--faults", str(place), *words],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     said = ""
     for line in process.stderr:
         said = line
@@ -503,4 +591,3 @@
     finally:
         process.kill()
         process.wait()
-
--- a/tests/lab/test_sites.py
+++ b/tests/lab/test_sites.py
@@ -31,13 +31,17 @@
     assert found.others == ("to-1", "to-2") and (found.at, found.until) == (1.0, 3.0)
 
 
-@pytest.mark.parametrize(("fault", "words"), [
-    ('<fault kind="cut" at="1s" for="40s" who="milano"/>', "reach to 41 s of an evening of 30 s"),
-    ('<fault kind="cut" at="1s" who="milano"/>', "without 'for' would never end"),
-    ('<fault kind="kill" at="1s" who="roma"/>', "'roma' is no gateway and no zone"),
-    ('<fault kind="hosts-lost" at="1s" for="1s" who="mi-1"/>', "hosts are named by zones"),
-    ('<fault kind="kill" at="1s" who="mi-1" from="torino"/>', "from means nothing to 'kill'"),
-    ('<fault kind="melt" at="1s" who="mi-1"/>', "melt")])
+@pytest.mark.parametrize(
+    ("fault", "words"),
+    [
+        ('<fault kind="cut" at="1s" for="40s" who="milano"/>', "reach to 41 s of an evening of 30 s"),
+        ('<fault kind="cut" at="1s" who="milano"/>', "without 'for' would never end"),
+        ('<fault kind="kill" at="1s" who="roma"/>', "'roma' is no gateway and no zone"),
+        ('<fault kind="hosts-lost" at="1s" for="1s" who="mi-1"/>', "hosts are named by zones"),
+        ('<fault kind="kill" at="1s" who="mi-1" from="torino"/>', "from means nothing to 'kill'"),
+        ('<fault kind="melt" at="1s" who="mi-1"/>', "melt"),
+    ],
+)
 def test_a_mistake_is_told_with_its_line(fault, words):
     with pytest.raises(BadSettings) as caught:
         read_evening(evening(fault), SITE, "x")
@@ -99,4 +103,5 @@
         net, one, two = pair(Manner(loss=0.3, twice=0.3, delay=(1 * MS, 900 * MS)))
         net.run(60_000 * MS)
         return one.heard, two.heard, net.lost
+
     assert course() == course() and course()[2] > 0
--- a/tests/lab/test_tools.py
+++ b/tests/lab/test_tools.py
@@ -23,13 +23,34 @@
 
 
 def test_the_load_tool_plays_at_running_gateways_and_counts_from_the_intended_start():
-    up = subprocess.Popen([sys.executable, "-m", "copperyard.cli.main", "lab", "up", SETTINGS, "--for", "60s"],
-                          stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
+    up = subprocess.Popen(
+        [sys.executable, "-m", "copperyard.cli.main", "lab", "up", SETTINGS, "--for", "60s"],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        text=True,
+    )
     try:
         ready = json.loads(up.stdout.readline())
-        found = run(app, ["lab", "load", *ready["gateways"], "--title", ready["titles"][0],
-                          "--title", ready["titles"][1], "--rate", "8", "--for", "3s", "--watch", "1s",
-                          "--paid", "0.3"])
+        found = run(
+            app,
+            [
+                "lab",
+                "load",
+                *ready["gateways"],
+                "--title",
+                ready["titles"][0],
+                "--title",
+                ready["titles"][1],
+                "--rate",
+                "8",
+                "--for",
+                "3s",
+                "--watch",
+                "1s",
+                "--paid",
+                "0.3",
+            ],
+        )
         summary = json.loads(found.output.splitlines()[-1])
         assert summary["played"] == summary["requests"] > 8 and summary["stream_faults"] == 0
         assert 0 < summary["play_ms"]["p50"] <= summary["play_ms"]["p99"]
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -16,8 +16,28 @@
 # 1079, 1265, 9000196 and 9001153 a cold host of few places that got more than it takes; 9000568, 9000969 and 9001469
 # news of an end that lay unread when a front that had stood still went on; 1869 a killed gateway of a cut zone that
 # still took connections; 3091 an attempt that was overtaken on its way by its successor
-CORPUS = (1869, 3091, 38, 60, 63, 65, 68, 91, 149, 201, 216, 247, 255, 1079, 1265, 9000196, 9001153, 9000568, 9000969,
-9001469)
+CORPUS = (
+    1869,
+    3091,
+    38,
+    60,
+    63,
+    65,
+    68,
+    91,
+    149,
+    201,
+    216,
+    247,
+    255,
+    1079,
+    1265,
+    9000196,
+    9001153,
+    9000568,
+    9000969,
+    9001469,
+)
 
 
 @pytest.mark.parametrize("seed", [*CORPUS, *range(1, 25)])
@@ -51,6 +71,7 @@
 
 def test_a_code_that_is_never_bound_is_found(monkeypatch):
     from copperyard.control.redemption import Verdict
+
     monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: Verdict.REDEEM)
     seed, found = found_within(range(1, 60))
     assert "rule 2" in found["breaks"][0]
@@ -59,8 +80,11 @@
 def test_a_list_that_is_not_listened_to_is_found(monkeypatch):
     monkeypatch.setattr(HostBook, "may_start", lambda self, server, decided=None: True)
     whole = Plays.listed
-    monkeypatch.setattr(Plays, "listed", lambda self, now, news, addresses: whole(self, now, news, addresses)
-                        if news.kind != 3 else None)
+    monkeypatch.setattr(
+        Plays,
+        "listed",
+        lambda self, now, news, addresses: whole(self, now, news, addresses) if news.kind != 3 else None,
+    )
     seed, found = found_within(range(1, 80))
     assert found["breaks"] or found["left"]
 
@@ -70,6 +94,7 @@
 
     async def passes(self, most):
         pass
+
     monkeypatch.setattr(Follower, "catch_up", passes)
     monkeypatch.setattr(Follower, "_drain", lambda self: False)
     assert any("rule 3" in text for seed in (9000568, 9000969, 9001469) for text in breaks(seed))
@@ -102,8 +127,9 @@
         async def write():
             rest = data
             while rest:
-                rest = rest[await one.send_some(rest):]
+                rest = rest[await one.send_some(rest) :]
             one.close()
+
         async with trio.open_nursery() as nursery:
             nursery.start_soon(write)
             while part := await other.receive_some(4096):
@@ -111,6 +137,7 @@
                 reads += 1
         assert got == data and reads > 40
         return trio.current_time()
+
     assert virtual.run(main, 1) > 0.02
 
 
--- a/tests/membership/test_cells.py
+++ b/tests/membership/test_cells.py
@@ -47,8 +47,10 @@
     assert all(cells.of(name).key == key for name, key in of(cells).items())
 
 
-@given(names=st.dictionaries(st.text(LETTERS, max_size=12), st.integers(0, ZONES - 1), min_size=1, max_size=150),
-       order=st.randoms(use_true_random=False))
+@given(
+    names=st.dictionaries(st.text(LETTERS, max_size=12), st.integers(0, ZONES - 1), min_size=1, max_size=150),
+    order=st.randoms(use_true_random=False),
+)
 def test_any_names_fall_into_cells_and_in_the_same_whatever_their_order(names, order):
     cells = CellMap(names, ZONES)
     assert of(cells).keys() == names.keys()
@@ -81,8 +83,16 @@
 print(sorted(cells.sizes.items()), cells.of("g3-3").ranks(), sorted(cells.place("g3-3").roster),
       sorted(cells.place("g3-3").watchers))
 """
-    told = {subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": seed}, check=True,
-                           capture_output=True, text=True).stdout for seed in ("0", "1", "4711")}
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            check=True,
+            capture_output=True,
+            text=True,
+        ).stdout
+        for seed in ("0", "1", "4711")
+    }
     assert len(told) == 1 and "g3-3" in told.pop()
 
 
@@ -172,8 +182,7 @@
 
 def held(cells, voters=9):
     """Names that each front holds: its cell, contacts, watchers and the voters."""
-    return sorted(len(place.roster) + len(place.watchers) + voters
-                  for place in map(cells.place, cells.roster))
+    return sorted(len(place.roster) + len(place.watchers) + voters for place in map(cells.place, cells.roster))
 
 
 def test_a_front_holds_at_7400_as_many_names_as_at_250():
--- a/tests/membership/test_gateways.py
+++ b/tests/membership/test_gateways.py
@@ -47,7 +47,7 @@
 def test_loss_and_delay_on_half_the_links_kill_nobody():
     world = World(3)
     for n, a in enumerate(world.roster):
-        for b in list(world.roster)[n % 2::2]:
+        for b in list(world.roster)[n % 2 :: 2]:
             world.net.manners[a, b] = Manner(loss=0.2, delay=(380 * MS, 420 * MS))
     world.run(120)
     assert world.deaths() == []
@@ -154,6 +154,7 @@
     def size(message):
         most.append((len(getattr(message, "rumours", ())), len(getattr(message, "rows", ()))))
         return 0
+
     world.net.sizes = size
     world.run(5)
     for name in world.of(0):
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -49,15 +49,27 @@
     assert one.generation == 5
 
 
-@pytest.mark.parametrize("data, wanted", [
-    (b"\xff", "JSON"), (b"[]", "object"), (b"[" * 100_000, "JSON"),
-    (body(6, host("x"), host("x")), "two hosts are named"),
-    (body(6, host("x"), {**host("y"), "address": host("x")["address"]}), "address"),
-    (body(6, {**host("x"), "address": "nowhere"}), r"hosts\[0\].address"), (body(6, host("x", cell=4)), "cell"),
-    (body(6, host("x", cell=True)), "cell"), (body(6, host("x", zone="c")), "zone"),
-    (body(6, host("x", state="odd")), "state"), (body(6, host("x", weight=0)), "weight"),
-    (body(6, host("x", weight=float("nan"))), "weight"), (body(6, {"id": "x"}), "lacks address"),
-    (body(6, host("x" * 65)), "id"), (body(-1), "generation"), (b'{"generation": 6}', "hosts")])
+@pytest.mark.parametrize(
+    "data, wanted",
+    [
+        (b"\xff", "JSON"),
+        (b"[]", "object"),
+        (b"[" * 100_000, "JSON"),
+        (body(6, host("x"), host("x")), "two hosts are named"),
+        (body(6, host("x"), {**host("y"), "address": host("x")["address"]}), "address"),
+        (body(6, {**host("x"), "address": "nowhere"}), r"hosts\[0\].address"),
+        (body(6, host("x", cell=4)), "cell"),
+        (body(6, host("x", cell=True)), "cell"),
+        (body(6, host("x", zone="c")), "zone"),
+        (body(6, host("x", state="odd")), "state"),
+        (body(6, host("x", weight=0)), "weight"),
+        (body(6, host("x", weight=float("nan"))), "weight"),
+        (body(6, {"id": "x"}), "lacks address"),
+        (body(6, host("x" * 65)), "id"),
+        (body(-1), "generation"),
+        (b'{"generation": 6}', "hosts"),
+    ],
+)
 def test_a_body_that_makes_no_sense_changes_nothing(data, wanted):
     one = roster(host("x"))
     with pytest.raises(BadList, match=wanted):
--- a/tests/protocol/node/test_fleet.py
+++ b/tests/protocol/node/test_fleet.py
@@ -25,7 +25,8 @@
         message.answer.append(dns.rrset.from_text(NAME, 0, "IN", "SRV", f"{priority} 40 {port} {target}"))
         message.additional += [
             dns.rrset.from_text(target, 0, "IN", "A", address),
-            dns.rrset.from_text(target, 0, "IN", "TXT", f'"kind=std" "cell={cell}" "started=0"')]
+            dns.rrset.from_text(target, 0, "IN", "TXT", f'"kind=std" "cell={cell}" "started=0"'),
+        ]
     message.authority.append(dns.rrset.from_text(NAME, 0, "IN", "SOA", f"a. b. {serial} 1 1 1 1"))
     return message.to_wire()
 
@@ -35,7 +36,8 @@
     serial, hosts = parse_answer(reply(asked, 41, [("s-1", 2905, 0), ("s-2", 2906, 1)]), 77)
     assert serial == 41 and hosts == (
         Host("s-1", "10.1.0.9:2905", "east", "std", 2, "Ready", 4.0, 0),
-        Host("s-2", "10.1.0.9:2906", "east", "std", 2, "Terminating", 4.0, 0))
+        Host("s-2", "10.1.0.9:2906", "east", "std", 2, "Terminating", 4.0, 0),
+    )
 
 
 def test_answers_that_tell_nothing_are_told_apart():
@@ -43,8 +45,16 @@
     good = reply(asked, 41, [("s-1", 2905, 0)])
     failed = dns.message.make_response(dns.message.from_wire(asked))
     failed.set_rcode(2)
-    for bad in (good[:40], b"", b"\x00" * 12, asked, failed.to_wire(), reply(query(78), 41, []),
-                reply(asked, 41, [], dns.flags.TC), dns.message.make_response(dns.message.from_wire(asked)).to_wire()):
+    for bad in (
+        good[:40],
+        b"",
+        b"\x00" * 12,
+        asked,
+        failed.to_wire(),
+        reply(query(78), 41, []),
+        reply(asked, 41, [], dns.flags.TC),
+        dns.message.make_response(dns.message.from_wire(asked)).to_wire(),
+    ):
         with pytest.raises(BadAnswer):
             parse_answer(bad, 77)
 
@@ -61,8 +71,19 @@
 
 
 def line(name, state="Ready", **more):
-    return Host(**{"name": name, "address": "10.1.0.9:2905", "zone": "east", "kind": "std", "cell": 2, "state": state,
-                   "weight": 4.0, "started": 0, **more})
+    return Host(
+        **{
+            "name": name,
+            "address": "10.1.0.9:2905",
+            "zone": "east",
+            "kind": "std",
+            "cell": 2,
+            "state": state,
+            "weight": 4.0,
+            "started": 0,
+            **more,
+        }
+    )
 
 
 def test_a_list_is_told_as_what_changed_and_an_older_one_not_at_all():
@@ -72,8 +93,7 @@
     assert fleet.take(1, (line("a"),)) is None and fleet.take(0, ()) is None
     news = fleet.take(4, (line("a", started=5), line("c"), line("d")))
     assert news is not None and news.kind == ListKind.DELTA
-    assert [(e.server, e.state, e.started) for e in news.entries] == [
-        (0, 1, 5_000_000 - 1_000), (2, 1, 0), (3, 1, 0)]
+    assert [(e.server, e.state, e.started) for e in news.entries] == [(0, 1, 5_000_000 - 1_000), (2, 1, 0), (3, 1, 0)]
     gone = fleet.take(5, (line("d"),))
     assert gone is not None and [(e.server, e.state) for e in gone.entries] == [(0, 0), (2, 0)]
     assert fleet.take(6, (line("d"),)) is None and fleet.serial == 6
@@ -81,8 +101,16 @@
     assert back is not None and [e.server for e in back.entries] == [4]
 
 
-@pytest.mark.parametrize("known", [None, {}, {"n": 1, "events": [{}]}, {"n": -1, "events": []},
-                                   {"n": 1, "events": [{"members": {"members": [{"phase": "Odd"}]}}]}])
+@pytest.mark.parametrize(
+    "known",
+    [
+        None,
+        {},
+        {"n": 1, "events": [{}]},
+        {"n": -1, "events": []},
+        {"n": 1, "events": [{"members": {"members": [{"phase": "Odd"}]}}]},
+    ],
+)
 def test_a_configuration_without_a_list_says_so(known):
     with pytest.raises(BadAnswer):
         parse_known(known)
--- a/tests/protocol/node/test_messages.py
+++ b/tests/protocol/node/test_messages.py
@@ -7,10 +7,14 @@
 from copperyard.protocol.node.messages import MOST, Cause, Decoder, Kind, Param, encode, parse_report
 
 ID = bytes(range(8))
-GOOD = [encode(Kind.ANSWER, ID, ((Param.DESCRIPTION, b"\xff\x00d"),)),
-        encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\x22"), (Param.REPORT, b"x0:1.25;x1:nan;q:zz;;w:3"))),
-        encode(Kind.NOTE, ID, ((Param.NOTE, b"share"), (Param.FIGURE, b"0.5"))),
-        encode(Kind.TESTED, ID, ((Param.CAUSE, b"\1"),)), encode(Kind.HEARD, ID), encode(Kind.PROGRESS, ID)]
+GOOD = [
+    encode(Kind.ANSWER, ID, ((Param.DESCRIPTION, b"\xff\x00d"),)),
+    encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\x22"), (Param.REPORT, b"x0:1.25;x1:nan;q:zz;;w:3"))),
+    encode(Kind.NOTE, ID, ((Param.NOTE, b"share"), (Param.FIGURE, b"0.5"))),
+    encode(Kind.TESTED, ID, ((Param.CAUSE, b"\1"),)),
+    encode(Kind.HEARD, ID),
+    encode(Kind.PROGRESS, ID),
+]
 
 
 @given(st.lists(st.integers(1, 40), min_size=1, max_size=30))
@@ -27,12 +31,22 @@
     assert parse_report(found[1].text(Param.REPORT)) == {"x0": 1.25, "w": 3.0}
 
 
-@pytest.mark.parametrize("bad", [
-    b"\x00\x08" + bytes(8), b"\xff\xff\x09" + bytes(20), b"\x00\x09\x07" + ID, encode(Kind.SETUP, ID),
-    encode(Kind.ANSWER, ID), encode(Kind.RELEASE, ID), encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1\2"),)),
-    encode(Kind.NOTE, ID, ((Param.NOTE, b"share"),)),
-    encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1"), (Param.CAUSE, b"\1"))),
-    b"\x00\x0b\x09" + ID + b"\xe1\x00", b"\x00\x0d\x09" + ID + b"\xe1\x00\x09a"])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"\x00\x08" + bytes(8),
+        b"\xff\xff\x09" + bytes(20),
+        b"\x00\x09\x07" + ID,
+        encode(Kind.SETUP, ID),
+        encode(Kind.ANSWER, ID),
+        encode(Kind.RELEASE, ID),
+        encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1\2"),)),
+        encode(Kind.NOTE, ID, ((Param.NOTE, b"share"),)),
+        encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1"), (Param.CAUSE, b"\1"))),
+        b"\x00\x0b\x09" + ID + b"\xe1\x00",
+        b"\x00\x0d\x09" + ID + b"\xe1\x00\x09a",
+    ],
+)
 def test_what_is_not_of_the_protocol_is_told_after_what_was_and_ends_it(bad):
     decoder = Decoder()
     messages, error = decoder.receive(GOOD[0] + bad + GOOD[0])
--- a/tests/protocol/peers/test_frames.py
+++ b/tests/protocol/peers/test_frames.py
@@ -24,15 +24,22 @@
 from copperyard.protocol.peers import MOST_FRAME, BadFrame, Codec, Hello, Reader, hello, read_hello
 from copperyard.state.agreement.messages import Append, Entry, Kind, Newer, News, Since, Snapshot
 
-CELL = CellReport(1, 2, 77, "gw-1", 3, 4, 5, 2, 6, 1, 2, 0, (1.5, 0.0),
-                  (Zonal(((1.0, 2), (2.5, 1)), 4, 1, 9, 8, 0, 7),))
+CELL = CellReport(
+    1, 2, 77, "gw-1", 3, 4, 5, 2, 6, 1, 2, 0, (1.5, 0.0), (Zonal(((1.0, 2), (2.5, 1)), 4, 1, 9, 8, 0, 7),)
+)
 SAMPLES = [
     Ping(1, 2, (Rumour("gw-1", Life.SUSPECT, 3, "gw-2"),), (Row("gw-1", 1, 2, ((1, 1, 0, 0),)),)),
     Append(3, 2, 1, (Entry(3, Kind.DATA, b"x"), Entry(3, Kind.BEGIN, b"")), 1, 9),
-    News(Snapshot(4, 1, ("a", "b"), b"data"), 4, (), 4, "a", 4, 5), News(None, 0, (), 0, "", 0, 0),
-    Since(3, 1 << 31), News(None, 3, (), 3, "a", 2, 1, 1 << 31), Newer(7),
+    News(Snapshot(4, 1, ("a", "b"), b"data"), 4, (), 4, "a", 4, 5),
+    News(None, 0, (), 0, "", 0, 0),
+    Since(3, 1 << 31),
+    News(None, 3, (), 3, "a", 2, 1, 1 << 31),
+    Newer(7),
     MemberReport(Summary("gw-1", 1, 2, 3, (1.5, 0.0), (HostsOf(1.0, 0.5, 2, 1, 0, 0),)), ((3, 2, 1, 0),)),
-    CELL, Gathered(((CELL, 8), (CELL, 9))), Heard(4), Resign(20),
+    CELL,
+    Gathered(((CELL, 8), (CELL, 9))),
+    Heard(4),
+    Resign(20),
 ]
 
 
@@ -40,7 +47,7 @@
 def test_a_message_comes_out_as_it_went_in(message):
     reader = Reader()
     data = MESSAGES.frame(message)
-    bodies = [body for n in range(len(data)) for body in reader.receive(data[n:n + 1])]
+    bodies = [body for n in range(len(data)) for body in reader.receive(data[n : n + 1])]
     assert [MESSAGES.read(body) for body in bodies] == [message] and reader.waiting == 0
 
 
@@ -50,13 +57,26 @@
     assert ENTRIES.read(ENTRIES.body(plan)) == plan
 
 
-@pytest.mark.parametrize(("body", "word"), [
-    ([99, 1], "kind 99"), ([], "no list with a kind"), (["a"], "no list with a kind"), ({}, "no list"),
-    ([2, 1], "Ack is no list of 4"), ([4, "x"], "Nothing.number is no whole number"), ([4, 1 << 63], "whole number"),
-    ([4, True], "whole number"), ([17, 1.5, 0], "Since.index"), ([2, 1, "a" * 300, [], []], "no text of at most 256"),
-    ([3, 1, "t", [["n", 9, 1, "b"]]], "Rumour.life"),
-    ([31, ["a", 1, 1, 1, [float("nan")], []], []], "no finite number"), ([30, "a", 1, 1, 1, [1.0], []], "kind 30"),
-    ([12, 1, 1, 1, [[1, 1, "text"]], 1, 1], "Entry.data is no bytes"), ([18, 5, 0, [], 0, "", 0, 0, 0], "Snapshot")])
+@pytest.mark.parametrize(
+    ("body", "word"),
+    [
+        ([99, 1], "kind 99"),
+        ([], "no list with a kind"),
+        (["a"], "no list with a kind"),
+        ({}, "no list"),
+        ([2, 1], "Ack is no list of 4"),
+        ([4, "x"], "Nothing.number is no whole number"),
+        ([4, 1 << 63], "whole number"),
+        ([4, True], "whole number"),
+        ([17, 1.5, 0], "Since.index"),
+        ([2, 1, "a" * 300, [], []], "no text of at most 256"),
+        ([3, 1, "t", [["n", 9, 1, "b"]]], "Rumour.life"),
+        ([31, ["a", 1, 1, 1, [float("nan")], []], []], "no finite number"),
+        ([30, "a", 1, 1, 1, [1.0], []], "kind 30"),
+        ([12, 1, 1, 1, [[1, 1, "text"]], 1, 1], "Entry.data is no bytes"),
+        ([18, 5, 0, [], 0, "", 0, 0, 0], "Snapshot"),
+    ],
+)
 def test_a_body_that_is_none_of_ours_is_refused_with_its_place(body, word):
     with pytest.raises(BadFrame, match=word):
         MESSAGES.read(msgpack.packb(body))
@@ -70,9 +90,19 @@
         pass
 
 
-@given(st.recursive(st.none() | st.booleans() | st.integers(-(1 << 63), 1 << 63) | st.floats() | st.text(max_size=9)
-                    | st.binary(max_size=9), lambda inner: st.lists(inner, max_size=8), max_leaves=20),
-       st.sampled_from([1, 2, 10, 12, 14, 16, 18, 19, 31, 32, 33, 34, 35]))
+@given(
+    st.recursive(
+        st.none()
+        | st.booleans()
+        | st.integers(-(1 << 63), 1 << 63)
+        | st.floats()
+        | st.text(max_size=9)
+        | st.binary(max_size=9),
+        lambda inner: st.lists(inner, max_size=8),
+        max_leaves=20,
+    ),
+    st.sampled_from([1, 2, 10, 12, 14, 16, 18, 19, 31, 32, 33, 34, 35]),
+)
 def test_any_shape_gives_a_message_that_packs_again_or_bad_frame(parts, kind):
     body = msgpack.packb([kind, *(parts if isinstance(parts, list) else [parts])])
     try:
@@ -108,6 +138,7 @@
     @dataclass
     class Odd:
         one: dict[str, int]
+
     Odd.__annotations__ = {"one": dict[str, int]}
     with pytest.raises(TypeError, match="no form"):
         Codec({1: Odd})
--- a/tests/protocol/test_headers.py
+++ b/tests/protocol/test_headers.py
@@ -30,25 +30,40 @@
     assert parse_url("*").path == "*" and parse_url("rtsp://h").path == "/"
 
 
-@pytest.mark.parametrize("uri, wanted", [("/films/a", 400), ("http://h/a", 400), ("rtsp://[::1/a", 400),
-                                         ("rtsp://h/" + "a" * 3000, 414),
-                                         ("rtsp://h/a?" + "&".join("x=1" for _ in range(30)), 400)])
+@pytest.mark.parametrize(
+    "uri, wanted",
+    [
+        ("/films/a", 400),
+        ("http://h/a", 400),
+        ("rtsp://[::1/a", 400),
+        ("rtsp://h/" + "a" * 3000, 414),
+        ("rtsp://h/a?" + "&".join("x=1" for _ in range(30)), 400),
+    ],
+)
 def test_urls_that_name_nothing(uri, wanted):
     assert status(parse_url, uri) == wanted
 
 
 def test_the_first_transport_that_is_served_is_taken():
-    text = 'RTP/AVP;unicast;client_port=4-5, RTP/AVP/TCP;multicast, RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=0A0B0C0D'
+    text = "RTP/AVP;unicast;client_port=4-5, RTP/AVP/TCP;multicast, RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=0A0B0C0D"
     assert parse_transport(text) == Transport((4, 5), 0x0A0B0C0D)
     assert parse_transport("RTP/AVP/TCP;unicast") == Transport(None)
     assert parse_transport("rtp/avp/tcp;interleaved=8") == Transport((8, 9))
     assert Transport((2, 3), 255).encode() == "RTP/AVP/TCP;unicast;interleaved=2-3;ssrc=000000FF"
 
 
-@pytest.mark.parametrize("text, wanted", [
-    ("RTP/AVP;unicast;client_port=4-5", 461), ("RTP/AVP/UDP;unicast", 461), ("", 461),
-    ("RTP/AVP/TCP;mode=record", 461), ("RTP/AVP/TCP;interleaved=255-256", 400),
-    ("RTP/AVP/TCP;interleaved=4-9", 400), ("RTP/AVP/TCP;interleaved=x", 400)])
+@pytest.mark.parametrize(
+    "text, wanted",
+    [
+        ("RTP/AVP;unicast;client_port=4-5", 461),
+        ("RTP/AVP/UDP;unicast", 461),
+        ("", 461),
+        ("RTP/AVP/TCP;mode=record", 461),
+        ("RTP/AVP/TCP;interleaved=255-256", 400),
+        ("RTP/AVP/TCP;interleaved=4-9", 400),
+        ("RTP/AVP/TCP;interleaved=x", 400),
+    ],
+)
 def test_transports_that_are_not_served(text, wanted):
     assert status(parse_transport, text) == wanted
 
--- a/tests/protocol/test_rtsp.py
+++ b/tests/protocol/test_rtsp.py
@@ -8,8 +8,10 @@
 from copperyard.protocol.rtsp.connection import supported
 
 LIMITS = Limits(line=200, headers=8, body=64, frame=1000, pending=4)
-SETUP = (b"SETUP rtsp://h/films/a/track1 RTSP/1.0\r\nCSeq: 2\r\nTransport: RTP/AVP/TCP;unicast;\r\n"
-         b" interleaved=0-1\r\n\r\n")
+SETUP = (
+    b"SETUP rtsp://h/films/a/track1 RTSP/1.0\r\nCSeq: 2\r\nTransport: RTP/AVP/TCP;unicast;\r\n"
+    b" interleaved=0-1\r\n\r\n"
+)
 BODY = b"SET_PARAMETER * RTSP/1.0\r\nCSeq: 3\r\ncontent-length: 7\r\n\r\nrung: 2"
 
 
@@ -19,7 +21,7 @@
         return wire.receive(data)
     events, at = [], 0
     for size in sizes:
-        events += wire.receive(data[at:at + size])
+        events += wire.receive(data[at : at + size])
         at += size
     return events + wire.receive(data[at:])
 
@@ -49,23 +51,26 @@
     assert [type(e) for e in fed(b"$\x00\xff\xff" + b"x" * 10)] == [Malformed]
 
 
-@pytest.mark.parametrize("data, status", [
-    (b"PLAY rtsp://h/" + b"x" * 300 + b" RTSP/1.0\r\n", 414),
-    (b"PLAY * RTSP/1.0\r\nX: " + b"y" * 300, 400),
-    (b"PLAY * RTSP/1.0\r\n" + b"X: y\r\n" * 20, 400),
-    (b"PLAY * RTSP/1.0\r\nContent-Length: -4\r\n\r\n", 400),
-    (b"PLAY * RTSP/1.0\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
-    (b"PLAY * RTSP/1.0\r\nContent-Length: 65\r\n\r\n", 413),
-    (b"PLAY * RTSP/1.0\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n", 400),
-    (b"PLAY *\r\n\r\n", 400),
-    (b"PLAY  * RTSP/1.0\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\n\r\n", 400),
-    (b"PLAY * RTSP/1.0\r\n folded\r\n\r\n", 400),
-    (b"PLAY * RTSP/1.0\r\nno colon\r\n\r\n", 400),
-    (b"PLAY * RTSP/1.0\r\nX: \xff\xfe\r\n\r\n", 400),
-    (b"PLAY * RTSP/1.0\r\nX: a\0b\r\n\r\n", 400),
-    (b"RTSP/1.0 99 Odd\r\n\r\n", 400),
-])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"PLAY rtsp://h/" + b"x" * 300 + b" RTSP/1.0\r\n", 414),
+        (b"PLAY * RTSP/1.0\r\nX: " + b"y" * 300, 400),
+        (b"PLAY * RTSP/1.0\r\n" + b"X: y\r\n" * 20, 400),
+        (b"PLAY * RTSP/1.0\r\nContent-Length: -4\r\n\r\n", 400),
+        (b"PLAY * RTSP/1.0\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
+        (b"PLAY * RTSP/1.0\r\nContent-Length: 65\r\n\r\n", 413),
+        (b"PLAY * RTSP/1.0\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n", 400),
+        (b"PLAY *\r\n\r\n", 400),
+        (b"PLAY  * RTSP/1.0\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (b"PLAY * RTSP/1.0\r\n folded\r\n\r\n", 400),
+        (b"PLAY * RTSP/1.0\r\nno colon\r\n\r\n", 400),
+        (b"PLAY * RTSP/1.0\r\nX: \xff\xfe\r\n\r\n", 400),
+        (b"PLAY * RTSP/1.0\r\nX: a\0b\r\n\r\n", 400),
+        (b"RTSP/1.0 99 Odd\r\n\r\n", 400),
+    ],
+)
 def test_what_cannot_be_followed_ends_the_connection(data, status):
     wire = Connection(LIMITS)
     events = wire.receive(data)
@@ -79,8 +84,10 @@
     first, _ = wire.ask("SETUP", "rtsp://h/a")
     second, data = wire.ask("PLAY", "rtsp://h/a", (("Session", "s"),))
     assert data == b"PLAY rtsp://h/a RTSP/1.0\r\nCSeq: 2\r\nSession: s\r\n\r\n"
-    events = wire.receive(b"RTSP/1.0 200 OK\r\nCSeq: 2\r\n\r\nRTSP/1.0 453\r\nCSeq: 1\r\n\r\n"
-                          b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\nRTSP/1.0 200 OK\r\nCSeq: 7\r\n\r\n")
+    events = wire.receive(
+        b"RTSP/1.0 200 OK\r\nCSeq: 2\r\n\r\nRTSP/1.0 453\r\nCSeq: 1\r\n\r\n"
+        b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\nRTSP/1.0 200 OK\r\nCSeq: 7\r\n\r\n"
+    )
     assert [(e.cseq, e.method, e.response.status) for e in events[:2]] == [(second, "PLAY", 200), (first, "SETUP", 453)]
     assert [type(e) for e in events[2:]] == [Unasked, Unasked]
     assert wire.waiting == 0
@@ -106,14 +113,18 @@
 
 TEXT = st.text(st.characters(min_codepoint=33, max_codepoint=0x2FF, exclude_characters="\x7f"), max_size=12)
 MESSAGE = st.one_of(
-    st.builds(lambda m, h, b: Request(m, "rtsp://h/a", h, b).encode(),
-              st.sampled_from(("PLAY", "SETUP", "OPTIONS")),
-              st.lists(st.tuples(st.sampled_from(("CSeq", "Range", "X-y")), TEXT), max_size=4).map(tuple),
-              st.binary(max_size=30)),
-    st.builds(lambda c, p: b"$" + bytes((c,)) + len(p).to_bytes(2, "big") + p, st.integers(0, 255),
-              st.binary(max_size=300)),
+    st.builds(
+        lambda m, h, b: Request(m, "rtsp://h/a", h, b).encode(),
+        st.sampled_from(("PLAY", "SETUP", "OPTIONS")),
+        st.lists(st.tuples(st.sampled_from(("CSeq", "Range", "X-y")), TEXT), max_size=4).map(tuple),
+        st.binary(max_size=30),
+    ),
+    st.builds(
+        lambda c, p: b"$" + bytes((c,)) + len(p).to_bytes(2, "big") + p, st.integers(0, 255), st.binary(max_size=300)
+    ),
     st.builds(lambda s, b: Response(s, (("CSeq", "1"),), b).encode(), st.integers(100, 599), st.binary(max_size=20)),
-    st.binary(max_size=40))
+    st.binary(max_size=40),
+)
 
 
 @settings(max_examples=300)
@@ -130,8 +141,9 @@
         for event in events:
             found += fed(bytes(event.data)) if isinstance(event, Run) else [event]
         return found
+
     wire, events, at = Connection(LIMITS, runs=True), [], 0
     for size in (*sizes, len(data)):
-        events += wire.receive(data[at:at + size])
+        events += wire.receive(data[at : at + size])
         at += size
     assert flat(events) == fed(data)
--- a/tests/protocol/test_sdp.py
+++ b/tests/protocol/test_sdp.py
@@ -4,9 +4,16 @@
 
 from copperyard.protocol.sdp import BadDescription, Description, Media, parse
 
-FILM = Description("Class 3B", (7, 1), "127.0.0.1", (("control", "*"), ("range", "npt=0-60")), (
-    Media("video", 0, "RTP/AVP", ("26",), (("rtpmap", "26 JPEG/90000"), ("control", "track1")), 700),
-    Media("audio", 0, "RTP/AVP", ("0", "8"), (("control", "track2"), ("recvonly", "")))))
+FILM = Description(
+    "Class 3B",
+    (7, 1),
+    "127.0.0.1",
+    (("control", "*"), ("range", "npt=0-60")),
+    (
+        Media("video", 0, "RTP/AVP", ("26",), (("rtpmap", "26 JPEG/90000"), ("control", "track1")), 700),
+        Media("audio", 0, "RTP/AVP", ("0", "8"), (("control", "track2"), ("recvonly", ""))),
+    ),
+)
 
 
 def test_a_description_comes_back_as_it_was():
@@ -15,10 +22,18 @@
     assert parse(b"v=0\no=- 1 2 IN IP4 h\ns=x\nc=IN IP4 1.2.3.4/127\nt=0 0\nk=old\n").address == "1.2.3.4"
 
 
-@pytest.mark.parametrize("text, wanted", [
-    (b"s=x", "line 1"), (b"v=0\nnonsense", "line 2"), (b"v=0\no=- 1", "line 2"),
-    (b"v=0\nm=video x RTP/AVP 0", "line 2"),
-    (b"v=0\nm=video 70000 RTP/AVP 0", "line 2"), (b"\xff", "UTF-8"), (b"v=0\n" + b"a=x\n" * 300, "200 lines")])
+@pytest.mark.parametrize(
+    "text, wanted",
+    [
+        (b"s=x", "line 1"),
+        (b"v=0\nnonsense", "line 2"),
+        (b"v=0\no=- 1", "line 2"),
+        (b"v=0\nm=video x RTP/AVP 0", "line 2"),
+        (b"v=0\nm=video 70000 RTP/AVP 0", "line 2"),
+        (b"\xff", "UTF-8"),
+        (b"v=0\n" + b"a=x\n" * 300, "200 lines"),
+    ],
+)
 def test_mistakes_name_their_line(text, wanted):
     with pytest.raises(BadDescription, match=wanted):
         parse(text)
