--- a/tests/state/test_book.py
+++ b/tests/state/test_book.py
@@ -24,7 +24,7 @@
             self.files[step.name] = step.data
             self.synced[step.name] = step.data
         elif isinstance(step, Append):
-            self.files[step.name] += step.data[:len(step.data) // 2] if half else step.data
+            self.files[step.name] += step.data[: len(step.data) // 2] if half else step.data
             if step.sync and not half:
                 self.synced[step.name] = self.files[step.name]
         elif isinstance(step, Rename):
@@ -233,7 +233,7 @@
         cut = {}  # the machine went down: of what was not synced any part is there, or zeros
         for name, data in folder.files.items():
             safe = len(folder.synced.get(name, b""))
-            some = data[:rng.randint(safe, len(data))] if len(data) > safe else data
+            some = data[: rng.randint(safe, len(data))] if len(data) > safe else data
             cut[name] = some + bytes(rng.choice((0, 0, len(data) - len(some))))
         for files in (folder.files, cut):
             found = folder.recover(files)
@@ -244,7 +244,7 @@
                 want.setdefault(one.code, []).append((book.durable(number), one))
             for code, told in want.items():
                 durable = max((k for k, (safe, _) in enumerate(told) if safe), default=-1)
-                allowed = [one for _, one in told[max(0, durable):]]
+                allowed = [one for _, one in told[max(0, durable) :]]
                 kept = found.state.codes.get(code)
                 if kept is None:
                     assert durable < 0 or any(isinstance(one, Cleared) for one in allowed)
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -13,18 +13,28 @@
 from copperyard.state.recovery import recover
 
 A, B, C = digest("A"), digest("B"), digest("C")
-LIFE = [Began(1, "gw.1", "g", 1), Carried(2, A, "gw.1/1", "h0"), Redeemed(3, A, "r-A"), Carried(4, B, "gw.1/2", "h1"),
-        Carried(5, C, "gw.1/3", "h1"), Cleared(6, C)]
+LIFE = [
+    Began(1, "gw.1", "g", 1),
+    Carried(2, A, "gw.1/1", "h0"),
+    Redeemed(3, A, "r-A"),
+    Carried(4, B, "gw.1/2", "h1"),
+    Carried(5, C, "gw.1/3", "h1"),
+    Cleared(6, C),
+]
 
 
 def segment(number, first, some):
     return frames.segment_head(number, first) + b"".join(
-        frames.record(first + n, facts.encode(one)) for n, one in enumerate(some))
+        frames.record(first + n, facts.encode(one)) for n, one in enumerate(some)
+    )
 
 
 def snapshot(last, some):
-    return frames.snapshot_head(last) + b"".join(
-        frames.record(n, facts.encode(one)) for n, one in enumerate(some, 1)) + frames.snapshot_tail(len(some))
+    return (
+        frames.snapshot_head(last)
+        + b"".join(frames.record(n, facts.encode(one)) for n, one in enumerate(some, 1))
+        + frames.snapshot_tail(len(some))
+    )
 
 
 def found(files):
@@ -48,8 +58,19 @@
     assert found({"lock": b"", "notes.txt": b"x", "journal-1.seg": b"no name of ours"}).refusal(False) is None
 
 
-@given(st.sampled_from([Began(0, "l", "g", 3), Carried(1 << 60, A, "r" * 99, ""), Redeemed(0, B, "ü"), Cleared(3, C),
-                        Listed(1, b"\x00" * 5000), Ended(2, (1, 2, 3)), Passed(9)]))
+@given(
+    st.sampled_from(
+        [
+            Began(0, "l", "g", 3),
+            Carried(1 << 60, A, "r" * 99, ""),
+            Redeemed(0, B, "ü"),
+            Cleared(3, C),
+            Listed(1, b"\x00" * 5000),
+            Ended(2, (1, 2, 3)),
+            Passed(9),
+        ]
+    )
+)
 def test_a_fact_is_what_its_bytes_say(fact):
     assert facts.decode(facts.encode(fact)) == fact
 
@@ -65,6 +86,7 @@
 
 def test_kinds_and_fields_of_a_newer_minor_schema_are_passed_over():
     import msgpack
+
     new_kind, new_field = msgpack.packb([99, 1]), msgpack.packb([7, 5, "more", None])
     data = frames.segment_head(1, 1) + frames.record(1, new_kind) + frames.record(2, new_field)
     got = found({SEG1: data})
@@ -152,8 +174,13 @@
         begun = list(fuzzy.facts())
         making = fuzzy.facts()
         for n in range(10, 60):
-            one: facts.Fact = rng.choice((Carried(n, rng.choice(codes), f"r{n}", "h"), Redeemed(n,
-            rng.choice(codes), f"q{n}"), Cleared(n, rng.choice(codes))))
+            one: facts.Fact = rng.choice(
+                (
+                    Carried(n, rng.choice(codes), f"r{n}", "h"),
+                    Redeemed(n, rng.choice(codes), f"q{n}"),
+                    Cleared(n, rng.choice(codes)),
+                )
+            )
             fuzzy.apply(one)
             log.append(one)
             written += [f for f in (next(making, None),) if f is not None]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,8 +22,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULT: dict[str, Any] = {
-    "what": "some.kind", "commit": "0123abc", "command": "python -m benchmarks.some 100 --seed 1", "seed": 1,
-    "size": 100, "values": {"cost": 10.0}, "machine": "a machine", "at": "2026-12-02T01:00:00Z", "trial": False}
+    "what": "some.kind",
+    "commit": "0123abc",
+    "command": "python -m benchmarks.some 100 --seed 1",
+    "seed": 1,
+    "size": 100,
+    "values": {"cost": 10.0},
+    "machine": "a machine",
+    "at": "2026-12-02T01:00:00Z",
+    "trial": False,
+}
 
 
 def result(**changes: Any) -> dict[str, Any]:
@@ -118,8 +126,9 @@
     assert "line 2: 41: names no run" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("text", ["in `a 41 b` quotes\n", "[words](a41.md)\n", "```\n41\n```\n",
-                                  "{{ plan.gateways }}\n"])
+@pytest.mark.parametrize(
+    "text", ["in `a 41 b` quotes\n", "[words](a41.md)\n", "```\n41\n```\n", "{{ plan.gateways }}\n"]
+)
 def test_names_links_code_and_the_operators_figures_need_no_run(sizes, text):
     assert sizes.write(text) == 0
 
@@ -136,8 +145,10 @@
 
 
 def test_what_was_not_measured_says_so_and_fills_in(sizes):
-    text = ('{{ m("some.kind", "cost", 7400) }} {{ calc("v*gateways", v=m("some.kind", "cost", 7400)) }} '
-            '{{ factor(m("some.kind", "cost", 7400), plan.cpu_ms) }}\n')
+    text = (
+        '{{ m("some.kind", "cost", 7400) }} {{ calc("v*gateways", v=m("some.kind", "cost", 7400)) }} '
+        '{{ factor(m("some.kind", "cost", 7400), plan.cpu_ms) }}\n'
+    )
     assert sizes.write(text) == 0
     assert sizes.page.read_text() == "not measured not measured not measured\n"
     assert sizes.add(line_of(7400, 24.0)) == 0
@@ -184,25 +195,42 @@
 
 # ---- the data file
 
+
 def edited(text: str) -> str:
     return text.replace('"cost": 10.0', '"cost": 11.0')
 
 
-@pytest.mark.parametrize("harm, said", [
-    (lambda text: text.replace('"version": 1', '"version": 2'), "line 1: version: 2: this reads 1"),
-    (lambda text: text.replace(capacity.FORMAT, "other"), "line 1: format: \"other\""),
-    (lambda text: text[:-30], "line 4: "),
-    (lambda text: text[:len(text) // 2], "line 2: "),
-    (lambda text: "".join(text.splitlines(True)[:-1]), "line 3: "),
-    (lambda text: text[:-1], "half written, no end"),
-    (lambda text: "", "line 1: format: null"),
-    (edited, "line 2: id: "),
-    (lambda text: "".join(line for n, line in enumerate(text.splitlines(True)) if n != 1), "lines lost or moved"),
-    (lambda text: "".join(text.splitlines(True)[n] for n in (0, 2, 1, 3)), "lines lost or moved"),
-    (lambda text: "".join(text.splitlines(True)[n] for n in (0, 1, 1, 3)), "is on line 2 already"),
-    (lambda text: text.replace(text.splitlines()[1], "[1]"), "line 2: '[1]': no object"),
-], ids=["version", "format", "cut in its end", "cut in a line", "no end", "no last end of line", "empty", "edited",
-        "line lost", "lines moved", "line twice", "no object"])
+@pytest.mark.parametrize(
+    "harm, said",
+    [
+        (lambda text: text.replace('"version": 1', '"version": 2'), "line 1: version: 2: this reads 1"),
+        (lambda text: text.replace(capacity.FORMAT, "other"), 'line 1: format: "other"'),
+        (lambda text: text[:-30], "line 4: "),
+        (lambda text: text[: len(text) // 2], "line 2: "),
+        (lambda text: "".join(text.splitlines(True)[:-1]), "line 3: "),
+        (lambda text: text[:-1], "half written, no end"),
+        (lambda text: "", "line 1: format: null"),
+        (edited, "line 2: id: "),
+        (lambda text: "".join(line for n, line in enumerate(text.splitlines(True)) if n != 1), "lines lost or moved"),
+        (lambda text: "".join(text.splitlines(True)[n] for n in (0, 2, 1, 3)), "lines lost or moved"),
+        (lambda text: "".join(text.splitlines(True)[n] for n in (0, 1, 1, 3)), "is on line 2 already"),
+        (lambda text: text.replace(text.splitlines()[1], "[1]"), "line 2: '[1]': no object"),
+    ],
+    ids=[
+        "version",
+        "format",
+        "cut in its end",
+        "cut in a line",
+        "no end",
+        "no last end of line",
+        "empty",
+        "edited",
+        "line lost",
+        "lines moved",
+        "line twice",
+        "no object",
+    ],
+)
 @pytest.mark.parametrize("words", [(), ("--check",), ("predict", "--what", "some.kind", "--size", "7"), ("add",)])
 def test_harmed_data_is_named_and_left(place, capsys, harm, said, words):
     assert place.add(line_of(100, 10.0), line_of(200, 20.0)) == 0
@@ -235,6 +263,7 @@
 
     def full(number: int) -> None:
         raise OSError(28, "No space left on device")
+
     monkeypatch.setattr(os, "fsync", full)
     assert place.add(line_of(200, 20.0)) == 2
     assert "runs.jsonl: not written" in capsys.readouterr().err
@@ -250,9 +279,14 @@
         found = whole(path)
         time.sleep(0.02)
         return found
+
     monkeypatch.setattr(capacity, "read", slow)
-    tasks = [threading.Thread(target=capacity.change, args=(place.data, lambda records, n=n: [
-        as_run("x", line_of(n, 1.0), {})])) for n in range(2, 8)]
+    tasks = [
+        threading.Thread(
+            target=capacity.change, args=(place.data, lambda records, n=n: [as_run("x", line_of(n, 1.0), {})])
+        )
+        for n in range(2, 8)
+    ]
     for task in tasks:
         task.start()
     for task in tasks:
@@ -270,24 +304,39 @@
     assert "0 of 2 runs are new" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("bad, said", [
-    ("", "result1.json line 1: ''"), ('{"what": "a', "half written, no JSON"), ("[1]", "no object"),
-    ('{"what": "x"}\n{"what', "half written, no JSON"),
-    (result(what="Some Kind"), "what: \"Some Kind\""), (result(commit="HEAD"), "commit: \"HEAD\""),
-    (result(commit=""), "commit: \"\""), (result(size=0), "size: 0"), (result(size=True), "size: true"),
-    (result(size=1.5), "size: 1.5"), (result(values={}), "values: {}"), (result(values=7), "values: 7"),
-    (json.dumps(result(values={"cost": math.nan})), "values: cost: NaN"),
-    (json.dumps(result(values={"cost": math.inf})), "values: cost: Infinity"),
-    (result(values={"cost": [1.0, "2"]}), "values: cost[1]: \"2\""),
-    (result(raw={"cost": [1.0, None]}), "raw.cost[1]: null"), (result(raw=[1]), "raw: [1]"),
-    (result(seed="1"), "seed: \"1\""), (result(seed=True), "seed: true"), (result(at="today"), "at: \"today\""),
-    (result(machine=""), "machine: \"\""), (result(command=""), "command: \"\""),
-    (result(command="python /home/me/x.py"), "a path of this machine"), (result(trial=1), "trial: 1"),
-    ({"gateways": 250, "cpu_ms_per_s": {"median": 1}}, "bytes_per_s: null"),
-    ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}, "clock": "wall"}, "clock: \"wall\""),
-    ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}, "mechanism": "tree"}, "mechanism: \"tree\""),
-    ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}}, "commit: null"),
-])
+@pytest.mark.parametrize(
+    "bad, said",
+    [
+        ("", "result1.json line 1: ''"),
+        ('{"what": "a', "half written, no JSON"),
+        ("[1]", "no object"),
+        ('{"what": "x"}\n{"what', "half written, no JSON"),
+        (result(what="Some Kind"), 'what: "Some Kind"'),
+        (result(commit="HEAD"), 'commit: "HEAD"'),
+        (result(commit=""), 'commit: ""'),
+        (result(size=0), "size: 0"),
+        (result(size=True), "size: true"),
+        (result(size=1.5), "size: 1.5"),
+        (result(values={}), "values: {}"),
+        (result(values=7), "values: 7"),
+        (json.dumps(result(values={"cost": math.nan})), "values: cost: NaN"),
+        (json.dumps(result(values={"cost": math.inf})), "values: cost: Infinity"),
+        (result(values={"cost": [1.0, "2"]}), 'values: cost[1]: "2"'),
+        (result(raw={"cost": [1.0, None]}), "raw.cost[1]: null"),
+        (result(raw=[1]), "raw: [1]"),
+        (result(seed="1"), 'seed: "1"'),
+        (result(seed=True), "seed: true"),
+        (result(at="today"), 'at: "today"'),
+        (result(machine=""), 'machine: ""'),
+        (result(command=""), 'command: ""'),
+        (result(command="python /home/me/x.py"), "a path of this machine"),
+        (result(trial=1), "trial: 1"),
+        ({"gateways": 250, "cpu_ms_per_s": {"median": 1}}, "bytes_per_s: null"),
+        ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}, "clock": "wall"}, 'clock: "wall"'),
+        ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}, "mechanism": "tree"}, 'mechanism: "tree"'),
+        ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}}, "commit: null"),
+    ],
+)
 def test_a_bad_result_is_named_and_takes_nothing_with_it(place, capsys, bad, said):
     assert place.add(result()) == 0
     before = place.data.read_text()
@@ -303,18 +352,36 @@
     assert "none.json: " in capsys.readouterr().err
 
 
-SCALE = {"gateways": 250, "real": 0, "hollow": 250, "clock": "virtual", "mechanism": "cells", "seed": 3, "voters": 9,
-         "cpu_ms_per_s": {"median": 1.5, "p99": 2.0, "leader": 30, "relay": None}, "bytes_per_s": {"median": 1800},
-         "control_mb": 0.5, "false_deaths": 0, "zone_known_s": None, "rules": "held", "histories": 1, "load": 9.5,
-         "delay_ms": [1, 60], "played": ["calm"], "stopped": None, "held": {f"k{n}": n for n in range(20)},
-         "kinds": {"Ping": [7, 9]}, "week_grown": {"a": [1, 2], "b": [1, 3]},
-         "commit": "0123abc-dirty"}
+SCALE = {
+    "gateways": 250,
+    "real": 0,
+    "hollow": 250,
+    "clock": "virtual",
+    "mechanism": "cells",
+    "seed": 3,
+    "voters": 9,
+    "cpu_ms_per_s": {"median": 1.5, "p99": 2.0, "leader": 30, "relay": None},
+    "bytes_per_s": {"median": 1800},
+    "control_mb": 0.5,
+    "false_deaths": 0,
+    "zone_known_s": None,
+    "rules": "held",
+    "histories": 1,
+    "load": 9.5,
+    "delay_ms": [1, 60],
+    "played": ["calm"],
+    "stopped": None,
+    "held": {f"k{n}": n for n in range(20)},
+    "kinds": {"Ping": [7, 9]},
+    "week_grown": {"a": [1, 2], "b": [1, 3]},
+    "commit": "0123abc-dirty",
+}
 
 
 def test_the_last_line_of_a_scale_run_is_taken(place):
     text = "250 gateways, seed 3: all follow one plan\ncalm {}\n" + json.dumps(SCALE) + "\n"
     assert place.add(text, more=("--here",)) == 0
-    run, = place.records
+    (run,) = place.records
     assert (run["what"], run["size"], run["seed"], run["commit"]) == ("scale.cells.virtual", 250, 3, "0123abc+")
     values = run["values"]
     assert values["cpu_ms_per_s.median"] == 1.5 and values["rules"] == 1 and values["held.sum"] == 190
@@ -324,9 +391,15 @@
     assert run["command"] == "python -m benchmarks.scale 250 --seed 3 --faults calm"
 
 
-@pytest.mark.parametrize("more, what", [
-    ({"mechanism": None, "clock": None}, None), ({"cells": True}, "scale.cells.virtual"), ({}, "scale.flat.virtual"),
-    ({"real": 12}, "scale.flat.sockets")])
+@pytest.mark.parametrize(
+    "more, what",
+    [
+        ({"mechanism": None, "clock": None}, None),
+        ({"cells": True}, "scale.cells.virtual"),
+        ({}, "scale.flat.virtual"),
+        ({"real": 12}, "scale.flat.sockets"),
+    ],
+)
 def test_the_kind_of_a_scale_run_is_read_from_it(more, what):
     bare = {key: value for key, value in SCALE.items() if key not in ("mechanism", "clock")} | more
     fill = {"machine": "m", "at": "2026-12-02"}
@@ -348,13 +421,22 @@
 
 def points(of: Any, wobble: float = 0.02) -> list[tuple[int, float, int]]:
     rng = np.random.default_rng(5)
-    return [(n, of(n) * (1 + wobble * float(rng.uniform(-1, 1))), seed) for n in (100, 400, 1000, 4000)
-            for seed in (1, 2, 3)]
-
-
-@pytest.mark.parametrize("of, form", [
-    (lambda n: 7.0, "flat"), (lambda n: 3 + 2 * math.log(n), "logarithmic"), (lambda n: 5 + 0.3 * n, "linear"),
-    (lambda n: 90 - 8 * math.log(n), "logarithmic")])
+    return [
+        (n, of(n) * (1 + wobble * float(rng.uniform(-1, 1))), seed)
+        for n in (100, 400, 1000, 4000)
+        for seed in (1, 2, 3)
+    ]
+
+
+@pytest.mark.parametrize(
+    "of, form",
+    [
+        (lambda n: 7.0, "flat"),
+        (lambda n: 3 + 2 * math.log(n), "logarithmic"),
+        (lambda n: 5 + 0.3 * n, "linear"),
+        (lambda n: 90 - 8 * math.log(n), "logarithmic"),
+    ],
+)
 def test_the_data_choose_the_form(of, form):
     found = fit(points(of))
     assert found is not None and found.form == form
@@ -379,10 +461,10 @@
     said = sizes.records[-1]
     assert said["values"]["cost"]["form"] == "linear"
     assert said["values"]["cost"]["value"] == pytest.approx(743, rel=0.01)
-    row, = Book(sizes.records).predictions()
+    (row,) = Book(sizes.records).predictions()
     assert "not measured" in row and said["id"] in row
     assert sizes.add(line_of(7400, 1486.0, at="2999-01-01T00:00:00Z")) == 0
-    row, = Book(sizes.records).predictions()
+    (row,) = Book(sizes.records).predictions()
     assert "+100%" in row and "some.kind@7400" in row
     held = Book(sizes.records).fit("some.kind", "cost")
     assert held is not None and held.sizes == (100, 1000, 2500)
@@ -391,7 +473,7 @@
 def test_a_run_from_before_its_prediction_checks_nothing(sizes):
     assert sizes.run("predict", "--what", "some.kind", "--size", "7400") == 0
     assert sizes.add(line_of(7400, 1486.0, at="2020-01-01T00:00:00Z")) == 0
-    row, = Book(sizes.records).predictions()
+    (row,) = Book(sizes.records).predictions()
     assert "not measured" in row and "+100%" not in row
 
 
@@ -399,14 +481,19 @@
     monkeypatch.setattr(capacity, "commit_here", lambda: "")
     before = sizes.data.read_text()
     assert sizes.run("predict", "--what", "some.kind", "--size", "7400") == 2
-    assert "commit: \"\"" in capsys.readouterr().err
+    assert 'commit: ""' in capsys.readouterr().err
     assert sizes.data.read_text() == before
 
 
-@pytest.mark.parametrize("words, said", [
-    (("--what", "some.kind", "--size", "1000"), "has measured it already"),
-    (("--what", "none", "--size", "7"), "--what: none"),
-    (("--what", "some.kind", "--size", "0"), "--size: 0"), (("--what", "few.kind", "--size", "7"), "a fit needs 3")])
+@pytest.mark.parametrize(
+    "words, said",
+    [
+        (("--what", "some.kind", "--size", "1000"), "has measured it already"),
+        (("--what", "none", "--size", "7"), "--what: none"),
+        (("--what", "some.kind", "--size", "0"), "--size: 0"),
+        (("--what", "few.kind", "--size", "7"), "a fit needs 3"),
+    ],
+)
 def test_a_prediction_that_is_none_is_refused(sizes, capsys, words, said):
     assert sizes.add(result(what="few.kind")) == 0
     before = sizes.data.read_text()
@@ -420,13 +507,25 @@
 # ---- what is measured
 
 
-@pytest.mark.parametrize("words, said", [
-    (("viewers", "idle", "0"), "N: 0: "), (("viewers", "playing", "99999999"), "N: 99999999: "),
-    (("viewers", "delivery", "12"), "B: 12: "), (("shards", "flat", "9"), "GATEWAYS: 9: "),
-    (("shards", "cells", "9000"), "GATEWAYS: 9000: "), (("shards", "jump", "100", "--shards", "99"), "--shards: 99: ")])
+@pytest.mark.parametrize(
+    "words, said",
+    [
+        (("viewers", "idle", "0"), "N: 0: "),
+        (("viewers", "playing", "99999999"), "N: 99999999: "),
+        (("viewers", "delivery", "12"), "B: 12: "),
+        (("shards", "flat", "9"), "GATEWAYS: 9: "),
+        (("shards", "cells", "9000"), "GATEWAYS: 9000: "),
+        (("shards", "jump", "100", "--shards", "99"), "--shards: 99: "),
+    ],
+)
 def test_a_wish_that_does_not_fit_is_one_line(words, said):
-    done = subprocess.run([sys.executable, "-m", f"benchmarks.{words[0]}", *words[1:]], cwd=ROOT, capture_output=True,
-                          text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", f"benchmarks.{words[0]}", *words[1:]],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.returncode == 2 and done.stdout == ""
     assert len(done.stderr.splitlines()) == 1 and said in done.stderr
 
@@ -495,9 +594,18 @@
 def test_what_fits_no_form_is_not_extrapolated():
     """Grows with the square: the least bad form would say less of a greater size than was measured at a smaller one."""
     values = [(size, size**2 / 1000 * (1 + seed / 100), seed) for size in (50, 250, 1000, 2500) for seed in (1, 2, 3)]
-    records = [{"kind": "run", "id": f"{n:08d}", "what": "scale.flat.virtual", "size": size, "seed": seed,
-                "trial": False, "values": {"cpu_ms_per_s.leader": value}}
-               for n, (size, value, seed) in enumerate(values)]
+    records = [
+        {
+            "kind": "run",
+            "id": f"{n:08d}",
+            "what": "scale.flat.virtual",
+            "size": size,
+            "seed": seed,
+            "trial": False,
+            "values": {"cpu_ms_per_s.leader": value},
+        }
+        for n, (size, value, seed) in enumerate(values)
+    ]
     page = Book(records)
     found = page.f("scale.flat.virtual", "cpu_ms_per_s.leader", 7400)
     assert found.value is not None and found.value >= 2500**2 / 1000 and found.how == "already there, no form fits"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,8 +35,10 @@
         one.handle(SECOND, gone)
         for _ in range(crowd):
             ref += 1
-            due += [(t.at, one, t.token) for t in only(
-                one.handle(at - SECOND, request(ref, home=0, holders=3, top=0)), api.SetTimer)]
+            due += [
+                (t.at, one, t.token)
+                for t in only(one.handle(at - SECOND, request(ref, home=0, holders=3, top=0)), api.SetTimer)
+            ]
     for one in ones:
         sent += [at for _ in sends(one.handle(at, back))]
     for step in range(120):
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -123,9 +123,7 @@
     server = play(one, 1, home=0, holders=1)
     lowered = only(one.handle(3 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5)), api.Rate)
     assert [(a.ref, a.rung) for a in lowered] == [(1, 1)]
-    again = [
-        one.handle(3 * SECOND + k * 400 * MS, note(1, server, api.NoteKind.SHARE, 0.5)) for k in range(1, 5)
-    ]
+    again = [one.handle(3 * SECOND + k * 400 * MS, note(1, server, api.NoteKind.SHARE, 0.5)) for k in range(1, 5)]
     assert not any(only(actions, api.Rate) for actions in again)
     assert only(one.handle(9 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5)), api.Rate)[0].rung == 0
 
@@ -207,8 +205,17 @@
 def test_a_cold_server_gets_its_share_though_held_ones_are_looked_at_rarely():
     """Wide servers: a set-up every 128 ms is this front's, held ones are looked at every 250 ms."""
     from copperyard.decide import PUMP
-    one = front(fronts=2, places_by_kind=(311,), warm_within=12 * SECOND, cold_from=0.4, fall_multiple=3.0,
-                fall=3 * SECOND, weight_kb=1e6, uplink_kb=1e7)
+
+    one = front(
+        fronts=2,
+        places_by_kind=(311,),
+        warm_within=12 * SECOND,
+        cold_from=0.4,
+        fall_multiple=3.0,
+        fall=3 * SECOND,
+        weight_kb=1e6,
+        uplink_kb=1e7,
+    )
     one.carried = False  # it began after they did, for all it knows just now
     sent, now = [], SECOND
     for k in range(60):
@@ -361,6 +368,7 @@
         for k in range(4):
             one.handle(SECOND, api.Probed(k, api.Code.OK, MS, api.Report(0.3, 0.3)))
         return one._mark(5 * SECOND, SAFE, 2, 1.0, one.servers[0])
+
     assert mark(0.08) > mark(0.01) + 0.05
 
 
@@ -379,5 +387,6 @@
         for k in range(pieces):
             load(one, 200 * SECOND, k % 4, 0.3, 0.3)
         return one._mark(200 * SECOND, SAFE, 2, 1.0, one.servers[0])
+
     first, later = mark(1), mark(7)
     assert first <= 0.76 and later > first + 0.05
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -15,9 +15,7 @@
 
 
 def test_the_module_imports_nothing_that_reads_the_world():
-    names = {
-        n.name for node in ast.walk(ast.parse(MODULE)) if isinstance(node, ast.Import) for n in node.names
-    }
+    names = {n.name for node in ast.walk(ast.parse(MODULE)) if isinstance(node, ast.Import) for n in node.names}
     names |= {str(node.module) for node in ast.walk(ast.parse(MODULE)) if isinstance(node, ast.ImportFrom)}
     assert names <= {
         "__future__",
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -31,8 +31,11 @@
     (("extra", "rungKb"), [300.0, 100.0], "settings: extra.rungKb does not rise"),
     (("extra", "floorByClass"), [0, 2], "settings: extra.floorByClass[1] is above the ladder"),
     (("extra", "classSeats"), [1], "settings: extra.classSeats has 1 values for 2 classes"),
-    (("extra", "placesByKind"), [0], "settings: extra.placesByKind holds something that is not a number of 1 or more: "
-                                     "'[0]'"),
+    (
+        ("extra", "placesByKind"),
+        [0],
+        "settings: extra.placesByKind holds something that is not a number of 1 or more: " "'[0]'",
+    ),
     (("extra", "kbPerWeight"), 0, "settings: extra.kbPerWeight is under 1e-09: '0'"),
     (("membershipMode",), "guess", "settings: membershipMode is unknown: guess"),
     (("ceilings", "mostHeld"), 0, "settings: ceilings.mostHeld is under 1: '0'"),
@@ -65,16 +68,32 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(settings=changed(("extra", "rungKb"), [300.0, 100.0]))))
     environ = {**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:0", "NODE_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-m", "copperyard.gateway.node"], env=environ, capture_output=True,
-                          cwd=Path(__file__).parents[1], text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "copperyard.gateway.node"],
+        env=environ,
+        capture_output=True,
+        cwd=Path(__file__).parents[1],
+        text=True,
+        timeout=30,
+    )
     assert done.returncode == 2 and done.stderr == "copperyard node: settings: extra.rungKb does not rise\n"
 
 
 def test_what_the_documents_let_out_may_be_absent():
     raw = copy.deepcopy(OPTIONS)
-    for place in (("contract", "freeResends"), ("contract", "furtherRatio"), ("contract", "ratioSpan"), ("reporting",),
-                  ("extra", "floorByClass"), ("extra", "rackKb"), ("ceilings", "retryAfter"), ("ceilings", "probes"),
-                  ("zones",), ("kinds",), ("locality",)):
+    for place in (
+        ("contract", "freeResends"),
+        ("contract", "furtherRatio"),
+        ("contract", "ratioSpan"),
+        ("reporting",),
+        ("extra", "floorByClass"),
+        ("extra", "rackKb"),
+        ("ceilings", "retryAfter"),
+        ("ceilings", "probes"),
+        ("zones",),
+        ("kinds",),
+        ("locality",),
+    ):
         at = raw
         for key in place[:-1]:
             at = at[key]
