--- a/copperyard/control/common.py
+++ b/copperyard/control/common.py
@@ -86,9 +86,9 @@
         zones: tuple[str, ...],
         voters: Sequence[str],
         terms: Terms,
-        pace: Pace = Pace(),
-        beat: Beat = Beat(),
-    ) -> CommonPlace:  # noqa: B008 - both are frozen
+        pace: Pace = Pace(),  # noqa: B008 - frozen
+        beat: Beat = Beat(),  # noqa: B008 - frozen
+    ) -> CommonPlace:
         """The place of the gateway of that name in a site of these cells. KeyError for a name that is not of the
         site."""
         votes = name in voters
