--- a/copperyard/bench/__init__.py
+++ b/copperyard/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and the operators' bench: frames on standard input and output."""
+"""Connects the decision module to the operators' simulator: frames on standard input and output."""
--- a/copperyard/bench/wire.py
+++ b/copperyard/bench/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: frames to and from the types of interface.py.
+"""The simulator's wire format: frames to and from the types of interface.py.
 
-Only translation happens here. Numbers that make no sense are passed on bounded to what their
-type can hold (a count that is not a number becomes 0); what they mean is for decide.py.
+Only translates. Values out of range are bounded to what their type can hold (a count that is not a number becomes 0);
+decide.py decides what they mean. The names of events and actions are the simulator's.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 ATTR_HINT, ATTR_MOVED, ATTR_AGAIN = 1, 8, 16
 
 
-class MalformedFrame(Exception):
-    """The bytes on standard input are not a frame of this wire."""
+class MalformedFrameError(Exception):
+    """The input is not a valid frame."""
 
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """A front starts."""
+    """Start a front with a seed and its settings object (JSON)."""
 
     seed: int
     options: bytes
@@ -42,125 +42,131 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A front is gone."""
+    """A front has crashed."""
 
 
 WireEvent = tuple[int, Create | Crash | api.Event]
 
 
-def _count(value: float) -> int:
-    """A whole number carried as f32."""
+def _finite_int(value: float) -> int:
+    """A count that is encoded as f32; 0 if it is not finite."""
     return int(value) if math.isfinite(value) else 0
 
 
-class Fields:
-    """Reads a record's fields in order."""
+class RecordReader:
+    """Reads the fields of a record in order; MalformedFrameError if the record is too short."""
 
     __slots__ = ("data", "at", "end")
 
     def __init__(self, data: bytes, at: int, end: int) -> None:
         self.data, self.at, self.end = data, at, end
 
-    def take(self, layout: struct.Struct) -> tuple[Any, ...]:
+    def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The next fields, by their layout."""
         start, self.at = self.at, self.at + layout.size
         if self.at > self.end:
-            raise MalformedFrame("a record ends inside its fields")
+            raise MalformedFrameError("a record ends inside its fields")
         return layout.unpack_from(self.data, start)
 
-    def raw(self, size: int) -> bytes:
+    def take_bytes(self, size: int) -> bytes:
+        """The next `size` bytes."""
         start, self.at = self.at, self.at + size
         if self.at > self.end:
-            raise MalformedFrame("a record ends inside its fields")
+            raise MalformedFrameError("a record ends inside its fields")
         return self.data[start : self.at]
 
 
-_U16 = struct.Struct("<H")
+_FRONT_LAYOUT = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 _U8 = struct.Struct("<B")
-_CREATE = struct.Struct("<HQI")
-_MEMBERSHIP = struct.Struct("<HQHB")
-_REQ = struct.Struct("<HQBfQIQQffBQ")
-_CARRIED = struct.Struct("<HQQQfQIBIQBff")
-_OPENED = struct.Struct("<HQBIQ")
-_NOTICE = struct.Struct("<HQBfIB")
-_RETURNED = struct.Struct("<HQBIBQBB")
-_LEFT = struct.Struct("<HQ")
-_CHECKED = struct.Struct("<HIBQB")
-_TABLE = struct.Struct("<HI")
+_CREATE_LAYOUT = struct.Struct("<HQI")
+_MEMBERSHIP_LAYOUT = struct.Struct("<HQHB")
+_REQ_LAYOUT = struct.Struct("<HQBfQIQQffBQ")
+_CARRIED_LAYOUT = struct.Struct("<HQQQfQIBIQBff")
+_OPENED_LAYOUT = struct.Struct("<HQBIQ")
+_NOTICE_LAYOUT = struct.Struct("<HQBfIB")
+_RETURNED_LAYOUT = struct.Struct("<HQBIBQBB")
+_FRONT_U64_LAYOUT = struct.Struct("<HQ")
+_CHECKED_LAYOUT = struct.Struct("<HIBQB")
+_TABLE_LAYOUT = struct.Struct("<HI")
 
 
 class Decoder:
-    """Turns frames into events. Remembers the shared lists and each front's report columns."""
+    """Decodes frames into events. Keeps the shared server lists and the report columns of each front."""
 
     def __init__(self) -> None:
-        self.tables: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.server_lists: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.columns: dict[int, tuple[str, ...]] = {}
 
-    def _report(self, front: int, fields: Fields, n: int) -> api.Report | None:
-        values = fields.take(struct.Struct(f"<{n}f"))
-        if not n:
+    def _report(self, front: int, fields: RecordReader, count: int) -> api.Report | None:
+        values = fields.unpack(struct.Struct(f"<{count}f"))
+        if not count:
             return None
         return report_of(dict(zip(self.columns.get(front, ()), values, strict=False)))
 
-    def batch(self, body: bytes, records: int) -> Iterator[WireEvent]:
-        """Yield (front, event) in order; `body` is what follows the header."""
+    def decode(self, body: bytes, records: int) -> Iterator[WireEvent]:
+        """Yield (front, event) in order; `body` is the frame without its header."""
         at = 0
         for _ in range(records):
             if at + RECORD.size > len(body):
-                raise MalformedFrame("the frame ends before its last record")
+                raise MalformedFrameError("the frame ends before its last record")
             code, size = RECORD.unpack_from(body, at)
             at += RECORD.size
             if at + size > len(body):
-                raise MalformedFrame("a record is longer than its frame")
-            found = self._record(code, Fields(body, at, at + size))
+                raise MalformedFrameError("a record is longer than its frame")
+            event = self._decode_record(code, RecordReader(body, at, at + size))
             at += size
-            if found is not None:
-                yield found
+            if event is not None:
+                yield event
         if at != len(body):
-            raise MalformedFrame("the frame is longer than its records")
+            raise MalformedFrameError("the frame is longer than its records")
 
-    def _record(self, code: int, f: Fields) -> WireEvent | None:
+    def _decode_record(self, code: int, fields: RecordReader) -> WireEvent | None:
         if code == REQ:
-            (i, ref, cls, top, deadline, _tenant, hint, title, holders, home, attrs, _key) = f.take(_REQ)
-            return i, _request(ref, cls, top, deadline, hint, title, holders, home, attrs)
+            (front, ref, cls, top, deadline, _tenant, hint, title, holders, home, attrs, _key) = fields.unpack(
+                _REQ_LAYOUT
+            )
+            return front, _request(ref, cls, top, deadline, hint, title, holders, home, attrs)
         if code == RETURNED:
-            i, ref, attempt, host, status, took, over, n = f.take(_RETURNED)
-            return i, api.Outcome(ref, attempt, host, status, took, bool(over), self._report(i, f, n))
+            front, ref, attempt, host, status, took, over, count = fields.unpack(_RETURNED_LAYOUT)
+            return front, api.Outcome(ref, attempt, host, status, took, bool(over), self._report(front, fields, count))
         if code == NOTICE:
-            i, ref, kind, value, host, attempt = f.take(_NOTICE)
-            return i, api.Note(ref, attempt, host, kind, value)
+            front, ref, kind, value, host, attempt = fields.unpack(_NOTICE_LAYOUT)
+            return front, api.Note(ref, attempt, host, kind, value)
         if code == OPENED:
-            i, ref, attempt, host, took = f.take(_OPENED)
-            return i, api.Opened(ref, attempt, host, took)
+            front, ref, attempt, host, took = fields.unpack(_OPENED_LAYOUT)
+            return front, api.Opened(ref, attempt, host, took)
         if code == WAKEUP:
-            i, token = f.take(_LEFT)
-            return i, api.Wake(token)
+            front, token = fields.unpack(_FRONT_U64_LAYOUT)
+            return front, api.Wake(token)
         if code == LEFT:
-            i, ref = f.take(_LEFT)
-            return i, api.Left(ref)
+            front, ref = fields.unpack(_FRONT_U64_LAYOUT)
+            return front, api.Left(ref)
         if code == CHECKED:
-            i, host, status, took, n = f.take(_CHECKED)
-            return i, api.Probed(host, status, took, self._report(i, f, n))
+            front, host, status, took, count = fields.unpack(_CHECKED_LAYOUT)
+            return front, api.Probed(host, status, took, self._report(front, fields, count))
         if code == CARRIED:
-            (i, ref, hint, deadline, home, title, _tenant, cls, host, _key, attrs, top, holders) = f.take(_CARRIED)
-            return i, api.Carried(_request(ref, cls, top, deadline, hint, title, holders, home, attrs), host)
+            (front, ref, hint, deadline, home, title, _tenant, cls, host, _key, attrs, top, holders) = fields.unpack(
+                _CARRIED_LAYOUT
+            )
+            return front, api.Carried(_request(ref, cls, top, deadline, hint, title, holders, home, attrs), host)
         if code == MEMBERSHIP:
-            i, _generation, table, scope = f.take(_MEMBERSHIP)
+            front, _generation, table, scope = fields.unpack(_MEMBERSHIP_LAYOUT)
             if scope == api.ListKind.FAILED:
-                return i, api.ServerList(scope)
-            if table not in self.tables:
-                raise MalformedFrame(f"membership names list {table}, which was never sent")
-            return i, api.ServerList(scope, self.tables[table])
+                return front, api.ServerList(scope)
+            if table not in self.server_lists:
+                raise MalformedFrameError(f"membership refers to list {table}, which was not sent")
+            return front, api.ServerList(scope, self.server_lists[table])
         if code == TABLE:
-            number, n = f.take(_TABLE)
-            self.tables[number] = tuple(_entry(*f.take(ENTRY)) for _ in range(n))
+            number, count = fields.unpack(_TABLE_LAYOUT)
+            self.server_lists[number] = tuple(_entry(*fields.unpack(ENTRY)) for _ in range(count))
             return None
         if code == CREATE:
-            i, seed, n = f.take(_CREATE)
-            return i, Create(seed, f.raw(n))
+            front, seed, count = fields.unpack(_CREATE_LAYOUT)
+            return front, Create(seed, fields.take_bytes(count))
         if code == CRASH_NOW:
-            (i,) = f.take(_U16)
-            return i, Crash()
+            (front,) = fields.unpack(_FRONT_LAYOUT)
+            return front, Crash()
         return None
 
 
@@ -174,54 +180,54 @@
     return api.Request(
         ref,
         cls,
-        _count(top),
+        _finite_int(top),
         deadline,
         title,
-        _count(home),
-        _count(holders),
+        _finite_int(home),
+        _finite_int(holders),
         hint if attrs & ATTR_HINT else None,
         bool(attrs & ATTR_MOVED),
         bool(attrs & ATTR_AGAIN),
     )
 
 
-_A_SEND = struct.Struct("<BIHQQI")
-_A_TWO = struct.Struct("<BIHQQ")
-_A_ONE = struct.Struct("<BIHQ")
-_A_BYTE = struct.Struct("<BIHQB")
-_A_HOST = struct.Struct("<BIHI")
-_A_TEXT = struct.Struct("<BIHH")
-_A_WANT = struct.Struct("<BIHB")
+_SEND_LAYOUT = struct.Struct("<BIHQQI")
+_TWO_U64_LAYOUT = struct.Struct("<BIHQQ")
+_U64_LAYOUT = struct.Struct("<BIHQ")
+_U64_U8_LAYOUT = struct.Struct("<BIHQB")
+_U32_LAYOUT = struct.Struct("<BIHI")
+_TEXT_LAYOUT = struct.Struct("<BIHH")
+_U8_LAYOUT = struct.Struct("<BIHB")
 
 
 def _text(code: int, front: int, text: str) -> bytes:
     data = text.encode("utf-8", "replace")[:65535]
-    return _A_TEXT.pack(code, 4 + len(data), front, len(data)) + data
+    return _TEXT_LAYOUT.pack(code, 4 + len(data), front, len(data)) + data
 
 
 def bail_out(front: int, text: str) -> bytes:
-    """The record that ends the day with a text."""
+    """A record that aborts the simulation with a message."""
     return _text(BAIL_OUT, front, text)
 
 
 def encode(front: int, action: api.Action) -> bytes:
-    """One action as a record."""
+    """Encode an action as a record."""
     if isinstance(action, api.Send):
-        return _A_SEND.pack(PASS_ON, 22, front, action.ref, action.not_past, action.server)
+        return _SEND_LAYOUT.pack(PASS_ON, 22, front, action.ref, action.not_past, action.server)
     if isinstance(action, api.Rate):
-        return _A_BYTE.pack(PITCH, 11, front, action.ref, action.rung)
+        return _U64_U8_LAYOUT.pack(PITCH, 11, front, action.ref, action.rung)
     if isinstance(action, api.SetTimer):
-        return _A_TWO.pack(SLEEP, 18, front, action.at, action.token)
+        return _TWO_U64_LAYOUT.pack(SLEEP, 18, front, action.at, action.token)
     if isinstance(action, api.Refuse):
-        return _A_TWO.pack(NOT_NOW, 18, front, action.ref, action.retry_after)
+        return _TWO_U64_LAYOUT.pack(NOT_NOW, 18, front, action.ref, action.retry_after)
     if isinstance(action, api.Fail):
-        return _A_ONE.pack(REPORT_FAILURE, 10, front, action.ref)
+        return _U64_LAYOUT.pack(REPORT_FAILURE, 10, front, action.ref)
     if isinstance(action, api.Cancel):
-        return _A_BYTE.pack(RECALL, 11, front, action.ref, action.attempt)
+        return _U64_U8_LAYOUT.pack(RECALL, 11, front, action.ref, action.attempt)
     if isinstance(action, api.Move):
-        return _A_ONE.pack(REDIRECT, 10, front, action.ref)
+        return _U64_LAYOUT.pack(REDIRECT, 10, front, action.ref)
     if isinstance(action, api.Probe):
-        return _A_HOST.pack(HEALTH_CHECK, 6, front, action.server)
+        return _U32_LAYOUT.pack(HEALTH_CHECK, 6, front, action.server)
     if isinstance(action, api.Watch):
-        return _A_WANT.pack(TRACK, 3, front, int(action.on))
+        return _U8_LAYOUT.pack(TRACK, 3, front, int(action.on))
     return _text(LOG, front, action.text)
--- a/copperyard/decide.py
+++ b/copperyard/decide.py
@@ -1,8 +1,9 @@
-"""Every decision of a front. The types it takes and gives are in copperyard/interface.py.
+"""All decisions of a front. The types of its events and actions are in copperyard/interface.py.
 
-After the multiple bitrate form of the Tiger paper (sections 3.2, 4.1.3, 4.2): a front rules a start out
-from its own view of link and uplink where it can, and holds what does not fit. docs/design.md tells what
-was kept, changed and added. Nothing here reads a clock, and no set is ever iterated.
+Based on the multiple bitrate schedule of the Tiger video server paper (sections 3.2, 4.1.3, 4.2): a front admits
+a session only if the rung's rate fits under a mark on its own estimate of the host's link and the rack's uplink,
+and otherwise holds it and retries. docs/design.md lists what was kept, changed and added. The module reads no
+clock, and it never iterates over a set, so the same events give the same actions.
 """
 
 from __future__ import annotations
@@ -51,248 +52,277 @@
 MS = 1_000_000
 SECOND = 1_000_000_000
 
-MARK = 0.95  # fraction of a link or uplink that set-ups may fill; the paper's 90% left room idle
-SPREAD = 0.3  # how far the mark falls for a rung whose last step brings no worth, while newcomers wait
-CALM = 0.25  # part of SPREAD that is left where none has waited for long: the reserve is for newcomers
-SHED_AT = 0.98  # fraction from which playing sessions are lowered: under this share worth is lost
-SHED_TO = 0.97  # fraction that they are lowered to; 0.9 gave up more worth than the odd shortfall costs
-UP_SPREAD = 0.85  # part of SPREAD that raising playing sessions leaves free; the rest is kept for newcomers
-PACE = 2 * SECOND  # a session steps at most once in this time; the paper's 5 s suits longer ones
-PUMP = 250 * MS  # held sessions are retried this often besides at session ends
-SCAN = 16  # held sessions looked at when a session ends, so that one event stays cheap
-DRAWS = 8  # holders looked at for one request, so that its cost does not grow with the fleet
-HALF = 7 * SECOND  # age at which evidence of the others counts half, the mean of all servers the rest
-POOL_HALF = 6 * SECOND  # the same for each piece of evidence within that mean
-FRESH = 3 * SECOND  # evidence up to this age counts as fresh; where notes are rarer, their spacing
-REPORT_LAG = 400 * MS  # how old a report's figures are taken to be; settings do not tell
-SWITCH_GAIN = 2.0  # raising a rung must earn this many times its price over the time left
-LIMIT_TOOK = 5.0  # an attempt's time limit over the usual time of a set-up
-LIMIT_LEAST = 250 * MS  # least time limit: a cold or busy server needs that much
-LIMIT_SHARE = 0.6  # most of the time left that one attempt may use, so that another still fits
-BAD = 0.2  # recent share of failures from which a server is kept to single trials
-WEIGH = 0.3  # weight of the newest attempt in that share
-UNCLEAR = 0.18  # the same of a set-up timed out or reset: once, that may be a lost answer, no lost server
-TITLES = 4096  # titles remembered as having played: an error on any other may be the wish's own fault
-RETEST = 4 * SECOND  # wait before a trial of a bad server, times its share of failures: 1 s after the first
-BLIND = 0.8  # load taken for granted until the first evidence: an empty ledger is no empty link
-COLD_SHARE = 0.5  # part of the cold budget that fronts use: chance and unequal work need the rest
-PROBES = 2.0  # probes that each request pays for at most
-SPEND = 0.03  # looks gain about as the root of their number: best is (this over their price) squared
-WAY = 0.1  # part of a connect's time limit that an answer may take on its way to the viewer
-PROBE_AGE = SECOND  # evidence older than this is renewed by a probe before a choice, where that pays
-SILENT = 0.2  # a delivered share below this is a stopped server, not a full link
-MOST_LOAD = 4.0  # bound on what a report or note may claim
-RAISED = 0.5  # part of an agreed cap that rungs above the floor may use; the rest is for newcomers
-CROSS_GAIN = 2.0  # worth that crossing zones must gain, over its price
-TOOK_WEIGH = 0.1  # weight of the newest set-up in the usual time of one
-UNRUN = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)  # outcomes that prove that nothing ran
-BROKEN = (Code.TIMEOUT, Code.CONNECT_FAILED, Code.RESET)
-NEVER = -(1 << 62)  # a time before any clock
-
-
-class Phase(IntEnum):
+# Admission marks, as fractions of the capacity of a link or uplink.
+ADMISSION_MARK = 0.95  # most that set-ups may fill; the paper's 90% left room idle
+MARK_SPREAD = 0.3  # most that the mark falls for a rung whose last step adds no worth, while newcomers wait
+CALM_SPREAD_RATIO = 0.25  # part of MARK_SPREAD that stays once nobody has waited for long: it is kept for newcomers
+OVERLOAD_THRESHOLD = 0.98  # load from which playing sessions are lowered: with less than this delivered, worth is lost
+OVERLOAD_TARGET = 0.97  # load that they are lowered to; 0.9 gave up more worth than occasional shortfalls cost
+RAISE_SPREAD_RATIO = 0.85  # part of MARK_SPREAD left free when playing sessions are raised; kept for newcomers
+
+# Rung changes and retries of held sessions.
+STEP_INTERVAL = 2 * SECOND  # least time between two steps of a session; the paper's 5 s suits longer sessions
+HOLD_RETRY_INTERVAL = 250 * MS  # held sessions are retried this often, and whenever a session ends
+MAX_HELD_SCAN = 16  # held sessions retried when a session ends, so that the cost of an event is bounded
+MAX_DRAWS = 8  # holders considered for one request, so that its cost does not grow with the fleet
+
+# Evidence of load: reports, notices and probe results.
+# Age at which evidence of the other fronts' load has half the weight; the mean over all servers has the rest.
+EVIDENCE_HALF_LIFE = 7 * SECOND
+MEAN_HALF_LIFE = 6 * SECOND  # half-life of a sample within the mean over all servers
+FRESH_PERIOD = 3 * SECOND  # evidence up to this age is fresh; where notices are rarer, up to their interval and delay
+REPORT_DELAY = 400 * MS  # assumed age of the figures in a report, which the settings do not give
+
+# Attempts.
+MIN_SWITCH_GAIN = 2.0  # raising a rung must earn this many times its price in the time left
+ATTEMPT_TIMEOUT_FACTOR = 5.0  # time limit of an attempt, as a multiple of the average set-up time
+MIN_ATTEMPT_TIMEOUT = 250 * MS  # least time limit, which a cold or busy server needs
+MAX_ATTEMPT_TIME_RATIO = 0.6  # largest part of the remaining time that one attempt may use, so that another still fits
+
+# Server health.
+BAD = 0.2  # recent failure rate above which a server gets single trials only
+FAILURE_WEIGHT = 0.3  # weight of the newest attempt in the failure rate
+# Weight of a set-up that timed out or was reset: a single one may be a lost answer rather than a lost server.
+UNCLEAR_FAILURE_WEIGHT = 0.18
+# Titles remembered as having played. An error on any other title may be the fault of the request.
+MAX_PLAYED_TITLES = 4096
+TRIAL_INTERVAL = 4 * SECOND  # wait before a trial of an unhealthy server, times its failure rate: 1 s after the first
+
+UNKNOWN_LOAD = 0.8  # load assumed before the first evidence: an empty ledger does not mean an empty link
+COLD_BUDGET_RATIO = 0.5  # part of the cold budget that fronts use: chance and uneven traffic need the rest
+
+# Probes.
+MAX_PROBES_PER_REQUEST = 2.0  # most probes that a request earns
+# The gain grows with about the root of the number of probes, so the best number is (PROBE_SPEND / price) squared.
+PROBE_SPEND = 0.03
+ANSWER_TIME_RATIO = 0.1  # part of the connect timeout allowed for an answer on its way to the viewer
+PROBE_EVIDENCE_PERIOD = SECOND  # evidence older than this is renewed by a probe before a choice, where that pays
+
+SILENT_THRESHOLD = 0.2  # a delivered share below this means a stopped server rather than a full link
+MAX_LOAD = 4.0  # upper bound on the load that a report or notice may claim
+RAISED_CAP_RATIO = 0.5  # part of an agreed cap open to rungs above the floor; the rest is kept for newcomers
+MIN_CROSSING_GAIN = 2.0  # worth that a crossing between zones must gain, as a multiple of its price
+SETUP_TIME_WEIGHT = 0.1  # weight of the newest set-up in the average set-up time
+NOT_RUN_CODES = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)  # outcomes that prove that nothing ran
+FAILURE_CODES = (Code.TIMEOUT, Code.CONNECT_FAILED, Code.RESET)  # outcomes that count against a server's health
+NEVER = -(1 << 62)  # earlier than any time
+
+
+class SessionState(IntEnum):
+    """Life cycle of a session. PENDING: the outcome of an attempt, or of a session whose viewer left, is awaited."""
+
     HELD = 0
-    OUT = 1
+    PENDING = 1
     PLAYING = 2
 
 
 @dataclass(slots=True)
-class Pool:
-    """What the other fronts ask of a link (or uplink): the mean of recent evidence on all servers."""
+class FleetMean:
+    """Mean load that the other fronts put on a link (or uplink), over recent evidence on all servers."""
 
     value: float
     weight: float = 1.0
-    at: int = 0
+    updated_at: int = 0
 
-    def pieces(self, now: int) -> float:
-        """How many fresh pieces of evidence the mean is worth."""
-        return self.weight * 0.5 ** ((now - self.at) / POOL_HALF) if self.at else 0.0
+    def samples(self, now: int) -> float:
+        """The number of fresh samples that the mean is worth."""
+        return self.weight * 0.5 ** ((now - self.updated_at) / MEAN_HALF_LIFE) if self.updated_at else 0.0
 
-    def learn(self, now: int, value: float) -> None:
-        self.weight = self.weight * 0.5 ** ((now - self.at) / POOL_HALF) + 1
+    def add(self, now: int, value: float) -> None:
+        """Add a sample; the weight of the earlier ones has decayed by their age."""
+        self.weight = self.weight * 0.5 ** ((now - self.updated_at) / MEAN_HALF_LIFE) + 1
         self.value += (value - self.value) / self.weight
-        self.at = now
+        self.updated_at = now
 
 
 @dataclass(slots=True)
-class Meter:
-    """Ledger of one link or uplink: this front's sessions, and what the others ask by the last report or
-    note. With age that gives way to the mean of all servers (`pool`): a front with a hundredth of the
-    traffic rarely hears of one server, and its few sessions tell nothing of the others' number."""
+class LinkLedger:
+    """Ledger of one link or uplink: the rates of this front's sessions, and the load of the other fronts by the
+    latest evidence. As that evidence ages, the mean over all servers replaces it: a front with a hundredth of the
+    traffic rarely hears of a given server, and its few sessions do not tell how many the others have there.
+    """
 
     cap: float
-    pool: Pool
+    mean: FleetMean
     own: float = 0.0
     seen: float = 0.0
     seen_at: int = NEVER
-    trail: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=16))
+    own_history: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=16))
 
     def add(self, now: int, kb: float) -> None:
+        """Add a rate of this front's own sessions, in kB a second; a negative one takes it away."""
         self.own = max(0.0, self.own + kb)
-        self.trail.append((now, self.own))
+        self.own_history.append((now, self.own))
 
-    def learn(self, now: int, value: float, at: int, pool: bool = True) -> None:
-        """Take evidence that speaks of the time `at`; older evidence than held is dropped. What comes only
-        where a link is full tells nothing of the mean and stays out of the pool."""
+    def learn(self, now: int, value: float, at: int, in_mean: bool = True) -> None:
+        """Take the total load at the time `at`; evidence older than the latest is dropped. `in_mean` is false for
+        evidence that only full links give, which would bias the mean.
+        """
         if at < self.seen_at or not value >= 0:
             return
-        own = self.trail[0][1] if self.trail else self.own
-        while self.trail and self.trail[0][0] <= at:
-            own = self.trail.popleft()[1]
-        self.trail.appendleft((at, own))
-        self.seen, self.seen_at = max(0.0, min(value, MOST_LOAD) - own / self.cap), at
-        if pool:
-            self.pool.learn(now, self.seen)
+        own = self.own_history[0][1] if self.own_history else self.own
+        while self.own_history and self.own_history[0][0] <= at:
+            own = self.own_history.popleft()[1]
+        self.own_history.appendleft((at, own))
+        self.seen, self.seen_at = max(0.0, min(value, MAX_LOAD) - own / self.cap), at
+        if in_mean:
+            self.mean.add(now, self.seen)
 
     def load(self, now: int) -> float:
-        keep = 0.5 ** ((now - self.seen_at) / HALF) if self.seen_at > NEVER else 0.0
-        return self.pool.value + (self.seen - self.pool.value) * keep + self.own / self.cap
+        """The estimated load, as a fraction of the capacity."""
+        keep = 0.5 ** ((now - self.seen_at) / EVIDENCE_HALF_LIFE) if self.seen_at > NEVER else 0.0
+        return self.mean.value + (self.seen - self.mean.value) * keep + self.own / self.cap
 
 
 @dataclass(slots=True)
 class Session:
-    """One request and what came of it. `deadline` is the last time at which it can be answered."""
+    """A request and its state. `deadline` is the last time at which it can be answered."""
 
     r: Request
     kind: ClassSettings
     top: int
-    began: int
+    arrived_at: int
     deadline: int
     rung: int
     server: Server | None = None
-    phase: Phase = Phase.HELD
+    state: SessionState = SessionState.HELD
     attempts: int = 0
-    ends: int = 0
-    stepped: int = NEVER
-    lowered: int = NEVER
-    limit: int = 0
+    ends_at: int = 0
+    stepped_at: int = NEVER
+    lowered_at: int = NEVER
+    attempt_deadline: int = 0
     left: bool = False
-    pair: tuple[Server, ...] = ()
-    failed: Server | None = None
-    zone: int = -1
+    probed_pair: tuple[Server, ...] = ()
+    failed_server: Server | None = None
+    drawn_zone: int = -1
 
 
 @dataclass(slots=True)
 class Server:
-    """Ledger and standing of one server. Buckets hold this front's sessions there that are alike: of one
-    class and rung, and where titles are live also of one title, as those share a stream."""
+    """Ledger and health of one server. A bucket holds this front's sessions there of one class and rung, and for
+    live classes also of one title, as these share a stream.
+    """
 
     entry: ServerEntry
     places: int
-    link: Meter
-    rack: Meter
+    link: LinkLedger
+    rack: LinkLedger
     streams: int = 0
     buckets: dict[tuple[int, int, int], dict[int, Session]] = field(default_factory=dict)
-    acted: int = NEVER
-    probed: int = NEVER
-    asked: bool = False
-    due: int = NEVER
+    stepped_at: int = NEVER
+    probed_at: int = NEVER
+    probe_pending: bool = False
+    next_cold_at: int = NEVER
     slot: tuple[int, int] = (NEVER, 0)
-    turn: bool = False
-    turns: int = 0
-    lost: int = NEVER
-    retest: int = NEVER
+    slot_is_own: bool = False
+    slot_turns: int = 0
+    failed_at: int = NEVER
+    next_trial_at: int = NEVER
     bad: float = 0.0
     gone: bool = False
 
     def load(self, now: int) -> float:
+        """The estimated load of the link or the uplink, whichever is higher."""
         return max(self.link.load(now), self.rack.load(now))
 
     def room(self, now: int, mark: float) -> float:
+        """The kB a second that are free under the mark, on both link and uplink."""
         return min(m.cap * (mark - m.load(now)) for m in (self.link, self.rack))
 
 
 class Controller:
-    """One front. handle() takes one event and gives the actions to do, in order."""
+    """The decisions of one front. handle() takes an event and returns the actions to perform, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.set = settings
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.servers: dict[int, Server] = {}
         self.cells: dict[int, list[Server]] = {}
-        self.racks: dict[int, Meter] = {}
-        unseen = BLIND if settings.fronts > 1 else 0.0
-        self.links, self.uplinks = Pool(unseen), Pool(unseen)
+        self.racks: dict[int, LinkLedger] = {}
+        initial_load = UNKNOWN_LOAD if settings.fronts > 1 else 0.0
+        self.link_mean, self.uplink_mean = FleetMean(initial_load), FleetMean(initial_load)
         self.sessions: dict[int, Session] = {}
         self.held: dict[int, Session] = {}
         self.seats: dict[tuple[int, int], dict[int, Session]] = {}
-        self.taken: deque[int] = deque()
-        self.resent: deque[int] = deque()
-        self.start = -1
+        self.request_times: deque[int] = deque()
+        self.retry_times: deque[int] = deque()
+        self.started_at = -1
         self.carried = False
-        self.pumping = False
-        self.took = 100.0 * MS
-        self.best = max(
+        self.retry_timer_set = False
+        self.setup_time = 100.0 * MS
+        self.best_worth_per_kb = max(
             settings.rung_worth[k.floor] / settings.rung_kb[k.floor] * k.worth / k.scale for k in settings.classes
         )
         price = settings.price_probe
-        self.looks = min(PROBES, (SPEND / price) ** 2) if price > 0 else PROBES
-        self.credit = PROBES  # a front that knows nothing looks at its first pair
-        self.short = NEVER
-        self.titles: dict[int, None] = {}
-        self.ways: Ways | None = None
+        self.probes_per_request = (
+            min(MAX_PROBES_PER_REQUEST, (PROBE_SPEND / price) ** 2) if price > 0 else MAX_PROBES_PER_REQUEST
+        )
+        self.probe_credit = MAX_PROBES_PER_REQUEST  # a front without evidence can probe its first pair
+        self.no_room_at = NEVER
+        self.played_titles: dict[int, None] = {}
+        self.allocation: Ways | None = None
         self.abroad: dict[int, float] = {}
-        self.out: list[Action] = []
-        self.on: dict[type, Callable[[int, Any], None]] = {
-            Request: self._request,
-            Outcome: self._outcome,
-            Note: self._note,
-            Opened: self._opened,
-            Wake: self._wake,
-            ServerList: self._list,
-            Probed: self._probed,
-            Left: self._left,
-            Carried: self._carried,
-            Ways: self._agreed,
+        self.actions: list[Action] = []
+        self.handlers: dict[type, Callable[[int, Any], None]] = {
+            Request: self._on_request,
+            Outcome: self._on_outcome,
+            Note: self._on_notice,
+            Opened: self._on_opened,
+            Wake: self._on_timer,
+            ServerList: self._on_server_list,
+            Probed: self._on_probe_result,
+            Left: self._on_left,
+            Carried: self._on_carried,
+            Ways: self._on_allocation,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Decide on one event; pure but for this object's own state."""
-        self.out = []
-        if self.start < 0:
-            self.start = now
+        """Decide on one event. Its only effect is on the state of this object."""
+        self.actions = []
+        if self.started_at < 0:
+            self.started_at = now
             if self.set.subscribe:
-                self.out.append(Watch(True))
-        self.on[type(event)](now, event)
-        return self.out
+                self.actions.append(Watch(True))
+        self.handlers[type(event)](now, event)
+        return self.actions
 
     # ---- server list
 
-    def _list(self, now: int, event: ServerList) -> None:
+    def _on_server_list(self, now: int, event: ServerList) -> None:
         if event.kind == ListKind.FAILED and self.set.subscribe:
-            self.out.append(SetTimer(now + SECOND, 1))
+            self.actions.append(SetTimer(now + SECOND, 1))
         if event.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.server for entry in event.entries}
-            for server in [x for x in self.servers.values() if x.entry.server not in named]:
+            listed = {entry.server for entry in event.entries}
+            for server in [x for x in self.servers.values() if x.entry.server not in listed]:
                 self._unlist(server)
         for entry in event.entries if event.kind in (ListKind.FULL, ListKind.DELTA, ListKind.CACHED) else ():
-            self._entry(now, entry)
+            self._update_entry(now, entry)
 
-    def _entry(self, now: int, e: ServerEntry) -> None:
+    def _update_entry(self, now: int, entry: ServerEntry) -> None:
         s = self.set
-        server = self.servers.get(e.server)
-        rack = self.racks.setdefault(e.cell % s.racks, Meter(s.uplink_kb or 1e12, self.uplinks))
-        link_kb = (e.weight if 0 < e.weight < 1e6 else 1.0) * s.weight_kb
+        server = self.servers.get(entry.server)
+        rack = self.racks.setdefault(entry.cell % s.racks, LinkLedger(s.uplink_kb or 1e12, self.uplink_mean))
+        link_kb = (entry.weight if 0 < entry.weight < 1e6 else 1.0) * s.weight_kb
         if server is None:
-            server = Server(e, 0, Meter(link_kb, self.links), rack)
-        elif e.started and e.started != server.entry.started:
-            # restarted: what was known of its link and health is of its life before
+            server = Server(entry, 0, LinkLedger(link_kb, self.link_mean), rack)
+        elif entry.started and entry.started != server.entry.started:
+            # restarted: the evidence on its link and health is from before the restart
             server.link.learn(now, 0.0, now, False)
-            server.bad, server.retest = 0.0, NEVER
+            server.bad, server.next_trial_at = 0.0, NEVER
         self._unlist(server)
         if rack is not server.rack:
             server.rack.add(now, -server.link.own)
             rack.add(now, server.link.own)
-        server.places = s.places_by_kind[e.kind] if e.kind < len(s.places_by_kind) else min(s.places_by_kind)
-        server.entry, server.rack, server.link.cap = e, rack, link_kb
-        if e.state != ServerState.GONE:
-            self.servers[e.server] = server
-        if e.state == ServerState.READY:
+        server.places = s.places_by_kind[entry.kind] if entry.kind < len(s.places_by_kind) else min(s.places_by_kind)
+        server.entry, server.rack, server.link.cap = entry, rack, link_kb
+        if entry.state != ServerState.GONE:
+            self.servers[entry.server] = server
+        if entry.state == ServerState.READY:
             server.gone = False
-            self.cells.setdefault(e.cell % s.cells, []).append(server)
+            self.cells.setdefault(entry.cell % s.cells, []).append(server)
 
     def _unlist(self, server: Server) -> None:
-        """A server that drains or is gone leaves the draw; its sessions still know it until they end."""
+        """Take a server that drains or is gone out of the choice; its sessions refer to it until they end."""
         if not server.gone and server.places:
             self.cells[server.entry.cell % self.set.cells].remove(server)
         server.gone = True
@@ -300,97 +330,102 @@
 
     # ---- requests
 
-    def _session(self, now: int, r: Request) -> Session:
-        kind = self.set.classes[r.cls]
-        top = min(r.top, kind.top, len(self.set.rung_kb) - 1)
-        # a refusal must come in time, too
-        way = max(self.set.tick, int(WAY * self.set.connect_timeout))
-        deadline = min(r.deadline, now + kind.deadline) - way
-        return self.sessions.setdefault(r.ref, Session(r, kind, top, now, deadline, kind.floor))
+    def _new_session(self, now: int, request: Request) -> Session:
+        session_class = self.set.classes[request.cls]
+        top = min(request.top, session_class.top, len(self.set.rung_kb) - 1)
+        # a refusal, too, must reach the viewer in time
+        answer_time = max(self.set.tick, int(ANSWER_TIME_RATIO * self.set.connect_timeout))
+        deadline = min(request.deadline, now + session_class.deadline) - answer_time
+        return self.sessions.setdefault(
+            request.ref, Session(request, session_class, top, now, deadline, session_class.floor)
+        )
 
-    def _request(self, now: int, r: Request) -> None:
-        if r.ref in self.sessions or r.cls >= len(self.set.classes):
+    def _on_request(self, now: int, request: Request) -> None:
+        if request.ref in self.sessions or request.cls >= len(self.set.classes):
             return
-        self.taken.append(now)
-        while self.taken[0] <= now - max(self.set.ratio_span, self.set.fall):
-            self.taken.popleft()
-        self.credit = min(self.credit + self.looks, SCAN)
-        session = self._session(now, r)
+        self.request_times.append(now)
+        while self.request_times[0] <= now - max(self.set.ratio_span, self.set.fall):
+            self.request_times.popleft()
+        self.probe_credit = min(self.probe_credit + self.probes_per_request, MAX_HELD_SCAN)
+        session = self._new_session(now, request)
         if session.top < session.kind.floor:
-            self._refuse(session)  # no rung is both allowed and usable: waiting cannot help
-        elif self._zone(session) and not self._place(now, session):
+            self._refuse(session)  # no rung is both allowed and usable, so waiting cannot help
+        elif self._draw_zone(session) and not self._place(now, session):
             self._hold(now, session)
-        if self.sessions and not self.set.reports_in_answers and self.credit > PROBES:
-            # what no send needed renews the view of a server with own sessions, each session in its turn
-            one = self.sessions.pop(next(iter(self.sessions)))
-            self.sessions[one.r.ref] = one
-            if one.server is not None:
-                self._ask(now, one.server)
-
-    # ---- what fronts agreed on
-
-    def _agreed(self, now: int, event: Ways) -> None:
-        """Follow from now on. What plays in a zone above a cap that shrank goes down to its floor, and on."""
-        self.ways = event
+        if self.sessions and not self.set.reports_in_answers and self.probe_credit > MAX_PROBES_PER_REQUEST:
+            # spare probe credit renews the evidence on the servers of this front's sessions, in rotation
+            oldest = self.sessions.pop(next(iter(self.sessions)))
+            self.sessions[oldest.r.ref] = oldest
+            if oldest.server is not None:
+                self._probe_if_stale(now, oldest.server)
+
+    # ---- shares and caps agreed between zones
+
+    def _on_allocation(self, now: int, event: Ways) -> None:
+        """Apply the allocation to later sessions. Where a cap shrank below what plays in a zone, sessions there are
+        lowered, to their floor at most, and go on playing.
+        """
+        self.allocation = event
         for server in self.servers.values():
-            over = -self._left_abroad(server)
+            over = -self._zone_cap_left(server)
             if over > 0:
                 self._lower(now, server, over, math.inf, False)
 
-    def _zone(self, session: Session) -> bool:
-        """Draw the zone that a newcomer may go to besides its own by the agreed shares. False: it is of the
-        part that is refused, the times to come back spread, so that the crowd does not return at once."""
-        if self.ways is None:
+    def _draw_zone(self, session: Session) -> bool:
+        """Draw the zone that a new session may use besides its own, by the agreed shares. False if it falls into the
+        part that is refused; the retry times are spread so that the viewers do not all return at once.
+        """
+        if self.allocation is None:
             return True
-        draw = self.random.random()
-        for zone, share in self.ways.shares[session.r.cls]:
-            session.zone, draw = zone, draw - share
+        draw = self.rng.random()
+        for zone, share in self.allocation.shares[session.r.cls]:
+            session.drawn_zone, draw = zone, draw - share
             if draw < 0:
                 return True
         wait = self.set.max_retry_after if self.set.retry_after else 0
-        self.out.append(Refuse(session.r.ref, int(wait * (1 + self.random.random()) / 2)))
+        self.actions.append(Refuse(session.r.ref, int(wait * (1 + self.rng.random()) / 2)))
         self._forget(session)
         return False
 
-    def _near(self, session: Session, zone: int) -> bool:
-        """Whether a zone is a session's own: home where that is open, or the one that its share drew."""
+    def _is_own_zone(self, session: Session, zone: int) -> bool:
+        """Whether a zone is the session's own: the front's zone where it has a share, or the zone drawn."""
         return (
-            self.ways is None
-            or zone == session.zone
+            self.allocation is None
+            or zone == session.drawn_zone
             or zone == self.set.zone
-            and any(z == zone and share > 0 for z, share in self.ways.shares[session.r.cls])
+            and any(z == zone and share > 0 for z, share in self.allocation.shares[session.r.cls])
         )
 
-    def _left_abroad(self, server: Server, part: float = 1.0) -> float:
-        """kB that this front's sessions may still ask for in a server's zone by a part of the agreed caps."""
+    def _zone_cap_left(self, server: Server, ratio: float = 1.0) -> float:
+        """The kB a second left to this front's sessions in the server's zone, under `ratio` of the agreed cap."""
         zone = server.entry.zone
-        if self.ways is None or zone == self.set.zone:
+        if self.allocation is None or zone == self.set.zone:
             return math.inf
-        cap = self.ways.caps[zone] if 0 <= zone < len(self.ways.caps) else 0.0
-        return math.inf if cap is None else cap * part - self.abroad.get(zone, 0.0)
+        cap = self.allocation.caps[zone] if 0 <= zone < len(self.allocation.caps) else 0.0
+        return math.inf if cap is None else cap * ratio - self.abroad.get(zone, 0.0)
 
-    def _carried(self, now: int, event: Carried) -> None:
-        r = event.request
+    def _on_carried(self, now: int, event: Carried) -> None:
+        request = event.request
         server = self.servers.get(event.server)
-        if server is None or r.ref in self.sessions or r.cls >= len(self.set.classes):
+        if server is None or request.ref in self.sessions or request.cls >= len(self.set.classes):
             return
         self.carried = True
-        session = self._session(now, r)
+        session = self._new_session(now, request)
         session.attempts = 1
         self._reserve(now, session, server, session.rung)
-        session.phase, session.ends = Phase.PLAYING, now + (r.hint or 0)
-        self._played(r.title)
+        session.state, session.ends_at = SessionState.PLAYING, now + (request.hint or 0)
+        self._remember_title(request.title)
 
     def _hold(self, now: int, session: Session) -> None:
-        session.phase = Phase.HELD
+        session.state = SessionState.HELD
         self.held[session.r.ref] = session
-        self.out.append(SetTimer(max(now, session.deadline), session.r.ref + 2))
-        if not self.pumping:
-            self.pumping = True
-            self.out.append(SetTimer(now + PUMP, 0))
+        self.actions.append(SetTimer(max(now, session.deadline), session.r.ref + 2))
+        if not self.retry_timer_set:
+            self.retry_timer_set = True
+            self.actions.append(SetTimer(now + HOLD_RETRY_INTERVAL, 0))
 
     def _refuse(self, session: Session) -> None:
-        self.out.append(Refuse(session.r.ref, self.set.max_retry_after if self.set.retry_after else 0))
+        self.actions.append(Refuse(session.r.ref, self.set.max_retry_after if self.set.retry_after else 0))
         self._forget(session)
 
     def _forget(self, session: Session) -> None:
@@ -400,234 +435,260 @@
     # ---- choice of a server
 
     def _place(self, now: int, session: Session) -> bool:
-        """Send the session to the less used of two drawn holders that fit, at the highest rung that fits.
-        More holders are looked at only where these two do not do."""
+        """Send the session to the less loaded of two random holders that fit, at the highest rung that fits.
+        More holders are considered only if these two do not fit.
+        """
         if now >= session.deadline:
             return False
         fits: list[tuple[Server, int]] = []
         tight: list[Server] = []
-        if any(x.asked and now - x.probed < self.set.connect_timeout for x in session.pair):
-            return False  # the answer is on its way
-        away: list[tuple[Server, int]] = []
-        self._look(now, session, session.pair, fits, tight, away)
-        session.pair = ()
+        if any(x.probe_pending and now - x.probed_at < self.set.connect_timeout for x in session.probed_pair):
+            return False  # a probe result is still expected
+        other_zone: list[tuple[Server, int]] = []
+        self._sort_holders(now, session, session.probed_pair, fits, tight, other_zone)
+        session.probed_pair = ()
         if not fits:
-            self._look(now, session, self._drawn(session), fits, tight, away)
-            pair = tuple([one for one, _ in fits] or tight[-2:])
-            if [one for one in pair if self._ask(now, one)]:
-                session.pair = pair  # the choice is between these two once they have answered
+            self._sort_holders(now, session, self._drawn(session), fits, tight, other_zone)
+            pair = tuple([server for server, _ in fits] or tight[-2:])
+            if [server for server in pair if self._probe_if_stale(now, server)]:
+                session.probed_pair = pair  # choose between these two once they have answered
                 return False
         if fits:
-            one, two = fits[0], fits[-1]
-            better = one[1] > two[1] or one[1] == two[1] and one[0].load(now) <= two[0].load(now)
-            return self._send(now, session, *(one if better else two))
-        self.short = now if tight else self.short
+            first, second = fits[0], fits[-1]
+            first_wins = first[1] > second[1] or first[1] == second[1] and first[0].load(now) <= second[0].load(now)
+            return self._send(now, session, *(first if first_wins else second))
+        self.no_room_at = now if tight else self.no_room_at
         if tight and self._make_room(now, session, tight[0]):
             return self._send(now, session, tight[0], session.kind.floor)
-        return bool(away) and self._send(now, session, *away[0])
+        return bool(other_zone) and self._send(now, session, *other_zone[0])
 
     def _drawn(self, session: Session) -> Iterator[Server]:
-        """Listed holders of the title in a drawn order, DRAWS cells at most."""
+        """Listed holders of the title in random order, from MAX_DRAWS cells at most unless zones have agreed."""
         n = max(0, min(session.r.holders, self.set.cells))
-        if session.kind.live:  # joining a stream adds the least
-            own = islice(self._seated(session).values(), DRAWS)
+        if session.kind.live:  # joining a running stream adds the least load
+            own = islice(self._seated(session).values(), MAX_DRAWS)
             yield from [x.server for x in own if x.server is not None]
-        for step in self.random.sample(range(n), min(n, DRAWS if self.ways is None else n)):
+        for step in self.rng.sample(range(n), min(n, MAX_DRAWS if self.allocation is None else n)):
             yield from self.cells.get((session.r.home + step) % self.set.cells, ())
 
-    def _look(
+    def _sort_holders(
         self,
         now: int,
         session: Session,
         drawn: Iterable[Server],
         fits: list[tuple[Server, int]],
         tight: list[Server],
-        away: list[tuple[Server, int]],
+        other_zone: list[tuple[Server, int]],
     ) -> None:
-        """Sort drawn holders into the first two that fit, with their rungs, and those that do not. Another
-        zone's servers count where a crossing gains CROSS_GAIN times its price; where fronts agreed on zones,
-        those that fit in others than the session's own are `away`."""
-        price, worth = CROSS_GAIN * self.set.price_cross_zone, self.set.rung_worth
-        far: list[tuple[Server, int]] = []
-        shut: list[tuple[Server, int]] = []
+        """Sort holders into the first two that fit (with their rungs) and those that do not (`tight`). A server of
+        another zone fits if the crossing gains MIN_CROSSING_GAIN times its price; under an allocation, servers that
+        fit outside the session's own zones go to `other_zone`.
+        """
+        price, worth = MIN_CROSSING_GAIN * self.set.price_cross_zone, self.set.rung_worth
+        crossing: list[tuple[Server, int]] = []
+        last_resort: list[tuple[Server, int]] = []
         for server in drawn:
-            if not self._may_send(now, session, server) or server.bad > BAD and now < server.retest:
+            if not self._may_send(now, session, server) or server.bad > BAD and now < server.next_trial_at:
                 continue
-            rung = self._fit(now, session, server)
-            if not self._near(session, server.entry.zone):
-                if rung >= 0 and server is not session.failed and server.entry.zone != self.set.zone:
-                    away.append((server, rung))
+            rung = self._highest_fitting_rung(now, session, server)
+            if not self._is_own_zone(session, server.entry.zone):
+                if rung >= 0 and server is not session.failed_server and server.entry.zone != self.set.zone:
+                    other_zone.append((server, rung))
             elif rung < 0:
                 tight.append(server)
-            elif server.bad > BAD and session.kind.effect != Effect.SAFE or server is session.failed:
-                shut.append((server, rung))
-            elif price and server.entry.zone != self.set.zone and self.ways is None:
-                far.append((server, rung))
+            elif server.bad > BAD and session.kind.effect != Effect.SAFE or server is session.failed_server:
+                last_resort.append((server, rung))
+            elif price and server.entry.zone != self.set.zone and self.allocation is None:
+                crossing.append((server, rung))
             else:
                 fits.append((server, rung))
-                if len(fits) == 2 or self._part(session, server, rung) < 1:
+                if len(fits) == 2 or self._added_ratio(session, server, rung) < 1:
                     break
         best = max((worth[rung] for _, rung in fits), default=0.0)
-        fits += [one for one in far if worth[one[1]] - best > price][: 2 - len(fits)]
+        fits += [one for one in crossing if worth[one[1]] - best > price][: 2 - len(fits)]
         if not fits and not tight:
-            fits += shut[:2]
+            fits += last_resort[:2]
 
-    def _ask(self, now: int, server: Server) -> bool:
-        """Look before the send where evidence is old, as a cub asks the next one; each request pays for
-        some probes, so that their price stays bounded."""
+    def _probe_if_stale(self, now: int, server: Server) -> bool:
+        """Probe a server before the send if its evidence is old, as a Tiger cub asks the next one. Each request
+        earns a number of probes, so that their cost stays bounded. True if a probe was sent.
+        """
         s = self.set
-        age = max(FRESH, s.told_every + s.told_late) if s.reports_in_answers else PROBE_AGE
-        known = max(server.link.seen_at + REPORT_LAG, server.probed)
-        if not s.probes or self.credit < 1 or now - known < age:
+        max_age = max(FRESH_PERIOD, s.told_every + s.told_late) if s.reports_in_answers else PROBE_EVIDENCE_PERIOD
+        known_at = max(server.link.seen_at + REPORT_DELAY, server.probed_at)
+        if not s.probes or self.probe_credit < 1 or now - known_at < max_age:
             return False
-        self.credit -= 1
-        server.probed, server.asked = now, True
-        self.out.append(Probe(server.entry.server))
+        self.probe_credit -= 1
+        server.probed_at, server.probe_pending = now, True
+        self.actions.append(Probe(server.entry.server))
         return True
 
-    def _rate(self, kind: ClassSettings, rung: int) -> float:
-        return self.set.rung_kb[rung] * kind.scale
+    def _rate(self, session_class: ClassSettings, rung: int) -> float:
+        return self.set.rung_kb[rung] * session_class.scale
 
-    def _adds(self, session: Session, server: Server, rung: int) -> float:
-        """kB that the session adds at a server: a live title's further viewer adds only a part."""
-        return self._rate(session.kind, rung) * self._part(session, server, rung)
+    def _added_kb(self, session: Session, server: Server, rung: int) -> float:
+        """The kB a second that the session adds at a server: a further viewer of a live stream adds only a part."""
+        return self._rate(session.kind, rung) * self._added_ratio(session, server, rung)
 
-    def _part(self, session: Session, server: Server, rung: int) -> float:
+    def _added_ratio(self, session: Session, server: Server, rung: int) -> float:
         key = (session.r.cls, rung, session.r.title)
         return self.set.join_adds if session.kind.live and key in server.buckets else 1.0
 
-    def _fit(self, now: int, session: Session, server: Server) -> int:
+    def _highest_fitting_rung(self, now: int, session: Session, server: Server) -> int:
         """The highest rung that fits under the mark on link and uplink, or -1."""
         for rung in range(session.top, session.kind.floor - 1, -1):
-            mark = self._mark(now, session.kind, rung, self._part(session, server, rung), server)
-            kb = self._adds(session, server, rung)
-            part = 1.0 if rung == session.kind.floor else RAISED
-            if kb <= server.room(now, mark) and kb <= self._left_abroad(server, part):
+            mark = self._mark(now, session.kind, rung, self._added_ratio(session, server, rung), server)
+            kb = self._added_kb(session, server, rung)
+            cap_ratio = 1.0 if rung == session.kind.floor else RAISED_CAP_RATIO
+            if kb <= server.room(now, mark) and kb <= self._zone_cap_left(server, cap_ratio):
                 return rung
         return -1
 
-    def _mark(self, now: int, kind: ClassSettings, rung: int, part: float, server: Server) -> float:
-        """The mark, lower for rungs whose last step brings less worth per kB: the highest fitting rung would
-        starve those who come next, at the other fronts too. A joining viewer adds a `part` of the rate."""
-        if rung <= kind.floor:
-            return MARK
+    def _mark(self, now: int, session_class: ClassSettings, rung: int, added_ratio: float, server: Server) -> float:
+        """The admission mark, lower for rungs whose last step brings less worth per kB: always taking the highest
+        rung that fits would starve later sessions, at the other fronts too. A viewer that joins a stream adds
+        `added_ratio` of the rate.
+        """
+        if rung <= session_class.floor:
+            return ADMISSION_MARK
         kb, worth = self.set.rung_kb, self.set.rung_worth
-        step = (worth[rung] - worth[rung - 1]) / (kb[rung] - kb[rung - 1]) / part
-        return MARK - self._spread(now, server) * max(0.0, 1 - step * kind.worth / kind.scale / self.best)
+        worth_per_kb = (worth[rung] - worth[rung - 1]) / (kb[rung] - kb[rung - 1]) / added_ratio
+        return ADMISSION_MARK - self._spread(now, server) * max(
+            0.0, 1 - worth_per_kb * session_class.worth / session_class.scale / self.best_worth_per_kb
+        )
 
     def _spread(self, now: int, server: Server) -> float:
-        """How far marks fall: by SPREAD where a newcomer just found no room, less the longer ago that is.
-        Only where each choice is preceded by a look (_ask), and as far as its evidence is fresh: a bold
-        mark on an old view fills links beyond what they give."""
+        """How far marks fall: by MARK_SPREAD just after a new session found no room, and by less the longer ago that
+        is. It shrinks only where a probe precedes each choice (_probe_if_stale), and as far as the evidence is
+        fresh: a high mark on old evidence fills links beyond their capacity.
+        """
         if not self.set.probes or self.set.reports_in_answers:
-            return SPREAD
-        keep: float = 0.5 ** ((now - self.short) / HALF) if self.short > NEVER else 0.0
-        # few looks make all evidence of one server old: then counts how many pieces the mean of all rests on.
-        # With one or none, nothing tells of uplinks, where no full answer shows that a mark was too bold
-        old = 1.0 - 0.5 ** ((now - server.link.seen_at) / PROBE_AGE)
-        vague = 1.0 / max(1.0, self.uplinks.pieces(now))
-        keep = max(keep, vague + (old - vague) * self.looks / PROBES)
-        return SPREAD * (CALM + (1 - CALM) * keep)
+            return MARK_SPREAD
+        reserve: float = 0.5 ** ((now - self.no_room_at) / EVIDENCE_HALF_LIFE) if self.no_room_at > NEVER else 0.0
+        # with few probes the evidence on any one server is old; then the number of samples in the mean counts.
+        # With one or none, nothing is known of uplinks, where no FULL answer shows that a mark was too high
+        staleness = 1.0 - 0.5 ** ((now - server.link.seen_at) / PROBE_EVIDENCE_PERIOD)
+        uncertainty = 1.0 / max(1.0, self.uplink_mean.samples(now))
+        reserve = max(
+            reserve, uncertainty + (staleness - uncertainty) * self.probes_per_request / MAX_PROBES_PER_REQUEST
+        )
+        return MARK_SPREAD * (CALM_SPREAD_RATIO + (1 - CALM_SPREAD_RATIO) * reserve)
 
     # ---- guards
 
-    def _holds(self, session: Session, server: Server) -> bool:
+    def _is_holder(self, session: Session, server: Server) -> bool:
         return (server.entry.cell - session.r.home) % self.set.cells < session.r.holders
 
     def _may_send(self, now: int, session: Session, server: Server) -> bool:
-        """The one place that says whether a send is legal. Every send passes it."""
+        """Whether a send is allowed. The only place that checks this; every send passes it."""
         s = self.set
-        if server.gone or not self._holds(session, server):
-            return False  # drains: the grace is not used
-        if session.attempts >= s.max_attempts or session.phase != Phase.HELD:
+        if server.gone or not self._is_holder(session, server):
+            return False  # a draining server gets no new sessions, even within its grace
+        if session.attempts >= s.max_attempts or session.state != SessionState.HELD:
             return False
         if server.streams >= server.places and all(
-            self._part(session, server, rung) == 1 for rung in range(session.top + 1)
+            self._added_ratio(session, server, rung) == 1 for rung in range(session.top + 1)
         ):
-            return False  # a further viewer of a stream that runs takes no place
+            return False  # a further viewer of a running stream takes no place
         if session.kind.seats and len(self._seated(session)) >= session.kind.seats:
             return False
         if session.attempts and s.free_resends is not None:
-            taken = sum(1 for t in self.taken if t > now - s.ratio_span)
-            while self.resent and self.resent[0] <= now - s.ratio_span:
-                self.resent.popleft()
-            if len(self.resent) + 1 > s.free_resends + s.further_ratio * taken:
+            taken = sum(1 for t in self.request_times if t > now - s.ratio_span)
+            while self.retry_times and self.retry_times[0] <= now - s.ratio_span:
+                self.retry_times.popleft()
+            if len(self.retry_times) + 1 > s.free_resends + s.further_ratio * taken:
                 return False
-        # cold: told of its start, witnessed its failure, or started after it
+        # cold since its listed start, a failure seen here, or the start of this front, whichever is latest
         since = max(
-            server.entry.started or NEVER, server.lost, NEVER if self.carried or s.turn is not None else self.start
+            server.entry.started or NEVER,
+            server.failed_at,
+            NEVER if self.carried or s.turn is not None else self.started_at,
         )
         return now >= since + s.warm_within or self._turn(now, server, since)
 
-    def _gap(self, server: Server) -> int:
-        """Least time between two set-ups of this front at a server while it is cold."""
+    def _cold_interval(self, server: Server) -> int:
+        """Least time (ns) between two set-ups of this front at a cold server."""
         s = self.set
-        pace = s.fall_multiple * server.places * s.cold_from * COLD_SHARE
-        gap = s.warm_within / pace if pace > 0 else s.warm_within
-        return int(min(s.fronts * gap, max(s.fall, gap)))
+        budget = s.fall_multiple * server.places * s.cold_from * COLD_BUDGET_RATIO
+        interval = s.warm_within / budget if budget > 0 else s.warm_within
+        return int(min(s.fronts * interval, max(s.fall, interval)))
 
     def _turn(self, now: int, server: Server, since: int) -> bool:
-        """Whether a set-up at a cold server is this front's to send: each window in which set-ups are
-        counted is a slot, a seeded draw says whose, so that all fronts together keep the budget. The fewer
-        wants (the others taken to be like this one) the likelier, else no turn would find work."""
+        """Whether this front may send a set-up to a cold server. Each window in which set-ups are counted is a slot,
+        and a seeded draw decides whether the slot is this front's, so that all fronts together keep to the budget.
+        The lower the demand (assumed equal at the other fronts), the likelier the slot is its own; otherwise most
+        slots would go to fronts with nothing to send.
+        """
         s = self.set
         if s.turn is not None:
-            return self._slot(now, server, *s.turn)
-        pace = s.fall_multiple * server.places * s.cold_from * COLD_SHARE
-        if now < server.due:
+            return self._has_turn_in_slot(now, server, *s.turn)
+        budget = s.fall_multiple * server.places * s.cold_from * COLD_BUDGET_RATIO
+        if now < server.next_cold_at:
             return False
         slot = (since, (now - since) // max(1, s.fall))
         if slot != server.slot:
             server.slot = slot
-            recent = sum(1 for t in self.taken if t > now - s.fall)
-            crowd = any(self._holds(x, server) for x in self.held.values())  # then at every front, perhaps
-            wants = 1.0 if crowd else min(1.0, 2 * recent / s.cells)
-            server.turn = self.random.random() * s.fronts * wants <= pace * s.fall / max(1, s.warm_within)
-        return server.turn
-
-    def _slot(self, now: int, server: Server, rank: int, offset: int) -> bool:
-        """The same where fronts are numbered and share a clock: turns go round by slots longer than the
-        window in which set-ups are counted and an attempt's way, so that no window sees more than two slots,
-        or one where the cold budget is a single set-up and every other slot stays empty. No draw, so no
-        chance of too many."""
+            recent = sum(1 for t in self.request_times if t > now - s.fall)
+            crowd = any(self._is_holder(x, server) for x in self.held.values())  # the other fronts may hold some, too
+            demand = 1.0 if crowd else min(1.0, 2 * recent / s.cells)
+            server.slot_is_own = self.rng.random() * s.fronts * demand <= budget * s.fall / max(1, s.warm_within)
+        return server.slot_is_own
+
+    def _has_turn_in_slot(self, now: int, server: Server, rank: int, offset: int) -> bool:
+        """Whether this front has a turn left at a cold server, where fronts have ranks and share a clock. Turns
+        rotate over slots that are longer than the counting window plus the travel time of an attempt, so that a
+        window meets two slots at most, or one if the cold budget is a single set-up, as every other slot then stays
+        empty. Nothing is drawn, so chance cannot exceed the budget.
+        """
         s = self.set
         budget = s.fall_multiple * server.places * s.cold_from * s.fall / max(1, s.warm_within)
-        most = 1 + int(budget)
-        number, into = divmod(now + offset, max(1, s.fall + 3 * s.connect_timeout))
-        if now - into < self.start or most == 1 and number % 2:
-            return False  # a turn of this slot may have gone to this front's earlier life
-        number = number // 2 if most == 1 else number
-        if server.slot != (number, 0):
-            turns = max(1, most // 2)
-            first = (number * turns + server.entry.cell) % s.fronts  # one after another
-            server.slot = (number, 0)
-            server.turns = (turns - 1 - (rank - first) % s.fronts) // s.fronts + 1
-        return server.turns > 0
+        max_setups = 1 + int(budget)
+        slot, into = divmod(now + offset, max(1, s.fall + 3 * s.connect_timeout))
+        if now - into < self.started_at or max_setups == 1 and slot % 2:
+            return False  # this front may have used its turn in this slot before it restarted
+        slot = slot // 2 if max_setups == 1 else slot
+        if server.slot != (slot, 0):
+            turns = max(1, max_setups // 2)
+            first = (slot * turns + server.entry.cell) % s.fronts  # fronts take turns in order of rank
+            server.slot = (slot, 0)
+            server.slot_turns = (turns - 1 - (rank - first) % s.fronts) // s.fronts + 1
+        return server.slot_turns > 0
 
     # ---- sending
 
     def _send(self, now: int, session: Session, server: Server, rung: int) -> bool:
         if session.attempts:
-            self.resent.append(now)
-        gap = self._gap(server)
-        # held ones are looked at every PUMP: a shorter gap is made up for, so that its share is used; never
-        # ahead of one gap, else a warm server's many set-ups would shut it for long once it is cold
-        server.due = min(now, max(server.due, now - (PUMP if gap < PUMP else 0))) + gap
-        server.turns -= 1
+            self.retry_times.append(now)
+        interval = self._cold_interval(server)
+        # held sessions are retried only every HOLD_RETRY_INTERVAL: a shorter interval may be caught up on, so that
+        # this front uses its share; never more than one interval ahead, or the many set-ups of a warm server would
+        # block it for long once it is cold
+        server.next_cold_at = (
+            min(now, max(server.next_cold_at, now - (HOLD_RETRY_INTERVAL if interval < HOLD_RETRY_INTERVAL else 0)))
+            + interval
+        )
+        server.slot_turns -= 1
         if server.bad > BAD:
-            server.retest = now + int(RETEST * server.bad)  # a trial: no other until it tells
+            # a trial: no other before its outcome or this time
+            server.next_trial_at = now + int(TRIAL_INTERVAL * server.bad)
         self.held.pop(session.r.ref, None)
-        session.phase, session.pair = Phase.OUT, ()
+        session.state, session.probed_pair = SessionState.PENDING, ()
         session.attempts += 1
         self._reserve(now, session, server, rung)
-        limit = session.deadline
+        deadline = session.deadline
         if session.kind.effect == Effect.SAFE:
-            aim = session.began + session.kind.aim
-            until = aim if aim > now + LIMIT_LEAST else session.deadline
-            limit = max(LIMIT_LEAST, min(int(LIMIT_TOOK * self.took), int(LIMIT_SHARE * (until - now)))) + now
-        self.out.append(Rate(session.r.ref, rung))
-        session.limit = min(limit, session.deadline)
-        self.out.append(Send(session.r.ref, server.entry.server, session.limit))
+            target = session.arrived_at + session.kind.aim
+            until = target if target > now + MIN_ATTEMPT_TIMEOUT else session.deadline
+            deadline = (
+                max(
+                    MIN_ATTEMPT_TIMEOUT,
+                    min(int(ATTEMPT_TIMEOUT_FACTOR * self.setup_time), int(MAX_ATTEMPT_TIME_RATIO * (until - now))),
+                )
+                + now
+            )
+        self.actions.append(Rate(session.r.ref, rung))
+        session.attempt_deadline = min(deadline, session.deadline)
+        self.actions.append(Send(session.r.ref, server.entry.server, session.attempt_deadline))
         return True
 
     def _reserve(self, now: int, session: Session, server: Server, rung: int) -> None:
@@ -644,16 +705,16 @@
                 del server.buckets[self._key(session)]
             self._book(now, session, server, -1)
 
-    def _book(self, now: int, session: Session, server: Server, n: int) -> None:
-        kb = self._adds(session, server, session.rung)
-        server.link.add(now, n * kb)
-        server.rack.add(now, n * kb)
+    def _book(self, now: int, session: Session, server: Server, sign: int) -> None:
+        kb = self._added_kb(session, server, session.rung)
+        server.link.add(now, sign * kb)
+        server.rack.add(now, sign * kb)
         if server.entry.zone != self.set.zone:
-            self.abroad[server.entry.zone] = self.abroad.get(server.entry.zone, 0.0) + n * kb
-        if self._part(session, server, session.rung) == 1:
-            server.streams += n
+            self.abroad[server.entry.zone] = self.abroad.get(server.entry.zone, 0.0) + sign * kb
+        if self._added_ratio(session, server, session.rung) == 1:
+            server.streams += sign
         seated = self.seats.setdefault((session.r.cls, session.r.title), {})
-        if n > 0:
+        if sign > 0:
             seated[session.r.ref] = session
         else:
             del seated[session.r.ref]
@@ -671,175 +732,191 @@
     def _step(self, now: int, session: Session, rung: int) -> None:
         server = session.server
         assert server is not None
-        session.lowered = now if rung < session.rung else session.lowered
+        session.lowered_at = now if rung < session.rung else session.lowered_at
         self._release(now, session)
         self._reserve(now, session, server, rung)
-        session.stepped = now
-        self.out.append(Rate(session.r.ref, rung))
+        session.stepped_at = now
+        self.actions.append(Rate(session.r.ref, rung))
 
-    def _steps(self, now: int, server: Server, step: int) -> list[tuple[float, float, list[Session]]]:
-        """What can go a rung up (`step` 1) or down (-1): (worth per kB, kB, the sessions), best first."""
+    def _steps(self, now: int, server: Server, direction: int) -> list[tuple[float, float, list[Session]]]:
+        """What can go up a rung (`direction` 1) or down (-1): (worth per kB, kB, the sessions), best first."""
         s = self.set
-        found: list[tuple[float, float, list[Session]]] = []
+        steps: list[tuple[float, float, list[Session]]] = []
         for (cls, rung, _), bucket in server.buckets.items():
-            kind, new = s.classes[cls], rung + step
-            if not kind.floor <= new <= kind.top:
+            session_class, new_rung = s.classes[cls], rung + direction
+            if not session_class.floor <= new_rung <= session_class.top:
                 continue
-            worth = abs(s.rung_worth[new] - s.rung_worth[rung])
-            able = [x for x in bucket.values() if self._able(now, x, step, worth)]
-            groups = [[x] for x in able]
-            if kind.live:
-                groups = [able] if able and (step > 0 or len(able) == len(bucket)) else []
+            worth = abs(s.rung_worth[new_rung] - s.rung_worth[rung])
+            movable = [x for x in bucket.values() if self._may_step(now, x, direction, worth)]
+            groups = [[x] for x in movable]
+            if session_class.live:
+                groups = [movable] if movable and (direction > 0 or len(movable) == len(bucket)) else []
             for group in groups:
-                n, join = len(group), s.join_adds if kind.live else 1.0
-                joins = self._part(group[0], server, new) < 1
-                stays = kind.live and n < len(bucket)
-                kb = self._rate(kind, new) * (join * n if joins else 1 + join * (n - 1)) - self._rate(kind, rung) * (
-                    join * n if stays else 1 + join * (n - 1)
-                )
-                if kb * step > 0:
-                    found.append((worth * kind.worth * n / abs(kb), abs(kb), group))
-        found.sort(key=lambda one: (-step * one[0], -one[1], one[2][0].r.ref))
-        return found
-
-    def _able(self, now: int, x: Session, step: int, worth: float) -> bool:
-        """Whether a session may step now: once in PACE, and up only where the time left earns the price."""
-        if x.phase != Phase.PLAYING or step < 0:
-            return x.phase == Phase.PLAYING and now - x.lowered >= PACE
-        earned = worth * (x.ends - now if x.r.hint else PACE) / SECOND
-        return x.top > x.rung and now - x.stepped >= PACE and earned > SWITCH_GAIN * self.set.switch_s
-
-    def _lower(self, now: int, server: Server, kb: float, worth: float, whole: bool) -> bool:
-        """Lower playing sessions one rung, those first that lose least worth per kB and none that loses
-        `worth` or more, until `kb` are free; with `whole` only where that much can be freed. Else a step
-        that frees more is drawn by the part: many fronts with a session each would all lower, or none."""
+                n, join = len(group), s.join_adds if session_class.live else 1.0
+                joins = self._added_ratio(group[0], server, new_rung) < 1
+                stays = session_class.live and n < len(bucket)
+                kb = self._rate(session_class, new_rung) * (join * n if joins else 1 + join * (n - 1)) - self._rate(
+                    session_class, rung
+                ) * (join * n if stays else 1 + join * (n - 1))
+                if kb * direction > 0:
+                    steps.append((worth * session_class.worth * n / abs(kb), abs(kb), group))
+        steps.sort(key=lambda one: (-direction * one[0], -one[1], one[2][0].r.ref))
+        return steps
+
+    def _may_step(self, now: int, session: Session, direction: int, worth: float) -> bool:
+        """Whether a session may step now: once in STEP_INTERVAL, and up only if the time left earns the price."""
+        if session.state != SessionState.PLAYING or direction < 0:
+            return session.state == SessionState.PLAYING and now - session.lowered_at >= STEP_INTERVAL
+        earned = worth * (session.ends_at - now if session.r.hint else STEP_INTERVAL) / SECOND
+        return (
+            session.top > session.rung
+            and now - session.stepped_at >= STEP_INTERVAL
+            and earned > MIN_SWITCH_GAIN * self.set.switch_s
+        )
+
+    def _lower(self, now: int, server: Server, kb: float, max_worth_per_kb: float, all_or_nothing: bool) -> bool:
+        """Lower playing sessions by one rung until `kb` are free, those first that lose least worth per kB and none
+        that loses `max_worth_per_kb` or more. With `all_or_nothing`, only if that much can be freed; otherwise a
+        step that frees more than is left happens with that proportion as its probability, as many fronts with one
+        session each would all lower or none would. True if enough is free or a session was lowered.
+        """
         steps: list[Session] = []
         for lost, freed, group in self._steps(now, server, -1):
-            if kb <= 0 or lost >= worth or not whole and self.random.random() * freed > kb:
+            if kb <= 0 or lost >= max_worth_per_kb or not all_or_nothing and self.rng.random() * freed > kb:
                 break
             steps += group
             kb -= freed
-        if whole and kb > 0:
+        if all_or_nothing and kb > 0:
             return False
         for one in steps:
             self._step(now, one, one.rung - 1)
         return bool(steps) or kb <= 0
 
     def _make_room(self, now: int, session: Session, server: Server) -> bool:
-        """Let a held session in where those that play lose less worth per kB than it brings."""
-        kb = self._adds(session, server, session.kind.floor)
-        if kb > self._left_abroad(server):
+        """Lower playing sessions for a held one, if they lose less worth per kB than it brings."""
+        kb = self._added_kb(session, server, session.kind.floor)
+        if kb > self._zone_cap_left(server):
             return False
         gain = self.set.rung_worth[session.kind.floor] * session.kind.worth / kb
-        return self._lower(now, server, kb - server.room(now, MARK), gain, True)
+        return self._lower(now, server, kb - server.room(now, ADMISSION_MARK), gain, True)
 
     def _adjust(self, now: int, server: Server, at: int) -> None:
-        """Bring playing sessions nearer to what fits, by this front's share of what is asked; evidence of
-        a time before the last step here is not acted on twice."""
+        """Lower or raise playing sessions towards what fits, by this front's share of the load. Evidence from before
+        the last adjustment at this server is ignored, as it does not show that one.
+        """
         load = server.load(now)
-        if at <= server.acted or not server.streams:
+        if at <= server.stepped_at or not server.streams:
             return
-        if load >= SHED_AT:
-            server.acted = now
-            self._lower(now, server, server.link.own * (1 - SHED_TO / load), math.inf, False)
-        elif load < self._up_mark(now, server) and not (self.held or server.gone or server.bad > BAD):
+        if load >= OVERLOAD_THRESHOLD:
+            server.stepped_at = now
+            self._lower(now, server, server.link.own * (1 - OVERLOAD_TARGET / load), math.inf, False)
+        elif load < self._raise_mark(now, server) and not (self.held or server.gone or server.bad > BAD):
             self._raise(now, server)
 
-    def _up_mark(self, now: int, server: Server) -> float:
-        return MARK - UP_SPREAD * self._spread(now, server)
+    def _raise_mark(self, now: int, server: Server) -> float:
+        return ADMISSION_MARK - RAISE_SPREAD_RATIO * self._spread(now, server)
 
     def _raise(self, now: int, server: Server) -> None:
-        """Use lasting room: raise what gains most per kB, this front's share of the room as its chance."""
-        up = self._up_mark(now, server)
+        """Raise the step that gains most worth per kB, with this front's share of the room, as a part of the step's
+        kB, as the probability.
+        """
+        mark = self._raise_mark(now, server)
         room = min(
-            m.cap * (up - m.load(now)) * min(1.0, m.own / m.cap / max(m.load(now), 1e-9))
+            m.cap * (mark - m.load(now)) * min(1.0, m.own / m.cap / max(m.load(now), 1e-9))
             for m in (server.link, server.rack)
         )
         for _, kb, group in self._steps(now, server, 1):
-            if kb <= server.room(now, MARK) and kb <= self._left_abroad(server, RAISED):
-                server.acted = now
-                if self.random.random() * kb <= room:
+            if kb <= server.room(now, ADMISSION_MARK) and kb <= self._zone_cap_left(server, RAISED_CAP_RATIO):
+                server.stepped_at = now
+                if self.rng.random() * kb <= room:
                     for one in group:
                         self._step(now, one, one.rung + 1)
                 return
 
-    # ---- what becomes of attempts
+    # ---- outcomes of attempts
 
-    def _opened(self, now: int, event: Opened) -> None:
+    def _on_opened(self, now: int, event: Opened) -> None:
         session = self.sessions.get(event.ref)
         server = session.server if session is not None and not session.left else None
-        if session is None or server is None or session.phase != Phase.OUT or event.attempt != session.attempts - 1:
+        if (
+            session is None
+            or server is None
+            or session.state != SessionState.PENDING
+            or event.attempt != session.attempts - 1
+        ):
             return
-        self.took += TOOK_WEIGH * (min(event.took, SECOND) - self.took)
-        session.phase, session.ends = Phase.PLAYING, now + (session.r.hint or 0)
-        self._played(session.r.title)
-        self._good(now, server)
-
-    def _played(self, title: int) -> None:
-        self.titles.pop(title, None)
-        self.titles[title] = None
-        if len(self.titles) > TITLES:
-            del self.titles[next(iter(self.titles))]
-
-    def _outcome(self, now: int, event: Outcome) -> None:
+        self.setup_time += SETUP_TIME_WEIGHT * (min(event.took, SECOND) - self.setup_time)
+        session.state, session.ends_at = SessionState.PLAYING, now + (session.r.hint or 0)
+        self._remember_title(session.r.title)
+        self._record_success(now, server)
+
+    def _remember_title(self, title: int) -> None:
+        self.played_titles.pop(title, None)
+        self.played_titles[title] = None
+        if len(self.played_titles) > MAX_PLAYED_TITLES:
+            del self.played_titles[next(iter(self.played_titles))]
+
+    def _on_outcome(self, now: int, event: Outcome) -> None:
         server = self.servers.get(event.server)
         session = self.sessions.get(event.ref)
-        if session is None or session.phase == Phase.HELD or event.attempt != session.attempts - 1:
+        if session is None or session.state == SessionState.HELD or event.attempt != session.attempts - 1:
             return
-        playing = session.phase == Phase.PLAYING
+        playing = session.state == SessionState.PLAYING
         self._release(now, session)
         if server is not None and event.report is not None:
-            self._learn(now, server, event.report)  # after the release: what has ended is not lowered
+            self._apply_report(now, server, event.report)  # after the release, so that the ended session is not lowered
         code = event.code
         if server is not None:
-            # a time-out found late is this front's stall, no fault of the server
-            stalled = code == Code.TIMEOUT and now > session.limit + LIMIT_LEAST
-            odd = session.r.title not in self.titles  # no server may hold it: then every one says error
-            if code in BROKEN and not stalled or code == Code.ERROR and not (playing or odd):
+            # a timeout noticed late means that this front stalled, not that the server failed
+            stalled = code == Code.TIMEOUT and now > session.attempt_deadline + MIN_ATTEMPT_TIMEOUT
+            # possibly no server has such a title, in which case each answers with an error
+            unknown_title = session.r.title not in self.played_titles
+            if code in FAILURE_CODES and not stalled or code == Code.ERROR and not (playing or unknown_title):
                 unclear = not playing and code in (Code.TIMEOUT, Code.RESET)
-                self._failed(now, server, code, UNCLEAR if unclear else WEIGH)
+                self._record_failure(now, server, code, UNCLEAR_FAILURE_WEIGHT if unclear else FAILURE_WEIGHT)
             elif code == Code.FULL and server.link.load(now) < 1:
-                server.link.learn(now, 1.0, now, False)  # at its end, until other evidence
+                server.link.learn(now, 1.0, now, False)  # full, until other evidence arrives
         if event.over or session.left or playing:
             self._forget(session)
         else:
-            session.phase, session.failed = Phase.HELD, server
-            if code == Code.MOOT and self.resent and session.attempts > 1:
-                self.resent.pop()
-            if session.kind.effect != Effect.SAFE and code not in UNRUN:
-                self.out.append(Fail(session.r.ref))
+            session.state, session.failed_server = SessionState.HELD, server
+            if code == Code.MOOT and self.retry_times and session.attempts > 1:
+                self.retry_times.pop()
+            if session.kind.effect != Effect.SAFE and code not in NOT_RUN_CODES:
+                self.actions.append(Fail(session.r.ref))
                 self._forget(session)
             elif now >= session.deadline or session.attempts >= self.set.max_attempts:
                 self._refuse(session)
             elif code == Code.FULL or not self._place(now, session):
                 self._hold(now, session)
         if server is not None and (playing or event.over):
-            self._retry(now, server)
+            self._retry_held(now, server)
 
-    def _left(self, now: int, event: Left) -> None:
+    def _on_left(self, now: int, event: Left) -> None:
         session = self.sessions.get(event.ref)
-        if session is not None and session.phase == Phase.HELD:
+        if session is not None and session.state == SessionState.HELD:
             self._forget(session)
         elif session is not None:
-            session.left, session.phase = True, Phase.OUT  # booked until its outcome, its rung untouched
+            # it stays booked until its outcome, and its rung is left as it is
+            session.left, session.state = True, SessionState.PENDING
 
-    # ---- queue
+    # ---- held sessions
 
-    def _retry(self, now: int, server: Server) -> None:
-        """A session ended at a server: retry those held at the head whose title it holds."""
-        for session in list(self.held.values())[:SCAN]:
-            if self._holds(session, server):
+    def _retry_held(self, now: int, server: Server) -> None:
+        """After the end of a session at a server, retry the first held sessions whose title it has."""
+        for session in list(self.held.values())[:MAX_HELD_SCAN]:
+            if self._is_holder(session, server):
                 self._place(now, session)
 
-    def _wake(self, now: int, event: Wake) -> None:
+    def _on_timer(self, now: int, event: Wake) -> None:
         if event.token == 0:
-            self.pumping = bool(self.held)
-            if self.pumping:
-                self.out.append(SetTimer(now + PUMP, 0))
+            self.retry_timer_set = bool(self.held)
+            if self.retry_timer_set:
+                self.actions.append(SetTimer(now + HOLD_RETRY_INTERVAL, 0))
             for session in list(self.held.values()):
                 self._place(now, session)
         elif event.token == 1:
-            self.out.append(Watch(True))
+            self.actions.append(Watch(True))
         else:
             held = self.held.get(event.token - 2)
             if held is not None and now >= held.deadline:
@@ -847,14 +924,14 @@
 
     # ---- evidence
 
-    def _learn(self, now: int, server: Server, report: Report) -> None:
-        at = now - REPORT_LAG
+    def _apply_report(self, now: int, server: Server, report: Report) -> None:
+        at = now - REPORT_DELAY
         for meter, value in ((server.link, report.link), (server.rack, report.uplink)):
             if value is not None:
                 meter.learn(now, value, at)
         self._adjust(now, server, at)
 
-    def _note(self, now: int, event: Note) -> None:
+    def _on_notice(self, now: int, event: Note) -> None:
         session = self.sessions.get(event.ref)
         server = self.servers.get(event.server)
         value = event.value
@@ -870,16 +947,16 @@
             return
         at = now - self.set.told_late
         if event.kind in (NoteKind.LINK, NoteKind.UPLINK):
-            if session is not None and now - session.began < SECOND:
-                at = now  # at set-up it speaks of the present
+            if session is not None and now - session.arrived_at < SECOND:
+                at = now  # at set-up, the figure is current
             meter = server.link if event.kind == NoteKind.LINK else server.rack
             meter.learn(now, value, at)
             self._adjust(now, server, at)
         elif event.kind == NoteKind.SHARE:
-            if value < SILENT:  # nothing comes any more: a stopped server, not a full link
-                return self._failed(now, server, Code.ERROR)
+            if value < SILENT_THRESHOLD:  # nothing is delivered: a stopped server rather than a full link
+                return self._record_failure(now, server, Code.ERROR)
             meter = server.rack if server.rack.load(now) > server.link.load(now) else server.link
-            if value < SHED_AT:
+            if value < OVERLOAD_THRESHOLD:
                 if meter.load(now) < 1 / value:
                     meter.learn(now, 1 / value, at, False)
                 self._adjust(now, server, at)
@@ -888,26 +965,26 @@
 
     # ---- health
 
-    def _good(self, now: int, server: Server) -> None:
-        if server.bad > BAD >= server.bad * (1 - WEIGH):
-            self.out.append(Log(f"server {server.entry.server} trusted again"))
-        if server.lost > NEVER and server.bad > BAD:
-            server.lost = now  # it lost its sessions and answers again: cold from here at the latest
-        server.bad *= 1 - WEIGH
-        server.retest = now
-
-    def _failed(self, now: int, server: Server, code: int, weigh: float = WEIGH) -> None:
-        if server.bad <= BAD < server.bad + weigh * (1 - server.bad):
-            self.out.append(Log(f"server {server.entry.server} on trial: outcome {code}"))
+    def _record_success(self, now: int, server: Server) -> None:
+        if server.bad > BAD >= server.bad * (1 - FAILURE_WEIGHT):
+            self.actions.append(Log(f"server {server.entry.server} trusted again"))
+        if server.failed_at > NEVER and server.bad > BAD:
+            server.failed_at = now  # it answers again after losing its sessions: cold from now at the latest
+        server.bad *= 1 - FAILURE_WEIGHT
+        server.next_trial_at = now
+
+    def _record_failure(self, now: int, server: Server, code: int, weight: float = FAILURE_WEIGHT) -> None:
+        if server.bad <= BAD < server.bad + weight * (1 - server.bad):
+            self.actions.append(Log(f"server {server.entry.server} on trial: outcome {code}"))
         if code != Code.ERROR:
-            server.lost = now
-        server.bad += weigh * (1 - server.bad)
-        server.retest = now + int(RETEST * server.bad)
+            server.failed_at = now
+        server.bad += weight * (1 - server.bad)
+        server.next_trial_at = now + int(TRIAL_INTERVAL * server.bad)
 
-    def _probed(self, now: int, event: Probed) -> None:
+    def _on_probe_result(self, now: int, event: Probed) -> None:
         server = self.servers.get(event.server)
         if server is not None:
-            server.asked = False
+            server.probe_pending = False
             if event.code == Code.OK and event.report is not None:
-                self._learn(now, server, event.report)
-            self._retry(now, server)
+                self._apply_report(now, server, event.report)
+            self._retry_held(now, server)
--- a/copperyard/interface.py
+++ b/copperyard/interface.py
@@ -1,8 +1,8 @@
-"""The types that go in and out of the decision module: settings, events, actions, outcomes.
+"""The types that the decision module takes and returns: settings, events, actions, outcomes.
 
-Types only. Every decision is in decide.py; the bytes of the wire are in bench/wire.py.
-Times are integer nanoseconds on the front's own clock, rates are kB a second, loads are
-fractions of what a link or uplink gives (1.0 = all of it).
+Types only: the decisions are in decide.py, the byte layouts of the simulator's wire in bench/wire.py. Times are
+integer nanoseconds on the front's own clock, rates are in kB a second, and loads are fractions of the capacity of a
+link or uplink (1.0 is all of it).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Effect(IntEnum):
-    """What a set-up of a class does when it is run twice."""
+    """What it does to run a set-up of a class twice. Only SAFE ones are repeated after one that may have run."""
 
     SAFE = 0
     KEYED = 1
@@ -20,7 +20,7 @@
 
 
 class Code(IntEnum):
-    """How an attempt ended. Only FULL, CONNECT_FAILED and MOOT prove that it never ran."""
+    """How an attempt ended. Only FULL, CONNECT_FAILED and MOOT (dropped before it ran) prove that it never ran."""
 
     OK = 1
     ERROR = 2
@@ -33,7 +33,7 @@
 
 
 class NoteKind(IntEnum):
-    """What a note on a playing session tells."""
+    """What a notice on a playing session reports: its delivered share, its rung, or the load of link or uplink."""
 
     SHARE = 1
     RUNG = 2
@@ -42,7 +42,7 @@
 
 
 class ListKind(IntEnum):
-    """How a server list event relates to the list already known."""
+    """How a server list event relates to the known list."""
 
     FAILED = 0
     FULL = 2
@@ -51,7 +51,7 @@
 
 
 class ServerState(IntEnum):
-    """What the list says of a server."""
+    """State of a server in the list."""
 
     GONE = 0
     READY = 1
@@ -60,7 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of session."""
+    """One class of sessions. `aim`: ns within which its answers should come; `scale`: factor on the rungs' rates;
+    `seats`: most sessions of one title, 0 for no limit; `live`: viewers of a title share a stream.
+    """
 
     name: str
     aim: int
@@ -76,11 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a front is told at its start. Optional rules are None where the deployment has none.
+    """What a front is given at its start. Optional rules are None where the deployment has none.
 
-    `turn` is this front's number among `fronts` and what makes its clock (ns, added) one that all fronts
-    share, to within a connect's time; None where it knows no such thing. With it goes the promise that
-    whoever sends for the front asks a server first how long it is up, unless it heard from it just now."""
+    `turn` is this front's rank among `fronts` and the offset (ns) that, added to its clock, gives a clock that all
+    fronts share to within the connect timeout; None where there is none. Whoever sets it must also ask a server for
+    its uptime before a set-up, unless it has just heard from it.
+    """
 
     fronts: int
     zone: int
@@ -126,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A server's load report; a figure that is not reported, or is not a number, is None."""
+    """A server's load report. A figure that is missing or not a number is None."""
 
     link: float | None = None
     uplink: float | None = None
@@ -135,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the server list. `started` is 0 where the start was long ago."""
+    """One entry of the server list. `started` is 0 if the server started long ago."""
 
     server: int
     weight: float
@@ -148,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the server list."""
+    """The server list, or changes to it."""
 
     kind: int
     entries: tuple[ServerEntry, ...] = ()
@@ -156,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A viewer wants a session. `top` is the highest rung it can use, `hint` its rough length or None."""
+    """A viewer requests a session. `top` is the highest rung it can use, `hint` the expected length (ns) or None."""
 
     ref: int
     cls: int
@@ -172,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """At the start only: a session that plays already, as attempt 0, at `server`."""
+    """At the start only: a session that already plays at `server`, as attempt 0."""
 
     request: Request
     server: int
@@ -180,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A session plays."""
+    """A set-up succeeded and its session plays. `took`: ns."""
 
     ref: int
     attempt: int
@@ -190,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """News of a playing session's server."""
+    """A notice on a playing session from its server."""
 
     ref: int
     attempt: int
@@ -201,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The one end of an attempt. `over`: the request needs no further answer."""
+    """The end of an attempt; each attempt has exactly one. `over`: the request needs no further answer."""
 
     ref: int
     attempt: int
@@ -214,14 +217,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """The viewer left, or its answer is overdue; nothing is owed any more."""
+    """The viewer left, or its answer is overdue: the request needs no answer any more."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """A timer of the module's own has come due."""
+    """A timer set by SetTimer is due."""
 
     token: int
 
@@ -238,8 +241,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ways:
-    """What fronts agreed on for this one. `shares`: by class, (zone, share of its requests), the missing part is
-    refused at once; `caps`: by zone, the kB a second that its sessions may ask of servers there, None: no bound."""
+    """What zones agreed on for this front. `shares`: by class, (zone, share of its requests); the part missing to 1
+    is refused at once. `caps`: by zone, the kB a second that its sessions may ask of servers there, None: no limit.
+    """
 
     shares: tuple[tuple[tuple[int, float], ...], ...]
     caps: tuple[float | None, ...]
@@ -250,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Set the session up at a server; the attempt ends by itself at `not_past`."""
+    """Set the session up at a server; the attempt times out at `not_past`."""
 
     ref: int
     server: int
@@ -259,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """Set the rung of a session, before its send or while it plays."""
+    """Set the rung of a session, before it is sent or while it plays."""
 
     ref: int
     rung: int
@@ -267,7 +271,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: no; a new try does no harm, best after `retry_after` (0: no advice)."""
+    """Final answer: refused; the viewer may safely retry, after `retry_after` ns at best (0: no advice)."""
 
     ref: int
     retry_after: int
@@ -275,14 +279,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised of what happened."""
+    """Final answer: failed; the set-up may or may not have run."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     ref: int
     attempt: int
@@ -290,21 +294,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End a playing session so that it comes back to this front."""
+    """End a playing session so that the viewer requests it again from this front."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its load."""
+    """Request a load report from a server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Wake with this token at or after `at`."""
+    """Request a timer event with this token at or after `at`."""
 
     at: int
     token: int
@@ -319,7 +323,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
--- a/copperyard/settings.py
+++ b/copperyard/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings object, as the simulator's first message and a node's configuration hold it.
+"""Parses the platform's settings object, from the simulator's first message or a node's configuration.
 
-One place for the adapter and the node: both feed the same Controller with the same Settings. Standard library only,
-as the adapter has nothing else.
+Shared by the adapter and the node, which give the same Settings to the same Controller. Standard library only, as the
+adapter has no other packages.
 """
 
 from __future__ import annotations
@@ -14,77 +14,89 @@
 from . import interface as api
 
 
-class _Reader:
-    """Takes checked values out of the settings object; says which key is at fault."""
+class _ObjectReader:
+    """Reads checked values from a JSON object; errors name the key by its path."""
 
     def __init__(self, raw: dict[str, Any], path: str = "") -> None:
         self.raw, self.path = raw, path
 
-    def _fault(self, key: str, what: str) -> ValueError:
-        """Place, fault and value, on one line."""
-        told = f": {str(self.raw[key])[:60]!r}" if key in self.raw else ""
-        return ValueError(f"settings: {self.path}{key} {what}{told}")
+    def _error(self, key: str, fault: str) -> ValueError:
+        """An error with path, fault and value, on one line."""
+        shown = f": {str(self.raw[key])[:60]!r}" if key in self.raw else ""
+        return ValueError(f"settings: {self.path}{key} {fault}{shown}")
 
-    def part(self, key: str, optional: bool = False) -> _Reader:
+    def child(self, key: str, optional: bool = False) -> _ObjectReader:
+        """A reader of a nested object, an empty one if it is optional and missing."""
         value = self.raw.get(key, {} if optional else None)
         if not isinstance(value, dict):
-            raise self._fault(key, "is missing" if value is None else "is not an object")
-        return _Reader(value, f"{self.path}{key}.")
+            raise self._error(key, "is missing" if value is None else "is not an object")
+        return _ObjectReader(value, f"{self.path}{key}.")
 
-    def number(self, key: str, low: float = 0.0, default: float | None = None) -> float:
+    def number(self, key: str, minimum: float = 0.0, default: float | None = None) -> float:
+        """A finite number of at least `minimum`."""
         value = self.raw.get(key, default)
         if value is None:
-            raise self._fault(key, "is missing")
+            raise self._error(key, "is missing")
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            raise self._fault(key, "is not a number")
-        if value < low:
-            raise self._fault(key, f"is under {low:g}")
+            raise self._error(key, "is not a number")
+        if value < minimum:
+            raise self._error(key, f"is under {minimum:g}")
         return float(value)
 
-    def whole(self, key: str, low: int = 0, default: int | None = None) -> int:
-        value = self.number(key, low, default)
+    def integer(self, key: str, minimum: int = 0, default: int | None = None) -> int:
+        """A number as an integer; a fraction is cut off."""
+        value = self.number(key, minimum, default)
         raw = self.raw.get(key, default)
         return raw if isinstance(raw, int) else int(value)
 
     def flag(self, key: str, default: bool = False) -> bool:
+        """A JSON true or false."""
         value = self.raw.get(key, default)
         if not isinstance(value, bool):
-            raise self._fault(key, "is not true or false")
+            raise self._error(key, "is not true or false")
         return value
 
     def text(self, key: str, default: str) -> str:
+        """A string."""
         value = self.raw.get(key, default)
         if not isinstance(value, str):
-            raise self._fault(key, "is not a text")
+            raise self._error(key, "is not a text")
         return value
 
-    def items(self, key: str, default: list[Any] | None = None) -> list[Any]:
+    def array(self, key: str, default: list[Any] | None = None) -> list[Any]:
+        """A list of any values."""
         value = self.raw.get(key, default)
         if not isinstance(value, list):
-            raise self._fault(key, "is missing" if value is None else "is not a list")
+            raise self._error(key, "is missing" if value is None else "is not a list")
         return value
 
-    def numbers(self, key: str, low: float = 0.0, default: list[float] | None = None) -> tuple[float, ...]:
-        values = self.items(key, default)
+    def numbers(self, key: str, minimum: float = 0.0, default: list[float] | None = None) -> tuple[float, ...]:
+        """A list of finite numbers of at least `minimum`."""
+        values = self.array(key, default)
         for value in values:
-            if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < low:
-                raise self._fault(key, f"holds something that is not a number of {low:g} or more")
+            if (
+                isinstance(value, bool)
+                or not isinstance(value, int | float)
+                or not math.isfinite(value)
+                or value < minimum
+            ):
+                raise self._error(key, f"holds something that is not a number of {minimum:g} or more")
         return tuple(float(value) for value in values)
 
 
 _EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
 
 
-def _classes(top: _Reader, extra: _Reader, rungs: int) -> tuple[api.ClassSettings, ...]:
-    raw = top.items("classes")
-    n = len(raw)
-    if not n:
+def _classes(top: _ObjectReader, extra: _ObjectReader, rungs: int) -> tuple[api.ClassSettings, ...]:
+    raw = top.array("classes")
+    count = len(raw)
+    if not count:
         raise ValueError("settings: classes is empty")
-    floors = extra.numbers("floorByClass", default=[0.0] * n)
-    tops = extra.numbers("topByClass", default=[rungs - 1.0] * n)
-    scales = extra.numbers("scaleByClass", default=[1.0] * n)
-    seats = extra.numbers("classSeats", default=[0.0] * n)
-    live = extra.items("live", default=[False] * n)
+    floors = extra.numbers("floorByClass", default=[0.0] * count)
+    tops = extra.numbers("topByClass", default=[rungs - 1.0] * count)
+    scales = extra.numbers("scaleByClass", default=[1.0] * count)
+    seats = extra.numbers("classSeats", default=[0.0] * count)
+    live = extra.array("live", default=[False] * count)
     for key, column in (
         ("floorByClass", floors),
         ("topByClass", tops),
@@ -92,42 +104,42 @@
         ("classSeats", seats),
         ("live", live),
     ):
-        if len(column) != n:
-            raise ValueError(f"settings: extra.{key} has {len(column)} values for {n} classes")
-    found = []
-    for k in range(n):
-        if not isinstance(raw[k], dict):
-            raise ValueError(f"settings: classes[{k}] is not an object")
-        one = _Reader(raw[k], f"classes[{k}].")
-        effect = one.text("effect", "unsafe")
+        if len(column) != count:
+            raise ValueError(f"settings: extra.{key} has {len(column)} values for {count} classes")
+    classes = []
+    for index in range(count):
+        if not isinstance(raw[index], dict):
+            raise ValueError(f"settings: classes[{index}] is not an object")
+        reader = _ObjectReader(raw[index], f"classes[{index}].")
+        effect = reader.text("effect", "unsafe")
         if effect not in _EFFECTS:
-            raise ValueError(f"settings: classes[{k}].effect is unknown: {effect}")
-        if floors[k] >= rungs:
-            raise ValueError(f"settings: extra.floorByClass[{k}] is above the ladder")
-        if floors[k] > tops[k]:
-            raise ValueError(f"settings: extra.floorByClass[{k}] is above extra.topByClass")
-        if scales[k] <= 0:
-            raise ValueError(f"settings: extra.scaleByClass[{k}] is not above 0")
-        deadline = one.whole("hardLimit", 1)
-        found.append(
+            raise ValueError(f"settings: classes[{index}].effect is unknown: {effect}")
+        if floors[index] >= rungs:
+            raise ValueError(f"settings: extra.floorByClass[{index}] is above the ladder")
+        if floors[index] > tops[index]:
+            raise ValueError(f"settings: extra.floorByClass[{index}] is above extra.topByClass")
+        if scales[index] <= 0:
+            raise ValueError(f"settings: extra.scaleByClass[{index}] is not above 0")
+        deadline = reader.integer("hardLimit", 1)
+        classes.append(
             api.ClassSettings(
-                one.text("name", str(k)),
-                one.whole("aim", 1),
+                reader.text("name", str(index)),
+                reader.integer("aim", 1),
                 deadline,
-                one.number("credit", default=1.0),
+                reader.number("credit", default=1.0),
                 _EFFECTS[effect],
-                int(floors[k]),
-                min(int(tops[k]), rungs - 1),
-                scales[k],
-                int(seats[k]),
-                bool(live[k]),
+                int(floors[index]),
+                min(int(tops[index]), rungs - 1),
+                scales[index],
+                int(seats[index]),
+                bool(live[index]),
             )
         )
-    return tuple(found)
+    return tuple(classes)
 
 
 def parse_options(options: bytes) -> dict[str, Any]:
-    """The settings object out of its text."""
+    """Decode the settings object from JSON; ValueError if it is not an object."""
     try:
         raw = json.loads(options.decode("utf-8"))
     except (UnicodeDecodeError, ValueError, RecursionError) as error:
@@ -138,10 +150,10 @@
 
 
 def parse_settings(raw: dict[str, Any]) -> api.Settings:
-    """The settings object as Settings; ValueError names the key that is missing or wrong."""
-    top = _Reader(raw)
-    extra, ceilings, contract = top.part("extra"), top.part("ceilings"), top.part("contract")
-    penalties, reporting = top.part("penalties", True), top.part("reporting", True)
+    """Build Settings from the settings object; ValueError names the key that is missing or wrong."""
+    top = _ObjectReader(raw)
+    extra, ceilings, contract = top.child("extra"), top.child("ceilings"), top.child("contract")
+    penalties, reporting = top.child("penalties", True), top.child("reporting", True)
     rung_kb = extra.numbers("rungKb")
     worth = extra.numbers("levelWorth")
     if not rung_kb or len(worth) != len(rung_kb):
@@ -152,45 +164,45 @@
     if not places:
         raise ValueError("settings: extra.placesByKind is empty")
     budgeted = "freeResends" in contract.raw or "furtherRatio" in contract.raw
-    columns = reporting.items("columns", default=[])
+    columns = reporting.array("columns", default=[])
     via = reporting.text("via", "silent")
     mode = top.text("membershipMode", "automatic")
     if mode not in ("automatic", "subscribe"):
         raise ValueError(f"settings: membershipMode is unknown: {mode}")
     return api.Settings(
-        fronts=top.whole("balancers", 1),
-        zone=top.whole("locality", default=0),
-        tick=top.whole("tick", 1),
+        fronts=top.integer("balancers", 1),
+        zone=top.integer("locality", default=0),
+        tick=top.integer("tick", 1),
         classes=_classes(top, extra, len(rung_kb)),
         rung_kb=rung_kb,
         rung_worth=worth,
-        cells=extra.whole("positions", 1),
-        racks=extra.whole("shelves", 1, 1),
+        cells=extra.integer("positions", 1),
+        racks=extra.integer("shelves", 1, 1),
         uplink_kb=extra.number("rackKb", default=0.0),
         weight_kb=extra.number("kbPerWeight", 1e-9),
         places_by_kind=tuple(int(p) for p in places),
         full_from=extra.number("fullFrom", default=0.0),
         join_adds=extra.number("joinAdds", default=1.0),
-        told_late=extra.whole("toldLate", default=0),
-        told_every=extra.whole("toldEvery", default=0),
+        told_late=extra.integer("toldLate", default=0),
+        told_every=extra.integer("toldEvery", default=0),
         shortfall_cost=extra.number("shortfallCost", default=0.0),
         switch_s=extra.number("switchS", default=0.0),
-        max_attempts=ceilings.whole("maxAttempts", 1),
-        max_retry_after=ceilings.whole("maxRetryAfter", default=0),
+        max_attempts=ceilings.integer("maxAttempts", 1),
+        max_retry_after=ceilings.integer("maxRetryAfter", default=0),
         retry_after=ceilings.flag("retryAfter"),
         probes=ceilings.flag("probes"),
         cancelling=ceilings.flag("cancelling"),
-        connect_timeout=ceilings.whole("connectTimeout", default=0),
+        connect_timeout=ceilings.integer("connectTimeout", default=0),
         subscribe=mode == "subscribe",
-        ask_every=contract.whole("askEvery", default=0),
+        ask_every=contract.integer("askEvery", default=0),
         cold_from=contract.number("coldFrom", default=0.0),
-        warm_within=contract.whole("warmWithin", default=0),
-        drain_grace=contract.whole("drainGrace", default=0),
+        warm_within=contract.integer("warmWithin", default=0),
+        drain_grace=contract.integer("drainGrace", default=0),
         fall_multiple=contract.number("fallMultiple", default=1.0),
-        fall=contract.whole("fall", default=0),
+        fall=contract.integer("fall", default=0),
         free_resends=contract.number("freeResends", default=0.0) if budgeted else None,
         further_ratio=contract.number("furtherRatio", default=0.0),
-        ratio_span=contract.whole("ratioSpan", 1 if budgeted else 0, None if budgeted else 0),
+        ratio_span=contract.integer("ratioSpan", 1 if budgeted else 0, None if budgeted else 0),
         price_cross_zone=penalties.number("crossZone", default=0.0),
         price_late_fail=penalties.number("lateFail", default=0.0),
         price_move=penalties.number("moves", default=0.0),
@@ -201,20 +213,20 @@
 
 
 def report_columns(raw: dict[str, Any]) -> tuple[str, ...]:
-    """The names of the report's values, in order."""
+    """The names of the columns of load reports, in order."""
     columns = raw.get("reporting", {}).get("columns", [])
     return tuple(str(name) for name in columns)
 
 
-def report_of(figures: dict[str, float]) -> api.Report:
-    """A load report by its columns' names; what is no number counts as not reported."""
-    known = {name: value for name, value in figures.items() if math.isfinite(value)}
-    return api.Report(known.get("x0", known.get("busy")), known.get("x1"), known.get("rif"))
+def report_of(values: dict[str, float]) -> api.Report:
+    """Build a load report from values by column name; a value that is not finite counts as missing."""
+    numbers = {name: value for name, value in values.items() if math.isfinite(value)}
+    return api.Report(numbers.get("x0", numbers.get("busy")), numbers.get("x1"), numbers.get("rif"))
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """What of the settings object concerns sockets and names: `streams` set-ups on one connection, `held` sessions."""
+    """Limits and names that only a node needs: set-ups on one connection (`streams`) and sessions (`held`)."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -224,14 +236,14 @@
 
 
 def parse_platform(raw: dict[str, Any]) -> Platform:
-    """The part that the module does not need; ValueError names the key that is wrong."""
-    top = _Reader(raw)
-    ceilings = top.part("ceilings")
-    zones, kinds = top.items("zones", default=[]), top.items("kinds", default=[])
+    """Build Platform from the settings object; ValueError names the key that is missing or wrong."""
+    top = _ObjectReader(raw)
+    ceilings = top.child("ceilings")
+    zones, kinds = top.array("zones", default=[]), top.array("kinds", default=[])
     return Platform(
         tuple(map(str, zones)),
         tuple(map(str, kinds)),
         report_columns(raw),
-        ceilings.whole("streamsPerConn", 1, 1 << 20),
-        ceilings.whole("mostHeld", 1, 1 << 20),
+        ceilings.integer("streamsPerConn", 1, 1 << 20),
+        ceilings.integer("mostHeld", 1, 1 << 20),
     )
--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -64,7 +64,7 @@
 
 
 def decode(*records):
-    return list(wire.Decoder().batch(b"".join(records), len(records)))
+    return list(wire.Decoder().decode(b"".join(records), len(records)))
 
 
 def create(options, front=3):
@@ -96,7 +96,7 @@
     decoder = wire.Decoder()
     decoder.columns[3] = ("x0", "new", "x1")
     data = struct.pack("<HQBIBQBB3f", 3, 77, 0, 9, 1, MS, 1, 3, 0.5, 8.0, float("nan"))
-    assert list(decoder.batch(record(5, data), 1)) == [
+    assert list(decoder.decode(record(5, data), 1)) == [
         (3, api.Outcome(77, 0, 9, 1, MS, True, api.Report(0.5, None, None)))
     ]
     assert decode(record(5, struct.pack("<HQBIBQBB", 3, 77, 0, 9, 4, MS, 0, 0))) == [
@@ -140,8 +140,8 @@
     ],
 )
 def test_malformed_records(body):
-    with pytest.raises(wire.MalformedFrame):
-        list(wire.Decoder().batch(body, 1))
+    with pytest.raises(wire.MalformedFrameError):
+        list(wire.Decoder().decode(body, 1))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import random
 
 from copperyard import interface as api
-from copperyard.decide import DRAWS, Controller, Server
+from copperyard.decide import MAX_DRAWS, Controller, Server
 from tests.helpers import MS, SECOND, entry, only, request, sends, settings
 
 WARM, FALL = 12 * SECOND, 3 * SECOND
@@ -97,7 +97,7 @@
         looked.clear()
         one.handle(2 * SECOND, request(900, home=0, holders=servers))
         most[servers] = len(looked)
-    assert most[2000] <= most[200] <= (DRAWS + 2) * 4
+    assert most[2000] <= most[200] <= (MAX_DRAWS + 2) * 4
     assert one.held
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,7 +6,7 @@
 
 def spoil(one, now, ref, code, server=0):
     """One attempt at `server` that ends in `code`, for a title that played before."""
-    one._played(ref)
+    one._remember_title(ref)
     sent = sends(one.handle(now, request(ref, home=server, holders=1, title=ref)))
     if not sent:
         return False
@@ -22,7 +22,7 @@
         if code in (api.Code.TIMEOUT, api.Code.RESET):  # once, that may be a lost answer
             assert 0 < one.servers[0].bad < 0.2
             assert spoil(one, 3 * SECOND, 2, code)
-        after = one.servers[0].retest - 100 * MS
+        after = one.servers[0].next_trial_at - 100 * MS
         won = {sends(one.handle(after, request(k, title=k, top=0)))[0].server for k in range(10, 18)}
         assert 0 not in won, code
 
@@ -43,8 +43,8 @@
         one.handle(k * SECOND + MS, api.Outcome(k, 0, sent[0].server, api.Code.ERROR, MS, True))
     assert one.servers[0].bad == 0
     for k in range(5000):  # what is remembered of titles is bounded
-        one._played(k)
-    assert len(one.titles) <= 4096
+        one._remember_title(k)
+    assert len(one.played_titles) <= 4096
 
 
 def test_trials_are_single_and_rare():
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -190,21 +190,21 @@
     calm = mark(0)
     server.link.seen_at = 0
     stale = one._mark(20 * SECOND, one.set.classes[0], 2, 1.0, server)
-    one.short = 0
+    one.no_room_at = 0
     marks = [mark(at) for at in (0, 7, 60)]
     assert stale <= marks[0] + 0.01 and marks[0] < marks[1] < marks[2] <= calm and calm - marks[2] < 0.01
-    one.credit = 0.0  # it cannot look: it decides on what it has
+    one.probe_credit = 0.0  # it cannot look: it decides on what it has
     for k in range(2, 40):  # more than the link holds: the last ones wait, and the reserve is back
         one.handle(100 * SECOND, request(k, home=0, holders=1, title=k))
         one.handle(100 * SECOND, api.Probed(0, api.Code.OK, MS, api.Report(0.97, 0.5)))
-    assert one.held and one.short == 100 * SECOND
+    assert one.held and one.no_room_at == 100 * SECOND
     blind = front(weight_kb=1000.0)
     assert blind._spread(0, blind.servers[0]) == blind._spread(1 << 50, blind.servers[0])
 
 
 def test_a_cold_server_gets_its_share_though_held_ones_are_looked_at_rarely():
     """Wide servers: a set-up every 128 ms is this front's, held ones are looked at every 250 ms."""
-    from copperyard.decide import PUMP
+    from copperyard.decide import HOLD_RETRY_INTERVAL
 
     one = front(
         fronts=2,
@@ -221,9 +221,9 @@
     for k in range(60):
         sent += [now] * len(sends(one.handle(now, request(k, home=0, holders=1, title=k, deadline=60 * SECOND))))
     while now < 10 * SECOND:
-        now += PUMP
+        now += HOLD_RETRY_INTERVAL
         sent += [now] * len(sends(one.handle(now, api.Wake(0))))
-    gap = one._gap(one.servers[0]) / SECOND
+    gap = one._cold_interval(one.servers[0]) / SECOND
     assert 0.12 < gap < 0.14
     most = max(sum(1 for t in sent if at <= t < at + 3 * SECOND) for at in sent)
     assert 0.85 * 3 / gap < most <= 3.25 / gap + 1  # this front's half of half the budget, and no more
@@ -297,12 +297,12 @@
 def test_full_answers_and_short_notes_do_not_stand_for_the_fleet():
     """They come only from links that are full; a front that took them for the mean would hold everything."""
     one = front(fronts=80)
-    before = one.links.value
+    before = one.link_mean.value
     server = play(one, 1, home=0, holders=1)
     one.handle(2 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5))
     sent = sends(one.handle(3 * SECOND, request(2, home=1, holders=1)))
     one.handle(3 * SECOND, api.Outcome(2, 0, sent[0].server, api.Code.FULL, MS, False))
-    assert one.links.value == before
+    assert one.link_mean.value == before
 
 
 def test_where_notes_should_come_a_probe_is_sent_only_once_evidence_is_old():
@@ -330,9 +330,9 @@
     for k in range(100):  # 20 a second, far over its share of a cold server
         assert sends(one.handle(SECOND + k * 50 * MS, request(k, home=0, holders=1, title=k)))
     now = SECOND + 5 * SECOND
-    assert one.servers[0].due <= now + one._gap(one.servers[0])
-    one.servers[0].lost = now
-    later = now + one._gap(one.servers[0])
+    assert one.servers[0].next_cold_at <= now + one._cold_interval(one.servers[0])
+    one.servers[0].failed_at = now
+    later = now + one._cold_interval(one.servers[0])
     assert sends(one.handle(later, request(200, home=0, holders=1, title=200)))
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -232,7 +232,7 @@
         rng, log = random.Random(seed), []
         for _ in range(80):
             world.act(rng.randrange(23))
-            log.extend(world.front.out)
+            log.extend(world.front.actions)
         return log
 
     assert day() == day()
