--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec by hand-made frames, the settings, and the loop over standard input and output."""
+"""The codec on hand-made frames, the settings, and the loop over standard input and output."""
 
 import io
 import json
@@ -232,7 +232,7 @@
     assert records[0][0] == 76 and b"tick is missing" in records[0][1]
 
 
-def test_an_exception_of_the_module_ends_as_bail_out(monkeypatch):
+def test_an_exception_in_the_module_ends_as_bail_out(monkeypatch):
     def broken(self, now, event):
         raise KeyError("gone")
 
@@ -249,8 +249,8 @@
     assert done.stderr.count(b"\n") == 1 and b"malformed frame" in done.stderr
 
 
-def test_instances_are_separate_and_repeatable():
-    def day(front):
+def test_fronts_are_independent_and_repeatable():
+    def records_of(front):
         member = record(2, struct.pack("<HQHB", front, 41, 0, 4))
         asked = [
             record(3, struct.pack("<HQBfQIQQffBQ", front, k, 0, 1.0, 9 * 10**9, 0, 5, k, 3.0, 1.0, 0, 8))
@@ -258,6 +258,6 @@
         ]
         return [create(changed("extra.x", 1), front), table(0, 1, 2, 3), member, *asked]
 
-    together = reply_records(run(frame(10, *day(3), *day(4))))[1]
-    alone = reply_records(run(frame(10, *day(3))))[1] + reply_records(run(frame(10, *day(4))))[1]
+    together = reply_records(run(frame(10, *records_of(3), *records_of(4))))[1]
+    alone = reply_records(run(frame(10, *records_of(3))))[1] + reply_records(run(frame(10, *records_of(4))))[1]
     assert together == alone
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Drawn examples are the same ones in every run."""
+"""Makes hypothesis generate the same examples in every run."""
 
 from hypothesis import settings
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small fleet of round figures for tests of the module without the bench."""
+"""A small fleet with round figures, for tests of the decision module without the simulator."""
 
 from __future__ import annotations
 
@@ -76,11 +76,11 @@
 
 
 def front(**changes: Any) -> Controller:
-    """A front with four known servers that started long before it, playing one session far off."""
-    one = Controller(settings(**changes), 5)
-    one.handle(0, full_list())
-    one.handle(0, api.Carried(request(1 << 40, home=3, holders=1, title=99), 3))
-    return one
+    """A front that knows four servers, all warm, and has one carried session at server 3."""
+    controller = Controller(settings(**changes), 5)
+    controller.handle(0, full_list())
+    controller.handle(0, api.Carried(request(1 << 40, home=3, holders=1, title=99), 3))
+    return controller
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""Limits on the decision module, and what the README shows."""
+"""Limits on the decision module, and the example in the README."""
 
 import ast
 import re
@@ -12,7 +12,7 @@
     assert max(len(line) for line in MODULE.splitlines()) <= 120
 
 
-def test_the_module_imports_nothing_that_reads_the_world():
+def test_the_module_imports_nothing_that_reads_clocks_files_or_sockets():
     names = {n.name for node in ast.walk(ast.parse(MODULE)) if isinstance(node, ast.Import) for n in node.names}
     names |= {str(node.module) for node in ast.walk(ast.parse(MODULE)) if isinstance(node, ast.ImportFrom)}
     assert names <= {
@@ -32,6 +32,6 @@
 def test_the_example_in_the_readme_runs():
     example = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert example is not None
-    scope: dict[str, object] = {}
-    exec(example.group(1), scope)
-    assert scope["sent"]
+    namespace: dict[str, object] = {}
+    exec(example.group(1), namespace)
+    assert namespace["sent"]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal event sequences: the six rules are checked on the actions."""
+"""Arbitrary legal event sequences; the six rules are checked on the actions."""
 
 import random
 from dataclasses import replace
@@ -12,7 +12,7 @@
 from tests.helpers import settings as make
 
 KEYED = replace(SAFE, effect=api.Effect.KEYED, name="keyed")
-PROVES = (api.Code.FULL, api.Code.CONNECT_FAILED, api.Code.MOOT)
+NOT_RUN = (api.Code.FULL, api.Code.CONNECT_FAILED, api.Code.MOOT)
 VARIANTS = [
     {},
     {"probes": True, "reports_in_answers": False},
@@ -31,7 +31,7 @@
 
 
 class World:
-    """A legal world around one front: it keeps what it was told and sent, and checks each action."""
+    """A legal environment of one front. It records the events and actions, and checks each action."""
 
     def __init__(self, seed, changes):
         self.settings = make(classes=(SAFE, PAID, LIVE, KEYED), **changes)
@@ -43,67 +43,69 @@
     def restart(self):
         self.seed += 1
         self.front = Controller(self.settings, self.seed)
-        self.open, self.out, self.playing, self.rung = {}, {}, {}, {}
-        self.attempts, self.ran, self.timers = {}, {}, []
-        self.told_off, self.cold, self.sent = {}, {}, {}
-        self.taken, self.again = [], []
+        self.open, self.pending, self.playing, self.rung = {}, {}, {}, {}
+        self.attempts, self.may_have_run, self.timers = {}, {}, []
+        self.closed, self.cold_since, self.sent = {}, {}, {}
+        self.request_times, self.retry_times = [], []
         self.seats = {}
         self.start = self.now
-        self.give(api.ServerList(api.ListKind.CACHED, tuple(self.servers.values())))
+        self.feed(api.ServerList(api.ListKind.CACHED, tuple(self.servers.values())))
 
-    def give(self, event):
+    def feed(self, event):
         if isinstance(event, api.ServerList) and event.kind != api.ListKind.FAILED:
-            named = {e.server: e for e in event.entries}
+            listed = {e.server: e for e in event.entries}
             if event.kind != api.ListKind.DELTA:
                 for k in self.servers:
-                    if k not in named:
-                        self.told_off[k] = True
-            for k, e in named.items():
-                self.told_off[k] = e.state != api.ServerState.READY
+                    if k not in listed:
+                        self.closed[k] = True
+            for k, e in listed.items():
+                self.closed[k] = e.state != api.ServerState.READY
                 if e.started:
-                    self.cold[k] = e.started
+                    self.cold_since[k] = e.started
         for action in self.front.handle(self.now, event):
             self.check(action)
 
     def check(self, a):
         s = self.settings
         if isinstance(a, api.Send):
-            r = self.open[a.ref]  # an open request that this front was given
+            r = self.open[a.ref]  # an open request of this front
             kind = s.classes[r.cls]
-            assert a.ref not in self.out, "two attempts at once"
+            assert a.ref not in self.pending, "two attempts at once"
             assert a.ref not in self.playing
-            assert not self.told_off.get(a.server, True), "sent to a drained, gone or unknown server"
+            assert not self.closed.get(a.server, True), "sent to a drained, gone or unknown server"
             assert (self.servers[a.server].cell - r.home) % s.cells < r.holders, "not a holder"
             assert self.attempts.get(a.ref, 0) < s.max_attempts
-            assert not (self.ran.get(a.ref) and kind.effect != api.Effect.SAFE), "a set-up twice"
+            assert not (
+                self.may_have_run.get(a.ref) and kind.effect != api.Effect.SAFE
+            ), "a set-up sent again though it may have run"
             assert kind.floor <= self.rung.get(a.ref, kind.floor) <= r.top
             assert self.now < a.not_past < min(r.deadline, self.began[a.ref] + kind.deadline)
             if self.attempts.get(a.ref, 0) and s.free_resends is not None:
                 since = self.now - s.ratio_span
-                self.again = [t for t in self.again if t > since] + [self.now]
-                taken = sum(t > since for t in self.taken)
-                assert len(self.again) <= s.free_resends + s.further_ratio * taken, "retry budget"
+                self.retry_times = [t for t in self.retry_times if t > since] + [self.now]
+                requests = sum(t > since for t in self.request_times)
+                assert len(self.retry_times) <= s.free_resends + s.further_ratio * requests, "retry budget"
             seat = (r.cls, r.title)
             self.seats[seat] = self.seats.get(seat, 0) + 1
             assert not kind.seats or self.seats[seat] <= kind.seats, "seats"
-            start = self.cold.get(a.server)
+            start = self.cold_since.get(a.server)
             sent = self.sent.setdefault(a.server, [])
             sent.append(self.now)
             if start is not None and self.now < start + s.warm_within:
                 budget = s.fall_multiple * 20 / s.warm_within * s.cold_from * s.fall / s.fronts
                 recent = [t for t in sent if t >= max(start, self.now - s.fall)]
-                assert len(recent) <= max(1.0, budget), "a cold server pushed over"
+                assert len(recent) <= max(1.0, budget), "over the budget of a cold server"
             n = self.attempts[a.ref] = self.attempts.get(a.ref, 0) + 1
-            self.out[a.ref] = (n - 1, a.server, a.not_past)
+            self.pending[a.ref] = (n - 1, a.server, a.not_past)
         elif isinstance(a, api.Rate):
             kind = s.classes[(self.open.get(a.ref) or self.playing[a.ref][0]).cls]
             assert kind.floor <= a.rung <= min(kind.top, (self.open.get(a.ref) or self.playing[a.ref][0]).top)
             self.rung[a.ref] = a.rung
         elif isinstance(a, api.Refuse | api.Fail):
-            r = self.open.pop(a.ref)  # once, and only while owed
-            assert a.ref not in self.out
+            r = self.open.pop(a.ref)  # once, and only while it is open
+            assert a.ref not in self.pending
             if isinstance(a, api.Refuse):
-                assert not (self.ran.get(a.ref) and s.classes[r.cls].effect != api.Effect.SAFE)
+                assert not (self.may_have_run.get(a.ref) and s.classes[r.cls].effect != api.Effect.SAFE)
                 assert 0 <= a.retry_after <= s.max_retry_after
         elif isinstance(a, api.SetTimer):
             self.timers.append((a.at, a.token))
@@ -113,28 +115,28 @@
             assert isinstance(a, api.Log | api.Watch)
 
     def advance(self, step):
-        """Move time on; due timers fire and attempts at their limit time out."""
+        """Advance the clock; timers that are due fire, and attempts at their limit time out."""
         end = self.now + step
         while self.now < end:
             self.now += min(50 * MS, end - self.now)
-            for ref, (n, server, limit) in list(self.out.items()):
+            for ref, (n, server, limit) in list(self.pending.items()):
                 if limit <= self.now:
                     self.finish(ref, n, server, api.Code.TIMEOUT)
             due = [t for t in self.timers if t[0] <= self.now]
             self.timers = [t for t in self.timers if t[0] > self.now]
             for _, token in due:
-                self.give(api.Wake(token))
+                self.feed(api.Wake(token))
             slack = 40 * MS + 50 * MS
             for ref, r in self.open.items():
                 last = min(r.deadline, self.began[ref] + self.settings.classes[r.cls].deadline)
-                assert ref in self.out or self.now < last + slack, "not answered in time"
+                assert ref in self.pending or self.now < last + slack, "not answered in time"
 
     def finish(self, ref, n, server, code):
-        del self.out[ref]
+        del self.pending[ref]
         r = self.open[ref]
         self.seats[(r.cls, r.title)] -= 1
-        self.ran[ref] = self.ran.get(ref) or code not in PROVES
-        self.give(api.Outcome(ref, n, server, code, MS, False, self.report()))
+        self.may_have_run[ref] = self.may_have_run.get(ref) or code not in NOT_RUN
+        self.feed(api.Outcome(ref, n, server, code, MS, False, self.report()))
 
     def report(self):
         value = self.rng.choice([None, 0.0, 0.3, 0.9, 1.1, 50.0, -3.0, float("nan"), float("inf")])
@@ -156,46 +158,46 @@
         )
         self.open[self.ref] = r
         self.began = {**getattr(self, "began", {}), self.ref: self.now}
-        self.taken.append(self.now)
-        self.give(r)
+        self.request_times.append(self.now)
+        self.feed(r)
 
     def act(self, op):
-        rng, out, playing = self.rng, list(self.out.items()), list(self.playing.items())
+        rng, pending, playing = self.rng, list(self.pending.items()), list(self.playing.items())
         if op == 0:
-            for _ in range(4):  # a crowd for one title of the class with seats
+            for _ in range(4):  # several requests for one title of the class with seats
                 self.request(crowd=True)
         elif op <= 4:
             self.request()
-        elif op <= 6 and out:
-            ref, (n, server, _) = rng.choice(out)
+        elif op <= 6 and pending:
+            ref, (n, server, _) = rng.choice(pending)
             self.playing[ref] = (self.open.pop(ref), n, server)
-            del self.out[ref]
-            self.give(api.Opened(ref, n, server, rng.randrange(SECOND)))
-        elif op <= 8 and out:
-            ref, (n, server, _) = rng.choice(out)
+            del self.pending[ref]
+            self.feed(api.Opened(ref, n, server, rng.randrange(SECOND)))
+        elif op <= 8 and pending:
+            ref, (n, server, _) = rng.choice(pending)
             self.finish(ref, n, server, rng.choice([2, 3, 4, 5, 6, 8]))
         elif op == 9 and playing:
             ref, (r, n, server) = rng.choice(playing)
             if rng.random() < 0.3:
-                self.give(api.Left(ref))
+                self.feed(api.Left(ref))
             self.seats[(r.cls, r.title)] -= 1
             del self.playing[ref]
-            self.give(api.Outcome(ref, n, server, rng.choice([1, 6, 7]), SECOND, True, self.report()))
+            self.feed(api.Outcome(ref, n, server, rng.choice([1, 6, 7]), SECOND, True, self.report()))
         elif op == 10 and playing:
             ref, (_, n, server) = rng.choice(playing)
             value = rng.choice([0.0, 0.1, 0.5, 0.9, 1.0, 1.7, -1.0, float("nan"), float("inf")])
-            self.give(api.Note(ref, n, server, rng.choice([1, 3, 4, 7]), value))
+            self.feed(api.Note(ref, n, server, rng.choice([1, 3, 4, 7]), value))
         elif op == 11:
             k = rng.randrange(4)
             started = rng.choice([self.servers[k].started, self.now])
             self.servers[k] = replace(self.servers[k], state=rng.choice([0, 1, 1, 1, 2, 7]), started=started)
-            self.give(api.ServerList(api.ListKind.DELTA, (self.servers[k],)))
+            self.feed(api.ServerList(api.ListKind.DELTA, (self.servers[k],)))
         elif op == 12:
             kept = [e for e in self.servers.values() if rng.random() < 0.8]
-            self.give(api.ServerList(rng.choice([0, 2, 4]), tuple(kept)))
+            self.feed(api.ServerList(rng.choice([0, 2, 4]), tuple(kept)))
         elif op == 13:
             k = rng.randrange(4)
-            self.give(api.Probed(k, rng.choice([1, 4, 5]), MS, self.report()))
+            self.feed(api.Probed(k, rng.choice([1, 4, 5]), MS, self.report()))
         elif op == 14:
             for event in (
                 api.Left(10**6),
@@ -204,7 +206,7 @@
                 api.Note(10**6, 0, 77, 1, 0.5),
                 api.Wake(10**9),
             ):
-                self.give(event)
+                self.feed(event)
         elif op == 15 and rng.random() < 0.2:
             self.restart()
         else:
@@ -227,7 +229,7 @@
 
 @given(seed=st.integers(0, 10**6))
 def test_the_same_events_give_the_same_actions(seed):
-    def day():
+    def run():
         world = World(seed, VARIANTS[seed % len(VARIANTS)])
         rng, log = random.Random(seed), []
         for _ in range(80):
@@ -235,4 +237,4 @@
             log.extend(world.front.actions)
         return log
 
-    assert day() == day()
+    assert run() == run()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings object out of range: one line that names place and value, and the program ends with 2."""
+"""Invalid settings objects: one line that names the key and its value, and the program exits with 2."""
 
 import copy
 import json
@@ -13,7 +13,7 @@
 from tests.control.node.helpers import OPTIONS
 from tests.gateway.node.test_node import config
 
-WRONG = [
+INVALID = [
     (("balancers",), 0, "settings: balancers is under 1: '0'"),
     (("balancers",), "three", "settings: balancers is not a number: 'three'"),
     (("tick",), None, "settings: tick is missing"),
@@ -55,8 +55,10 @@
     return raw
 
 
-@pytest.mark.parametrize("place, value, text", WRONG, ids=[".".join(map(str, one[0])) + f"={one[1]}" for one in WRONG])
-def test_what_is_out_of_range_is_named_with_its_value(place, value, text):
+@pytest.mark.parametrize(
+    "place, value, text", INVALID, ids=[".".join(map(str, one[0])) + f"={one[1]}" for one in INVALID]
+)
+def test_an_invalid_value_is_named_with_its_key(place, value, text):
     raw = changed(place, value)
     with pytest.raises(ValueError) as caught:
         parse_settings(raw)
@@ -64,7 +66,7 @@
     assert str(caught.value) == text and "\n" not in text
 
 
-def test_the_program_ends_with_one_line(tmp_path):
+def test_the_program_exits_with_one_line(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(settings=changed(("extra", "rungKb"), [300.0, 100.0]))))
     environ = {**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:0", "NODE_CONFIG": str(path)}
@@ -79,7 +81,7 @@
     assert done.returncode == 2 and done.stderr == "copperyard node: settings: extra.rungKb does not rise\n"
 
 
-def test_what_the_documents_let_out_may_be_absent():
+def test_optional_keys_may_be_absent():
     raw = copy.deepcopy(OPTIONS)
     for place in (
         ("contract", "freeResends"),
@@ -103,7 +105,7 @@
     assert parse_platform(raw).zones == ()
 
 
-def test_new_keys_are_passed_over():
+def test_unknown_keys_are_ignored():
     raw = copy.deepcopy(OPTIONS)
     raw["something"] = {"new": 1}
     raw["classes"][0]["something"] = "new"
