--- a/copperyard/decide.py
+++ b/copperyard/decide.py
@@ -817,8 +817,8 @@
         return ADMISSION_MARK - RAISE_SPREAD_RATIO * self._spread(now, server)
 
     def _raise(self, now: int, server: Server) -> None:
-        """Raise the step that gains most worth per kB, with this front's share of the room, as a part of the step's
-        kB, as the probability.
+        """Take the step up that gains most worth per kB and fits, with a probability: this front's share of the room
+        over the kB of the step.
         """
         mark = self._raise_mark(now, server)
         room = min(
--- a/copperyard/interface.py
+++ b/copperyard/interface.py
@@ -60,8 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of sessions. `aim`: ns within which its answers should come; `scale`: factor on the rungs' rates;
-    `seats`: most sessions of one title, 0 for no limit; `live`: viewers of a title share a stream.
+    """One class of sessions.
+
+    `aim`: ns within which its answers should come; `scale`: factor on the rungs' rates; `seats`: most sessions of one
+    title, 0 for no limit; `live`: viewers of a title share a stream.
     """
 
     name: str
@@ -80,9 +82,9 @@
 class Settings:
     """What a front is given at its start. Optional rules are None where the deployment has none.
 
-    `turn` is this front's rank among `fronts` and the offset (ns) that, added to its clock, gives a clock that all
-    fronts share to within the connect timeout; None where there is none. Whoever sets it must also ask a server for
-    its uptime before a set-up, unless it has just heard from it.
+    `turn` is this front's rank among `fronts` and the offset (ns) that, added to its clock, gives a clock
+    that all fronts share to within the connect timeout; None where there is none. Whoever sets it must also ask a
+    server for its uptime before a set-up, unless it has just heard from it.
     """
 
     fronts: int
--- a/copperyard/settings.py
+++ b/copperyard/settings.py
@@ -226,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Limits and names that only a node needs: set-ups on one connection (`streams`) and sessions (`held`)."""
+    """Names and limits for a node: set-ups on one connection (`streams`) and sessions (`held`)."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
