--- a/copperyard/decide.py
+++ b/copperyard/decide.py
@@ -63,9 +63,8 @@
 # Rung changes and retries of held sessions.
 STEP_INTERVAL = 2 * SECOND  # least time between two steps of a session; the paper's 5 s suits longer sessions
 HOLD_RETRY_INTERVAL = 250 * MS  # held sessions are retried this often, and whenever a session ends
-MAX_HELD_SCAN = (
-    16  # held sessions retried when a session ends, to bound the cost of an event; also caps the probe credit
-)
+# Held sessions retried when a session ends, to bound the cost of an event. Also caps the probe credit.
+MAX_HELD_SCAN = 16
 MAX_DRAWS = 8  # holders considered for one request, so that its cost does not grow with the fleet
 
 # Evidence of load: reports, notices and probe results.
