--- a/tests/gateway/node/sockets.py
+++ b/tests/gateway/node/sockets.py
@@ -19,8 +19,8 @@
 
 from copperyard.gateway.net import TcpNetwork
 from copperyard.gateway.node.daemon import Node
-from copperyard.gateway.node.place import parse_place
-from copperyard.protocol.node.messages import Kind
+from copperyard.gateway.node.place import parse_config
+from copperyard.protocol.node.messages import MessageKind
 from copperyard.protocol.rtsp import Connection
 from tests.control.node.helpers import LIMITS, MS, OPTIONS, answer, messages, release
 
@@ -102,11 +102,11 @@
 
     @property
     def setups(self):
-        return [session for kind, session, _ in self.got if kind == Kind.SETUP]
+        return [session for kind, session, _ in self.got if kind == MessageKind.SETUP]
 
     @property
     def releases(self):
-        return [session for kind, session, _ in self.got if kind == Kind.RELEASE]
+        return [session for kind, session, _ in self.got if kind == MessageKind.RELEASE]
 
     async def run(self, nursery):
         while True:
@@ -130,7 +130,7 @@
                     end = 2 + int.from_bytes(data[:2], "big")
                     (one,), data = messages(data[:end]), data[end:]
                     self.got.append(one)
-                    back = self.says(one[1]) if one[0] == Kind.SETUP else None
+                    back = self.says(one[1]) if one[0] == MessageKind.SETUP else None
                     if back:
                         back, mark, how = back.partition(b"!")
                         async with self.lock:
@@ -220,7 +220,7 @@
             "dns": f"127.0.0.1:{self.names.getsockname()[1]}",
             "known": {"n": 1, "events": [{"members": {"complete": True, "members": members}}]},
         }
-        place = parse_place("n0", "127.0.0.1:0", self.config)
+        place = parse_config("n0", "127.0.0.1:0", self.config)
         self.node = Node(place, self.network, lambda event, fields: self.lines.append((event, dict(fields))))
 
     async def start(self):
@@ -253,10 +253,10 @@
 
     def is_clean(self):
         """Nothing is held for anybody, neither in the ledger nor in a seat."""
-        core, module = self.node.core, self.node.core.module
+        core, module = self.node.core, self.node.core.controller
         return not (
             core.sessions
-            or core.by_id
+            or core.sessions_by_id
             or module.sessions
             or module.held
             or module.seats
--- a/tests/gateway/node/test_end.py
+++ b/tests/gateway/node/test_end.py
@@ -24,7 +24,7 @@
         half.send(setup(sid(2))[:40])
         stands.send(PING)
         assert await stands.answers(1) == [200]
-        world.nursery.start_soon(world.node.end)
+        world.nursery.start_soon(world.node.shut_down)
         await trio.sleep(0.7)
         world.hold_back()
         new = [world.client() for _ in range(5)]
@@ -51,7 +51,7 @@
         one, two = world.client(), world.client()
         one.send(setup(sid(1), "paid", patience="2900"))
         await world.until(lambda: world.setups)
-        world.nursery.start_soon(world.node.end)
+        world.nursery.start_soon(world.node.shut_down)
         await trio.sleep(1.2)
         world.hold_back()
         two.send(setup(sid(2)))
@@ -71,10 +71,12 @@
         host.says = lambda session: answer(session, 14000)
         one = world.client()
         one.send(setup(sid(1)))
-        await world.until(lambda: world.node.core.sessions and any(pipe.rest for pipe in world.node._callers.values()))
+        await world.until(
+            lambda: world.node.core.sessions and any(pipe.unsent for pipe in world.node._viewer_writers.values())
+        )
         one.send(teardown(sid(1)))
         await world.until(lambda: not world.node.core.sessions)
-        world.nursery.start_soon(world.node.end)
+        world.nursery.start_soon(world.node.shut_down)
         await trio.sleep(1.5)
         got = b""
         with trio.fail_after(5):
@@ -101,7 +103,7 @@
         world.network.dials = trio.Event()
         await host.streams[0].aclose()
         await trio.sleep(0.1)  # its connection is gone; the next one does not come up yet
-        world.nursery.start_soon(world.node.end)
+        world.nursery.start_soon(world.node.shut_down)
         await trio.sleep(1.2)
         one.send(teardown(sid(1)))
         assert await one.answers(1) == [200]
@@ -121,12 +123,15 @@
         host.says = lambda session: answer(session, 14000)
         one = world.client()
         one.send(setup(sid(1)))
-        await world.until(lambda: any(pipe.rest for pipe in world.node._callers.values()))
+        await world.until(lambda: any(pipe.unsent for pipe in world.node._viewer_writers.values()))
         one.send(teardown(sid(1)))
         await world.until(lambda: not world.node.core.sessions)
         began = trio.current_time()
-        await world.node.end()
-        assert trio.current_time() - began < (bounds.END_LEAST + bounds.END_CLEAR + bounds.END_PART) / 1e9 + 1
+        await world.node.shut_down()
+        assert (
+            trio.current_time() - began
+            < (bounds.SHUTDOWN_MIN_PERIOD + bounds.SHUTDOWN_FLUSH_TIMEOUT + bounds.SHUTDOWN_CLOSE_TIMEOUT) / 1e9 + 1
+        )
 
     within(body, hosts=1, narrow=True)
 
--- a/tests/gateway/node/test_gone.py
+++ b/tests/gateway/node/test_gone.py
@@ -66,10 +66,10 @@
         one.send(setup(sid(1)))
         assert await one.answers(1) == [200]
         two.send(setup(sid(2)))
-        await world.until(lambda: len(world.node.core.module.held) == 1)
+        await world.until(lambda: len(world.node.core.controller.held) == 1)
         three = world.client()
         three.send(setup(sid(99)))
-        await world.until(lambda: len(world.node.core.module.held) == 2)
+        await world.until(lambda: len(world.node.core.controller.held) == 2)
         # the other one's client stays, and it came later: once its set-up is out, the time of both has come
         await gone(world, two, 2, goes, until=lambda: sid(99) in world.setups)
         three.send(teardown(sid(99)))
@@ -122,16 +122,16 @@
         host.reads = trio.Event()
         host.says = lambda session: None
         fills = [world.client() for _ in range(3)]
-        ((_, pipe),) = world.node._pipes.items()
+        ((_, pipe),) = world.node._host_writers.items()
         for n, one in enumerate(fills):
-            while not pipe.rest and len(one.heard) < 40:
+            while not pipe.unsent and len(one.heard) < 40:
                 one.send(setup(sid(100 + 50 * n + len(one.heard)), "preview", body=bytes(15000), patience="5000"))
                 one.heard.append(None)
                 await trio.sleep(0.01)
-        assert pipe.rest, "the connection was to be full"
+        assert pipe.unsent, "the connection was to be full"
         client = world.client()
         client.send(setup(sid(2), "paid", patience="3000"))
-        await world.until(lambda: bytes.fromhex(sid(2)) in world.node.core.by_id)
+        await world.until(lambda: bytes.fromhex(sid(2)) in world.node.core.sessions_by_id)
         world.hold_back()
         goes(client, 2)
         host.reads.set()
@@ -152,7 +152,7 @@
         held = [world.client() for _ in range(20)]
         for n, client in enumerate(held):
             client.send(setup(sid(2 + n)))
-        await world.until(lambda: len(world.node.core.module.held) == 20)
+        await world.until(lambda: len(world.node.core.controller.held) == 20)
         for n, client in enumerate(held):
             goes(client, 2 + n)
         time.sleep(0.5)  # noqa: ASYNC251 (this is the stall)
@@ -195,8 +195,8 @@
         sock._sock.send(release(sid(77)))  # a word on a session nobody has, then the end
         sock._sock.shutdown(1)
         # in one step, as a node does that is behind: no reader has run since
-        core.viewer_said(now(), viewer, setup(sid(2), "paid"))
-        world.node.carry_out()
+        core.viewer_received(now(), viewer, setup(sid(2), "paid"))
+        world.node.perform_actions()
         assert await two.answers(1) == [200]
 
     within(body, hosts=1)
--- a/tests/gateway/node/test_idle.py
+++ b/tests/gateway/node/test_idle.py
@@ -12,7 +12,7 @@
 
 
 def test_the_sweep_of_mute_connections_serves_a_request_that_lies_unread(monkeypatch):
-    monkeypatch.setattr(bounds, "MUTE", 300 * MS)
+    monkeypatch.setattr(bounds, "FIRST_REQUEST_TIMEOUT", 300 * MS)
 
     async def body(world):
         one, mute = world.client(), world.client()
@@ -29,7 +29,7 @@
 
 
 def test_the_sweep_of_idle_connections_serves_a_request_that_lies_unread(monkeypatch):
-    monkeypatch.setattr(bounds, "IDLE", 800 * MS)
+    monkeypatch.setattr(bounds, "VIEWER_IDLE_TIMEOUT", 800 * MS)
 
     async def body(world):
         one, idle = world.client(), world.client()
@@ -46,9 +46,9 @@
 
 def test_a_request_that_lies_unread_keeps_the_connection_that_was_to_make_room():
     async def body(world):
-        share = bounds.viewers_share(64)
+        share = bounds.max_viewer_connections(64)
         clients = [world.client() for _ in range(share)]
-        await world.until(lambda: len(world.node._callers) == share)
+        await world.until(lambda: len(world.node._viewer_writers) == share)
         world.hold_back(accepts_none=False)
         clients[0].send(setup(sid(1)))  # of all that said nothing it is the oldest
         clients[1].send(PING)
@@ -59,7 +59,7 @@
         assert await new.answers(1) == [200]
         assert await clients[0].answers(1) == [200] and await clients[1].answers(1) == [200]
         assert await clients[2].answers(1) == [] and clients[2].at_end
-        assert len(world.node._callers) <= share
+        assert len(world.node._viewer_writers) <= share
 
     within(body, sockets=64)
 
@@ -68,10 +68,10 @@
     async def body(world):
         (host,) = world.hosts
         host.says = lambda session: answer(session, 14000)
-        share = bounds.viewers_share(64)
+        share = bounds.max_viewer_connections(64)
         slow = world.client()
         slow.send(setup(sid(1)))
-        await world.until(lambda: any(pipe.rest for pipe in world.node._callers.values()))
+        await world.until(lambda: any(pipe.unsent for pipe in world.node._viewer_writers.values()))
         slow.send(teardown(sid(1)))  # nothing is open there any more
         await world.until(lambda: not world.node.core.sessions)
         others = [world.client() for _ in range(share - 1)]
@@ -81,7 +81,7 @@
         new = world.client()
         new.send(PING)
         assert await new.answers(1) == [200]
-        assert len(world.node._callers) <= share
+        assert len(world.node._viewer_writers) <= share
         assert await slow.answers(2) == [200, 200]
 
     within(body, hosts=1, sockets=64, narrow=True)
@@ -92,21 +92,21 @@
 
     async def body(world):
         most = 0
-        accepted = world.node._accepted
+        accepted = world.node._add_viewer
 
         def counted(stream):
             nonlocal most
             accepted(stream)
-            most = max(most, len(world.node._callers))
+            most = max(most, len(world.node._viewer_writers))
 
-        world.node._accepted = counted
+        world.node._add_viewer = counted
         world.hold_back()
         mute = [world.client() for _ in range(150)]
         last = world.client()
         last.send(setup(sid(1)))
         world.let_go()
         assert await last.answers(1) == [200]
-        assert most <= bounds.viewers_share(64) and mute
+        assert most <= bounds.max_viewer_connections(64) and mute
 
     within(body, sockets=64)
 
@@ -129,8 +129,8 @@
         assert await one.answers(1) == [200] and await two.answers(1) == [200]
         core = world.node.core
         (link,) = next(iter(core.hosts.values())).links
-        core._part(link)
-        world.node.carry_out()  # our end has left; the host does not know of it yet, and speaks
+        core._half_close(link)
+        world.node.perform_actions()  # our end has left; the host does not know of it yet, and speaks
         await host.say(release(sid(1)) + release(sid(2), Cause.RESET))
         assert await one.answers(1) == ["TEARDOWN"] and await two.answers(1) == ["TEARDOWN"]
         await world.until(world.is_clean)
@@ -139,7 +139,7 @@
 
 
 def test_a_client_that_gives_a_byte_now_and_then_is_ended_and_harms_nobody(monkeypatch):
-    monkeypatch.setattr(bounds, "MUTE", 400 * MS)
+    monkeypatch.setattr(bounds, "FIRST_REQUEST_TIMEOUT", 400 * MS)
 
     async def body(world):
         slow = [world.client() for _ in range(20)]
@@ -156,7 +156,7 @@
                 assert await good.answers(1, 1) == [200]
             await trio.sleep(0.05)
         await trio.sleep(0.5)
-        assert len(world.node._callers) <= 1 + 20  # those that were ended are heard out for a while, and no more
+        assert len(world.node._viewer_writers) <= 1 + 20  # those that were ended are heard out for a while, and no more
         for one in slow:
             assert await one.answers(2) == [408] and one.at_end
 
--- a/tests/gateway/node/test_node.py
+++ b/tests/gateway/node/test_node.py
@@ -13,14 +13,14 @@
 import trio.testing
 
 from copperyard.control.node import bounds
-from copperyard.control.node.links import Link, State
+from copperyard.control.node.links import Link, LinkState
 from copperyard.gateway.net import TcpNetwork, now
-from copperyard.gateway.node.daemon import Node, Pipe
-from copperyard.gateway.node.place import BadPlace, parse_place
+from copperyard.gateway.node.daemon import BufferedWriter, Node
+from copperyard.gateway.node.place import ConfigError, parse_config
 from copperyard.lab import virtual
 from copperyard.lab.memnet import Manners, MemoryNetwork
-from copperyard.protocol.node.fleet import query
-from copperyard.protocol.node.messages import Cause, Kind
+from copperyard.protocol.node.fleet import encode_query
+from copperyard.protocol.node.messages import Cause, MessageKind
 from copperyard.protocol.rtsp import Connection
 from tests.control.node.helpers import LIMITS, OPTIONS, answer, messages, release, setup, sid, teardown
 from tests.protocol.node.test_fleet import reply
@@ -87,7 +87,7 @@
         self.network = MemoryNetwork(manners or Manners())
         self.names, self.setups, self.mute, self.says = [], [], False, answer
         self.lines, self.hosts = [], []
-        place = parse_place("n0", "127.0.0.1:2905", config(**more))
+        place = parse_config("n0", "127.0.0.1:2905", config(**more))
         self.node = Node(
             place,
             self.network,
@@ -114,7 +114,7 @@
                 while len(data) > 1 and len(data) >= 2 + int.from_bytes(data[:2], "big"):
                     end = 2 + int.from_bytes(data[:2], "big")
                     ((kind, session, _),), data = messages(data[:end]), data[end:]
-                    if kind == Kind.SETUP:
+                    if kind == MessageKind.SETUP:
                         self.setups.append(session)
                         if not self.mute:
                             back = self.says(session)
@@ -186,8 +186,8 @@
         world.hosts[0].close()
         # in one step, so that the task that reads the connection cannot have run yet
         core = world.node.core
-        core.viewer_said(now(), next(iter(core.viewers)), setup(sid(2), "paid", facts=ONE))
-        world.node.carry_out()
+        core.viewer_received(now(), next(iter(core.viewers)), setup(sid(2), "paid", facts=ONE))
+        world.node.perform_actions()
         assert await viewer.next() == 200 and world.setups == [sid(1), sid(2)]
 
     within(body)
@@ -198,15 +198,15 @@
         viewer = await world.viewer()
         viewer.send(setup(sid(1), facts=ONE))
         assert await viewer.next() == 200
-        (pipe,) = world.node._pipes.values()
-        pipe.rest += b"x"  # the host takes nothing just now
+        (pipe,) = world.node._host_writers.values()
+        pipe.unsent += b"x"  # the host takes nothing just now
         viewer.send(setup(sid(2), "paid", patience="400", facts=ONE))
         await trio.sleep(0.1)
         (names,) = world.names
         names.tell(2, [("s-0", 9000, 1), ("s-1", 9001, 0), ("s-2", 9002, 0)])  # it drains
         await trio.sleep(0.01)
-        pipe.rest.clear()
-        pipe.roomy()
+        pipe.unsent.clear()
+        pipe.on_drained()
         assert await viewer.next() == 503 and world.setups == [sid(1)]
 
     within(body)
@@ -217,13 +217,13 @@
         viewer = await world.viewer()
         viewer.send(setup(sid(1), facts=ONE))
         assert await viewer.next() == 200
-        (pipe,) = world.node._pipes.values()
-        pipe.rest += b"x"
+        (pipe,) = world.node._host_writers.values()
+        pipe.unsent += b"x"
         viewer.send(setup(sid(2), "paid", facts=ONE))
         await trio.sleep(0.1)
         assert world.setups == [sid(1)]
-        pipe.rest[:] = b""
-        pipe.roomy()
+        pipe.unsent[:] = b""
+        pipe.on_drained()
         assert await viewer.next() == 200 and world.setups == [sid(1), sid(2)]
 
     within(body)
@@ -238,9 +238,11 @@
             for reads in (True, False):
                 stream = await network.connect("127.0.0.1:1")
                 peer = await listener.accept()
-                pipe = Pipe(stream, nursery, lambda: told.append("broke"), 10**9, 64, lambda: told.append("roomy"))
+                pipe = BufferedWriter(
+                    stream, nursery, lambda: told.append("broke"), 10**9, 64, lambda: told.append("roomy")
+                )
                 pipe.write(bytes(30))
-                assert told == [] and pipe.rest
+                assert told == [] and pipe.unsent
                 with trio.move_on_after(3):
                     while reads:
                         await peer.receive_some(7)
@@ -276,11 +278,11 @@
         viewer = await world.viewer()
         viewer.send(setup(sid(1), facts=ONE))
         await trio.sleep(0.05)
-        ((link, pipe),) = world.node._pipes.items()
-        pipe.rest += b"x"
+        ((link, pipe),) = world.node._host_writers.items()
+        pipe.unsent += b"x"
         viewer.send(teardown(sid(1)))
         await trio.sleep(0.05)
-        assert link.state is State.DOWN and link not in world.node._pipes
+        assert link.state is LinkState.DOWN and link not in world.node._host_writers
 
     within(body)
 
@@ -288,10 +290,10 @@
 def test_what_ends_an_attempt_is_written_before_what_may_follow_it():
     async def body(world):
         written = []
-        world.node._write = written.append
-        plain, ending = Link(None, 1, 0), Link(None, 2, 0, gives_up=True)
-        world.node.core.orders.write += [plain, ending]
-        world.node.carry_out()
+        world.node._write_link = written.append
+        plain, ending = Link(None, 1, 0), Link(None, 2, 0, aborts_attempt=True)
+        world.node.core.io_actions.write_links += [plain, ending]
+        world.node.perform_actions()
         assert written == [ending, plain]
 
     within(body)
@@ -350,7 +352,7 @@
         viewer.send(setup(sid(1)))
         assert await viewer.next() == 200
         await trio.sleep(0.01)
-        assert len(world.node._callers) <= 32
+        assert len(world.node._viewer_writers) <= 32
         assert await mute[0].next() is None
 
     within(body)
@@ -362,8 +364,8 @@
         await trio.sleep(0.3)
         lines = [(f"s-{n}", 9000 + n, 0) for n in range(3)]
         names.unread.append(b"\x00\x01noise")
-        other = next(n for n in range(65536) if n not in world.node.names._asked)
-        names.unread.append(reply(query(other), 77, []))  # well made, and no answer to anything that was asked
+        other = next(n for n in range(65536) if n not in world.node.name_service._open_queries)
+        names.unread.append(reply(encode_query(other), 77, []))  # well made, and no answer to anything that was asked
         names.tell(0, lines)  # older than what is known
         await trio.sleep(0.01)
         assert world.node.core.fleet.serial == 1
@@ -380,10 +382,10 @@
     async def body(world):
         (names,) = world.names
         await trio.sleep(10)
-        assert len(names.asked) > 30 and len(world.node.names._asked) <= bounds.LATE_ANSWERS
+        assert len(names.asked) > 30 and len(world.node.name_service._open_queries) <= bounds.MAX_OPEN_QUERIES
         names.unread += [b"\x00\x01noise"] * 500
-        world.node.names.drain()
-        assert len(names.unread) == 500 - bounds.MOST_UNREAD
+        world.node.name_service.read_pending()
+        assert len(names.unread) == 500 - bounds.MAX_DATAGRAMS_PER_TURN
 
     within(body)
 
@@ -391,7 +393,7 @@
 def test_a_new_configuration_moves_the_name_service_and_one_that_cannot_be_read_is_tried_again():
     async def body(world):
         async def again():
-            read = iter([BadPlace("half written"), parse_place("n0", "127.0.0.1:0", config(dns="127.0.0.1:5301"))])
+            read = iter([ConfigError("half written"), parse_config("n0", "127.0.0.1:0", config(dns="127.0.0.1:5301"))])
 
             def reading():
                 one = next(read)
@@ -419,7 +421,7 @@
         viewer.send(setup(sid(1), patience="4000"))
         assert await viewer.next() == 200
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(world.node.end)
+            nursery.start_soon(world.node.shut_down)
             await trio.sleep(0.3)
             viewer.send(setup(sid(2), patience="4000"))
             assert await viewer.next() == 200
--- a/tests/gateway/node/test_repeats.py
+++ b/tests/gateway/node/test_repeats.py
@@ -115,7 +115,7 @@
     async def body(world):
         for host in world.hosts:
             host.says = lambda session: release(session, Cause.ERROR)
-        module = world.node.core.module
+        module = world.node.core.controller
         for window in range(2):
             before, began = len(world.setups), trio.current_time()
             for n in range(taken):
@@ -126,7 +126,9 @@
                     server.bad = 0.0
             left = len(world.setups) - before - taken
             assert left == further, (window, left)
-            world.node.names.move(world.node.names.address)  # SIGHUP with the same place: nothing begins anew
+            world.node.name_service.set_address(
+                world.node.name_service.address
+            )  # SIGHUP with the same place: nothing begins anew
             await trio.sleep_until(began + 3.1)
 
     within(body, hosts=3, contract={"freeResends": free, "furtherRatio": share, "ratioSpan": 3 * SECOND})
--- a/tests/gateway/node/test_scarce.py
+++ b/tests/gateway/node/test_scarce.py
@@ -12,8 +12,8 @@
 import trio
 
 from copperyard.control.node import bounds
-from copperyard.gateway.node.__main__ import bounded
-from copperyard.gateway.node.place import BadPlace, parse_place
+from copperyard.gateway.node.__main__ import limit_sockets
+from copperyard.gateway.node.place import ConfigError, parse_config
 from tests.control.node.helpers import setup, sid, teardown
 from tests.gateway.node.sockets import beside, within
 from tests.gateway.node.test_node import config
@@ -83,11 +83,11 @@
 
 
 def test_the_systems_limit_binds_where_it_is_lower():
-    place = parse_place("n0", "127.0.0.1:0", config(limits={"sockets": 1024}))
-    assert bounded(place, 4096) is place and bounded(place, resource.RLIM_INFINITY) is place
-    assert bounded(place, 100).sockets == 100
-    with pytest.raises(BadPlace, match="allows 63 open files, under 64"):
-        bounded(place, 63)
+    place = parse_config("n0", "127.0.0.1:0", config(limits={"sockets": 1024}))
+    assert limit_sockets(place, 4096) is place and limit_sockets(place, resource.RLIM_INFINITY) is place
+    assert limit_sockets(place, 100).sockets == 100
+    with pytest.raises(ConfigError, match="allows 63 open files, under 64"):
+        limit_sockets(place, 63)
 
 
 def test_the_name_service_answers_late_short_older_or_under_another_id():
@@ -114,7 +114,7 @@
         assert world.node.core.fleet.serial == 1
         second, _ = await asked(world.names)
         world.names.sendto(reply(second, 0, lines(1)), peer)  # older than what the configuration told
-        for _ in range(bounds.LATE_ANSWERS - 3):  # those that follow stay without an answer
+        for _ in range(bounds.MAX_OPEN_QUERIES - 3):  # those that follow stay without an answer
             await asked(world.names)
         world.names.sendto(late, peer)
         await world.until(lambda: world.node.core.fleet.serial == 5)
@@ -137,8 +137,8 @@
         moved.setblocking(False)
         # in one step: the answer of the old service lies unread when the move comes
         world.names.sendto(reply(query, 50, []), peer)
-        world.node.names.move(f"127.0.0.1:{moved.getsockname()[1]}")
-        world.node.names.drain()
+        world.node.name_service.set_address(f"127.0.0.1:{moved.getsockname()[1]}")
+        world.node.name_service.read_pending()
         query, peer = await asked(moved, 1)
         assert world.node.core.fleet.serial == 1
         moved.sendto(reply(query, 3, [("s-0", world.hosts[0].port, 0)]), peer)
@@ -155,7 +155,7 @@
     nothing but the look before the write can read it."""
 
     async def body(world):
-        sockets = world.node.names
+        sockets = world.node.name_service
         real = sockets._socket.readable
         held = trio.Event()
 
--- a/tests/membership/test_asking.py
+++ b/tests/membership/test_asking.py
@@ -2,19 +2,26 @@
 
 import random
 
-from copperyard.membership.asking import AGAIN, FEW, MS, PACE, SLOW, Asking
+from copperyard.membership.asking import (
+    FAST_RETRIES,
+    MS,
+    QUERY_INTERVAL,
+    RETRY_INTERVAL,
+    SLOW_RETRY_INTERVAL,
+    QueryPacer,
+)
 
 TOLD = 1500 * MS  # an event counts as told so long after it happened
 
 
 def run(seconds, answered, seed=1):
     """The times of queries; `answered(n)` says whether the n-th got a good answer."""
-    one, now, times = Asking(random.Random(seed)), 0, []
+    one, now, times = QueryPacer(random.Random(seed)), 0, []
     while now < seconds * 1000 * MS:
         times.append(now)
-        one.asked(now)
+        one.query_sent(now)
         if answered(len(times)):
-            one.answered()
+            one.answer_received()
         now = one.due
     return times
 
@@ -40,14 +47,14 @@
 def test_a_service_that_is_down_is_asked_steadily_and_found_again_soon():
     times = run(20, lambda n: n < 3)
     gaps = [b - a for a, b in zip(times[3:], times[4:], strict=False)]
-    assert max(gaps) <= SLOW and min(gaps[FEW:]) > AGAIN
-    assert max(gaps) + PACE < 4500 * MS
+    assert max(gaps) <= SLOW_RETRY_INTERVAL and min(gaps[FAST_RETRIES:]) > RETRY_INTERVAL
+    assert max(gaps) + QUERY_INTERVAL < 4500 * MS
 
 
 def test_an_answer_that_comes_again_does_not_put_the_next_query_off():
-    one = Asking(random.Random(1))
-    one.asked(0)
-    one.answered()
+    one = QueryPacer(random.Random(1))
+    one.query_sent(0)
+    one.answer_received()
     due = one.due
-    one.answered()
+    one.answer_received()
     assert one.due == due
--- a/tests/protocol/node/test_fleet.py
+++ b/tests/protocol/node/test_fleet.py
@@ -10,7 +10,7 @@
 from copperyard.decide import Controller
 from copperyard.interface import ListKind, ServerState
 from copperyard.membership.fleet import Fleet
-from copperyard.protocol.node.fleet import BadAnswer, Host, parse_answer, parse_known, query
+from copperyard.protocol.node.fleet import Host, HostListError, encode_query, parse_answer, parse_known
 from copperyard.settings import parse_settings
 from tests.control.node.helpers import OPTIONS
 
@@ -32,7 +32,7 @@
 
 
 def test_a_good_answer_is_the_whole_list_under_its_serial():
-    asked = query(77)
+    asked = encode_query(77)
     serial, hosts = parse_answer(reply(asked, 41, [("s-1", 2905, 0), ("s-2", 2906, 1)]), 77)
     assert serial == 41 and hosts == (
         Host("s-1", "10.1.0.9:2905", "east", "std", 2, "Ready", 4.0, 0),
@@ -41,7 +41,7 @@
 
 
 def test_answers_that_tell_nothing_are_told_apart():
-    asked = query(77)
+    asked = encode_query(77)
     good = reply(asked, 41, [("s-1", 2905, 0)])
     failed = dns.message.make_response(dns.message.from_wire(asked))
     failed.set_rcode(2)
@@ -51,22 +51,22 @@
         b"\x00" * 12,
         asked,
         failed.to_wire(),
-        reply(query(78), 41, []),
+        reply(encode_query(78), 41, []),
         reply(asked, 41, [], dns.flags.TC),
         dns.message.make_response(dns.message.from_wire(asked)).to_wire(),
     ):
-        with pytest.raises(BadAnswer):
+        with pytest.raises(HostListError):
             parse_answer(bad, 77)
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 255)), min_size=1, max_size=6), st.integers(0, 400))
 def test_spoilt_answers_never_raise_anything_else(changes, cut):
-    data = bytearray(reply(query(77), 41, [("s-1", 2905, 0), ("s-2", 2906, 1)]))
+    data = bytearray(reply(encode_query(77), 41, [("s-1", 2905, 0), ("s-2", 2906, 1)]))
     for at, value in changes:
         data[2 + at % (len(data) - 2)] = value
     try:
         parse_answer(bytes(data[:-cut] if cut < len(data) and cut % 2 else data), 77)
-    except BadAnswer:
+    except HostListError:
         pass
 
 
@@ -88,16 +88,18 @@
 
 def test_a_list_is_told_as_what_changed_and_an_older_one_not_at_all():
     fleet = Fleet(("east",), ("std",), 1_000)
-    first = fleet.start(1, [(True, (line("a"), line("b"))), (False, (line("b", "Gone"), line("c", "Terminating")))])
+    first = fleet.load_events(
+        1, [(True, (line("a"), line("b"))), (False, (line("b", "Gone"), line("c", "Terminating")))]
+    )
     assert first.kind == ListKind.CACHED and [e.state for e in first.entries] == [ServerState.READY, 2]
-    assert fleet.take(1, (line("a"),)) is None and fleet.take(0, ()) is None
-    news = fleet.take(4, (line("a", started=5), line("c"), line("d")))
+    assert fleet.update(1, (line("a"),)) is None and fleet.update(0, ()) is None
+    news = fleet.update(4, (line("a", started=5), line("c"), line("d")))
     assert news is not None and news.kind == ListKind.DELTA
     assert [(e.server, e.state, e.started) for e in news.entries] == [(0, 1, 5_000_000 - 1_000), (2, 1, 0), (3, 1, 0)]
-    gone = fleet.take(5, (line("d"),))
+    gone = fleet.update(5, (line("d"),))
     assert gone is not None and [(e.server, e.state) for e in gone.entries] == [(0, 0), (2, 0)]
-    assert fleet.take(6, (line("d"),)) is None and fleet.serial == 6
-    back = fleet.take(7, (line("d"), line("a")))  # a name that comes back is another server
+    assert fleet.update(6, (line("d"),)) is None and fleet.serial == 6
+    back = fleet.update(7, (line("d"), line("a")))  # a name that comes back is another server
     assert back is not None and [e.server for e in back.entries] == [4]
 
 
@@ -112,7 +114,7 @@
     ],
 )
 def test_a_configuration_without_a_list_says_so(known):
-    with pytest.raises(BadAnswer):
+    with pytest.raises(HostListError):
         parse_known(known)
 
 
@@ -121,5 +123,7 @@
     raw = {**OPTIONS, "kinds": ["big", "small"], "extra": {**OPTIONS["extra"], "placesByKind": [50, 3]}}
     fleet = Fleet(("east",), ("big", "small"), 0)
     module = Controller(parse_settings(raw), 1)
-    module.handle(1, fleet.start(1, [(True, (line("a", kind="big"), line("b", kind="small"), line("c", kind="new")))]))
+    module.handle(
+        1, fleet.load_events(1, [(True, (line("a", kind="big"), line("b", kind="small"), line("c", kind="new")))])
+    )
     assert [module.servers[n].places for n in range(3)] == [50, 3, 3]
--- a/tests/protocol/node/test_messages.py
+++ b/tests/protocol/node/test_messages.py
@@ -4,16 +4,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from copperyard.protocol.node.messages import MOST, Cause, Decoder, Kind, Param, encode, parse_report
+from copperyard.protocol.node.messages import (
+    MAX_MESSAGE_BYTES,
+    Cause,
+    Decoder,
+    MessageKind,
+    Param,
+    encode,
+    parse_report,
+)
 
 ID = bytes(range(8))
 GOOD = [
-    encode(Kind.ANSWER, ID, ((Param.DESCRIPTION, b"\xff\x00d"),)),
-    encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\x22"), (Param.REPORT, b"x0:1.25;x1:nan;q:zz;;w:3"))),
-    encode(Kind.NOTE, ID, ((Param.NOTE, b"share"), (Param.FIGURE, b"0.5"))),
-    encode(Kind.TESTED, ID, ((Param.CAUSE, b"\1"),)),
-    encode(Kind.HEARD, ID),
-    encode(Kind.PROGRESS, ID),
+    encode(MessageKind.ANSWER, ID, ((Param.DESCRIPTION, b"\xff\x00d"),)),
+    encode(MessageKind.RELEASE, ID, ((Param.CAUSE, b"\x22"), (Param.REPORT, b"x0:1.25;x1:nan;q:zz;;w:3"))),
+    encode(MessageKind.NOTE, ID, ((Param.NOTE, b"share"), (Param.FIGURE, b"0.5"))),
+    encode(MessageKind.TESTED, ID, ((Param.CAUSE, b"\1"),)),
+    encode(MessageKind.HEARD, ID),
+    encode(MessageKind.PROGRESS, ID),
 ]
 
 
@@ -37,12 +45,12 @@
         b"\x00\x08" + bytes(8),
         b"\xff\xff\x09" + bytes(20),
         b"\x00\x09\x07" + ID,
-        encode(Kind.SETUP, ID),
-        encode(Kind.ANSWER, ID),
-        encode(Kind.RELEASE, ID),
-        encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1\2"),)),
-        encode(Kind.NOTE, ID, ((Param.NOTE, b"share"),)),
-        encode(Kind.RELEASE, ID, ((Param.CAUSE, b"\1"), (Param.CAUSE, b"\1"))),
+        encode(MessageKind.SETUP, ID),
+        encode(MessageKind.ANSWER, ID),
+        encode(MessageKind.RELEASE, ID),
+        encode(MessageKind.RELEASE, ID, ((Param.CAUSE, b"\1\2"),)),
+        encode(MessageKind.NOTE, ID, ((Param.NOTE, b"share"),)),
+        encode(MessageKind.RELEASE, ID, ((Param.CAUSE, b"\1"), (Param.CAUSE, b"\1"))),
         b"\x00\x0b\x09" + ID + b"\xe1\x00",
         b"\x00\x0d\x09" + ID + b"\xe1\x00\x09a",
     ],
@@ -63,4 +71,4 @@
 
 def test_no_message_is_written_that_is_too_long():
     with pytest.raises(ValueError):
-        encode(Kind.SETUP, ID, ((Param.DESCRIPTION, bytes(MOST)),))
+        encode(MessageKind.SETUP, ID, ((Param.DESCRIPTION, bytes(MAX_MESSAGE_BYTES)),))
--- a/tests/telemetry/test_lines.py
+++ b/tests/telemetry/test_lines.py
@@ -4,14 +4,14 @@
 import os
 import time
 
-from copperyard.telemetry.lines import MOST_LINE, Lines
+from copperyard.telemetry.lines import MAX_LINE_BYTES, JsonLineLogger
 
 
 def test_a_storm_is_bounded_and_counted(monkeypatch):
     clock = [1000.0]
     monkeypatch.setattr(time, "time", lambda: clock[0])
     reads, writes = os.pipe()
-    lines = Lines(3, writes)
+    lines = JsonLineLogger(3, writes)
     for n in range(10):
         lines("host lost", {"host": f"s-{n}"})
     clock[0] += 1
@@ -25,7 +25,7 @@
 
 def test_a_reader_that_takes_nothing_or_has_gone_holds_up_nothing(tmp_path):
     reads, writes = os.pipe()
-    lines = Lines(10**6, writes)
+    lines = JsonLineLogger(10**6, writes)
     for n in range(5000):  # far more than the pipe holds; a write that waits would wait for good
         lines("storm", {"n": n, "text": "x" * 100})
     got = b""
@@ -40,5 +40,5 @@
     os.close(writes)
     path = tmp_path / "log"
     with path.open("wb") as file:  # an ordinary file, and a line that is too long
-        Lines(5, file.fileno())("long", {"text": "x" * 2 * MOST_LINE})
-    assert path.stat().st_size == MOST_LINE
+        JsonLineLogger(5, file.fileno())("long", {"text": "x" * 2 * MAX_LINE_BYTES})
+    assert path.stat().st_size == MAX_LINE_BYTES
