--- a/tests/control/node/helpers.py
+++ b/tests/control/node/helpers.py
@@ -1,4 +1,4 @@
-"""A node's core with hand-made sockets: what it wrote can be read, what peers say can be said."""
+"""Drives the state machine of a node without sockets: tests read what it sent and inject what peers send."""
 
 import struct
 from typing import Any
@@ -6,12 +6,12 @@
 from copperyard.control.node.core import NodeCore
 from copperyard.membership.fleet import Fleet
 from copperyard.protocol.node.fleet import READY, Host
-from copperyard.protocol.node.messages import Cause, Kind, Param, encode
+from copperyard.protocol.node.messages import Cause, MessageKind, Param, encode
 from copperyard.protocol.rtsp import Connection, Limits
 from copperyard.settings import parse_platform, parse_settings
 
 MS, SECOND = 1_000_000, 1_000_000_000
-LIMITS = Limits(8192, 64, 16384, 0, 1)  # what a client takes
+LIMITS = Limits(8192, 64, 16384, 0, 1)  # limits of a client's parser
 CEILINGS = {
     "maxAttempts": 3,
     "retryAfter": True,
@@ -96,15 +96,17 @@
 
 
 def answer(session, size=0):
-    return encode(Kind.ANSWER, bytes.fromhex(session), ((Param.DESCRIPTION, b"d:" + session.encode() + bytes(size)),))
+    return encode(
+        MessageKind.ANSWER, bytes.fromhex(session), ((Param.DESCRIPTION, b"d:" + session.encode() + bytes(size)),)
+    )
 
 
 def release(session, cause=Cause.NORMAL):
-    return encode(Kind.RELEASE, bytes.fromhex(session), ((Param.CAUSE, bytes((cause,))),))
+    return encode(MessageKind.RELEASE, bytes.fromhex(session), ((Param.CAUSE, bytes((cause,))),))
 
 
 def messages(data):
-    """What a node wrote to a host: (kind, session's hex, parameters)."""
+    """Decode what a node sent to a host: (kind, session id in hex, parameters)."""
     found = []
     while data:
         size, kind, session = struct.unpack_from(">HB8s", data)
@@ -117,91 +119,91 @@
     return found
 
 
-class Desk:
-    """The core, its clock, and what came out of it. Connections come up when a test says so, or at once."""
+class CoreDriver:
+    """The core, its clock and its output. Dialled connections come up at once or when the test calls `link_up`."""
 
-    def __init__(self, hosts=3, at_once=True, sockets=256, **options):
+    def __init__(self, hosts=3, connect_at_once=True, sockets=256, **options):
         raw = {**OPTIONS, **options}
         fleet = Fleet(("catania",), ("three-core",), 0)
         self.core = NodeCore(parse_settings(raw), parse_platform(raw), fleet, 1, sockets)
-        # past the time in which hosts count as cold for a front that just began
-        self.now, self.at_once = 100 * SECOND, at_once
+        # past the time in which hosts count as cold for a front that has just started
+        self.now, self.connect_at_once = 100 * SECOND, connect_at_once
         self.dialled, self.dropped, self.lines = [], [], []
-        self.sent, self.heard = {}, {}
-        self.core.start(self.now, fleet.start(1, [(True, tuple(host(n) for n in range(hosts)))]))
-        self.turn()
-        self.wait(6)
-
-    def turn(self):
-        while orders := self.core.take():
-            self.lines += orders.lines
-            self.dropped += orders.drop
-            self.dialled += orders.dial
-            for link in orders.dial if self.at_once else ():
+        self.sent, self.received = {}, {}
+        self.core.start(self.now, fleet.load_events(1, [(True, tuple(host(n) for n in range(hosts)))]))
+        self.run_actions()
+        self.advance(6)
+
+    def run_actions(self):
+        while actions := self.core.take_actions():
+            self.lines += actions.log_lines
+            self.dropped += actions.close
+            self.dialled += actions.dial
+            for link in actions.dial if self.connect_at_once else ():
                 self.core.link_up(self.now, link)
-            for link in orders.write:
+            for link in actions.write_links:
                 if link in link.host.links:
-                    self.sent.setdefault(link, []).extend(messages(self.core.frames(self.now, link)[0]))
-            for viewer in orders.answer:
-                self.heard[viewer] = self.heard.get(viewer, b"") + viewer.take()
+                    self.sent.setdefault(link, []).extend(messages(self.core.take_frames(self.now, link)[0]))
+            for viewer in actions.write_viewers:
+                self.received[viewer] = self.received.get(viewer, b"") + viewer.take_outbox()
 
-    def wait(self, seconds):
+    def advance(self, seconds):
         end = self.now + round(seconds * SECOND)
-        while (at := self.core.next_wake()) is not None and at <= end:
+        while (at := self.core.next_timer()) is not None and at <= end:
             self.now = max(self.now, at)
-            self.core.wake(self.now)
-            self.turn()
+            self.core.run_timers(self.now)
+            self.run_actions()
         self.now = end
 
     def viewer(self):
-        viewer = self.core.viewer_came(self.now)
-        self.turn()
+        viewer = self.core.viewer_connected(self.now)
+        self.run_actions()
         return viewer
 
-    def say(self, viewer, data):
-        self.core.viewer_said(self.now, viewer, data)
-        self.turn()
+    def send(self, viewer, data):
+        self.core.viewer_received(self.now, viewer, data)
+        self.run_actions()
 
     def hang_up(self, viewer):
-        self.core.viewer_left(self.now, viewer)
-        self.turn()
+        self.core.viewer_disconnected(self.now, viewer)
+        self.run_actions()
 
-    def host_says(self, link, data):
-        self.core.link_said(self.now, link, data)
-        self.turn()
+    def host_sends(self, link, data):
+        self.core.link_received(self.now, link, data)
+        self.run_actions()
 
-    def down(self, link, **how):
+    def link_down(self, link, **how):
         self.core.link_down(self.now, link, **how)
-        self.turn()
+        self.run_actions()
 
-    def up(self, link):
+    def link_up(self, link):
         self.core.link_up(self.now, link)
-        self.turn()
+        self.run_actions()
 
     def answers(self, viewer):
-        """What the viewer was sent and was not read yet."""
-        return Connection(LIMITS).receive(self.heard.pop(viewer, b""))
+        """Take the messages that were sent to the viewer since the last call."""
+        return Connection(LIMITS).receive(self.received.pop(viewer, b""))
 
     def statuses(self, viewer):
         return [one.response.status if hasattr(one, "response") else one.method for one in self.answers(viewer)]
 
     def setups(self, link=None):
-        """(link, session) of all set-ups that left."""
+        """(link, session) of all set-ups that were sent."""
         return [
             (one, session)
             for one, sent in self.sent.items()
             for kind, session, _ in sent
-            if kind == Kind.SETUP and link in (None, one)
+            if kind == MessageKind.SETUP and link in (None, one)
         ]
 
     def releases(self):
-        return [session for sent in self.sent.values() for kind, session, _ in sent if kind == Kind.RELEASE]
+        return [session for sent in self.sent.values() for kind, session, _ in sent if kind == MessageKind.RELEASE]
 
-    def standing(self, n=1, cls="preview"):
-        """A viewer with a session that stands: (viewer, link)."""
+    def established(self, n=1, cls="preview"):
+        """A viewer with an established session: (viewer, link)."""
         viewer = self.viewer()
-        self.say(viewer, setup(sid(n), cls))
+        self.send(viewer, setup(sid(n), cls))
         link = self.setups()[-1][0]
-        self.host_says(link, answer(sid(n)))
+        self.host_sends(link, answer(sid(n)))
         assert self.statuses(viewer) == [200]
         return viewer, link
