--- a/copperyard/control/__init__.py
+++ b/copperyard/control/__init__.py
@@ -1,1 +1,1 @@
-"""Per-session life and further decisions of a front, without I/O."""
+"""Core of a gateway without I/O: session requests, RTSP connections, and agreement between gateways."""
--- a/copperyard/control/admission.py
+++ b/copperyard/control/admission.py
@@ -1,4 +1,4 @@
-"""Which class a viewer's request belongs to, and how high it may go, before the module hears of it."""
+"""Admission: which class a viewer's request belongs to and its highest rung, before the controller sees it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from .catalogue import Title
 from .rules import Entry, FrontRules
 
-CODE_FIELD = "code"
-MOST_CODE = 128
+CODE_PARAMETER = "code"
+MAX_CODE_CHARS = 128
 
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """The request cannot be a session at all; the module never hears of it. `status` is RTSP's."""
+    """The request cannot become a session; the controller does not see it. `status` is an RTSP status."""
 
     status: int
     text: str
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """What a viewer may ask of a title."""
+    """The class of a request for a title, and its code."""
 
     entry: Entry
     code: str | None
 
 
 def admit(rules: FrontRules, title: Title, target: Target) -> Admission | Denial:
-    """The class of a request, by path and by whether it brings a code (403, 402, 400 as Denial)."""
-    code = target.get(CODE_FIELD)
-    if code is not None and not (0 < len(code) <= MOST_CODE and code.isascii() and code.isalnum()):
+    """Return the class of a request by its path and whether it has a code. A Denial has status 400, 402 or 403."""
+    code = target.get(CODE_PARAMETER)
+    if code is not None and not (0 < len(code) <= MAX_CODE_CHARS and code.isascii() and code.isalnum()):
         return Denial(400, "a code is 1 to 128 letters and digits")
     reached = [e for e in rules.entries if title.path.startswith(e.prefix)]
     for entry in reached:
@@ -40,13 +40,13 @@
     if reached and code is None:
         return Denial(402, "this title is played with a code only")
     if reached:
-        # a code that nothing here redeems is not swallowed silently: the viewer would believe it spent
+        # A code that cannot be redeemed here is rejected; if it were ignored, the viewer would think it was spent.
         return Denial(403, "this title takes no code")
     return Denial(403, "no class plays this title")
 
 
-def top_rung(rules: FrontRules, cls: int, bandwidth: int | None) -> int:
-    """The highest rung whose rate fits a viewer's Bandwidth (bits a second), the lowest where none does."""
+def highest_rung(rules: FrontRules, cls: int, bandwidth: int | None) -> int:
+    """Return the highest rung whose rate fits the viewer's Bandwidth (bits per second), the lowest if none does."""
     rates = rules.settings.rung_kb
     if bandwidth is None:
         return len(rates) - 1
--- a/copperyard/control/attempt.py
+++ b/copperyard/control/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt at one host, from its connect to the end of what plays: the host's side of a session.
+"""One attempt at one host, from the connection to the end of the session: the host's side of a session.
 
-The dialogue is SETUP for each track, PLAY, then media and keep-alives on the same connection (docs/
-host-protocol.md). Bytes in, results out; bytes to send gather in `out`. The I/O closes the connection before
-the core hears of the end, so two attempts are never out at once.
+The dialogue is SETUP for each track, PLAY, then media and keep-alives on the same connection (docs/host-protocol.md).
+Bytes go in and results come out; bytes to send are collected in `out`. The I/O closes the connection before it
+reports the end to the core, so two attempts of a request are never out at once.
 """
 
 from __future__ import annotations
@@ -16,15 +16,17 @@
 from ..protocol.rtsp.headers import parse_rtp_info, parse_session, quote_path
 from ..protocol.rtsp.messages import BadHeader, Headers
 from .catalogue import Title
-from .evidence import REPORT_HEADER, UP_HEADER, note_of, parse_report, parse_up
+from .evidence import REPORT_HEADER, UP_HEADER, parse_host_up, parse_note, parse_report
 from .splice import Splice, splice_run
 
-MOST_REPORTS = 8192  # bytes that wait for a host, beyond which receiver reports are left out
+MAX_REPORT_BACKLOG_BYTES = 8192  # bytes waiting for a host above which receiver reports are dropped
 FEATURE = "copperyard.host.1"
-TEXT = ("Content-Type", "text/parameters")
+TEXT_CONTENT_TYPE = ("Content-Type", "text/parameters")
 
 
 class Stage(Enum):
+    """Stages of an attempt, in order; ASK is the check of the host before the set-up."""
+
     CONNECT = 0
     ASK = 1
     SETUP = 2
@@ -34,59 +36,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
-    """The host told its load."""
+class LoadReported:
+    """The host reported its load."""
 
     report: Report
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
-    """The host was asked before the set-up and is there. `up`: its boot and age, where it tells them."""
+class HostChecked:
+    """The host answered the check before the set-up. `up` is its boot id and uptime in ns, if it tells them."""
 
     up: tuple[str, int | None] | None
 
 
 @dataclass(frozen=True, slots=True)
-class Redeemed:
-    """The host redeemed the code, or took the receipt."""
+class ReceiptReceived:
+    """The host redeemed the code or accepted the receipt."""
 
     receipt: str
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """The host plays. `infos`: for each track the first packet's number and time as the viewer gets them."""
+class PlaybackStarted:
+    """The host plays. `infos` is the first sequence number and timestamp of each track, as the viewer gets them."""
 
     infos: tuple[tuple[int, int] | None, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Media:
-    """Interleaved frames for the viewer, on its own channels."""
+class MediaData:
+    """Interleaved frames for the viewer, on the viewer's channels."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A note on the host's links."""
+class HostNote:
+    """A host's note on the load of its links."""
 
     kind: NoteKind
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Stepped:
-    """The rung that is in force after the host answered; `ok` is false where it did not follow."""
+class RungAnswered:
+    """The rung in force after the host's answer; `ok` is false if the host did not follow the request."""
 
     rung: int
     ok: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """A viewer's PAUSE or PLAY that was passed on has its answer."""
+class ForwardedReply:
+    """The host's answer to a forwarded PAUSE or PLAY."""
 
     method: str
     response: Response
@@ -94,20 +96,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
-    """The attempt is at its end for this reason. `status` is the host's, 0 where it gave none."""
+class AttemptEnded:
+    """The attempt ended with this code. `status` is the host's RTSP status, 0 if it sent none."""
 
     code: Code
     status: int = 0
 
 
-Result = Reported | Ready | Redeemed | Played | Media | Told | Stepped | Done | Over
+AttemptResult = (
+    LoadReported
+    | HostChecked
+    | ReceiptReceived
+    | PlaybackStarted
+    | MediaData
+    | HostNote
+    | RungAnswered
+    | ForwardedReply
+    | AttemptEnded
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What an attempt is to set up. `code` is a fresh code or None, `receipt` that of a redeemed one or empty,
-    `start` the place in the film in seconds, `tracks` the numbers of the title's tracks that are wanted, from 1."""
+class AttemptPlan:
+    """What an attempt sets up. `code` is a fresh code or None, `receipt` the receipt of a redeemed code or empty,
+    `start` the position in the title in seconds, `tracks` the requested track numbers of the title, from 1.
+    """
 
     ref: int
     number: int
@@ -125,64 +138,70 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """The dialogue. `limit` is the time in ns by which it must have come to Played. `intent` and `fact` are the
-    journal's numbers of what this attempt wrote: that its code is about to leave, and that it was redeemed. With
-    `hold` the PLAY waits for `go`: the viewer's answer follows on it, and must not come before its fact is on disk."""
+    """The RTSP dialogue of one attempt.
+
+    It must have reached `PlaybackStarted` by its deadline (ns). Two sequence numbers refer to journal records of this
+    attempt: the intent to send its code, and the receipt. While the PLAY is held back, it waits for `release_play`,
+    because the viewer's answer depends on it and must not precede the durable receipt.
+    """
 
-    plan: Plan
+    plan: AttemptPlan
     limits: Limits
     splices: tuple[Splice, ...]
-    began: int
+    decided_at: int
     limit: int
     stage: Stage = Stage.CONNECT
     verdict: Code | None = None
     report: Report | None = None
     out: bytearray = field(default_factory=bytearray)
     sent: bool = False
-    heard: int = 0
+    last_heard: int = 0
     rung: int = 0
     intent: int = 0
-    fact: int = 0
+    receipt_sequence: int = 0
     hold: bool = False
-    trip: int = 0  # ns that the last exchange with the host took: its connect, or the question before the set-up
-    asked: int = 0
-    _held: bool = False
+    last_exchange_ns: int = (
+        0  # duration of the last exchange with the host: the connect, or the check before the set-up
+    )
+    check_sent_at: int = 0
+    _play_ready: bool = False
     _wire: Connection = field(init=False)
-    _session: str = ""
-    _tracks: int = 0
-    _asked_rung: int | None = None
+    _session_id: str = ""
+    _tracks_set_up: int = 0
+    _requested_rung: int | None = None
     _wanted_rung: int | None = None
-    _byes: int = 0
+    _bye_count: int = 0
 
     def __post_init__(self) -> None:
         self._wire = Connection(self.limits, runs=True)
         self.rung = self.plan.rung
 
-    # ---- what this side does
+    # ---- requests to the host
 
     def _url(self, track: int | None = None) -> str:
         tail = f"/track{self.plan.tracks[track]}" if track is not None else ""
         return f"rtsp://{self.plan.address}{quote_path(self.plan.title.path)}{tail}"
 
-    def _ask(self, method: str, url: str, headers: Headers = (), body: bytes = b"") -> None:
-        if self._session:
-            headers = (("Session", self._session), *headers)
+    def _send_request(self, method: str, url: str, headers: Headers = (), body: bytes = b"") -> None:
+        if self._session_id:
+            headers = (("Session", self._session_id), *headers)
         if self._wire.waiting < self.limits.pending:
             self.out += self._wire.ask(method, url, headers, body)[1]
 
-    def ask_first(self, now: int) -> None:
-        """The connection stands: ask for a sign of life, by which the host also tells how long it is up. Nothing of
-        the session has left yet."""
-        self.stage, self.heard, self.asked = Stage.ASK, now, now
-        self._ask("GET_PARAMETER", f"rtsp://{self.plan.address}/")
+    def send_host_check(self, now: int) -> None:
+        """Check the host after connecting: send a keep-alive, whose answer tells the host's uptime. Nothing of the
+        session has been sent yet.
+        """
+        self.stage, self.last_heard, self.check_sent_at = Stage.ASK, now, now
+        self._send_request("GET_PARAMETER", f"rtsp://{self.plan.address}/")
 
-    def connected(self, now: int) -> None:
-        """The first SETUP leaves."""
-        self.stage, self.heard, self.sent = Stage.SETUP, now, True
-        self._setup()
+    def start_setup(self, now: int) -> None:
+        """Send the first SETUP."""
+        self.stage, self.last_heard, self.sent = Stage.SETUP, now, True
+        self._send_setup()
 
-    def _setup(self) -> None:
-        plan, n = self.plan, self._tracks
+    def _send_setup(self) -> None:
+        plan, n = self.plan, self._tracks_set_up
         headers: Headers = (("Transport", f"RTP/AVP/TCP;unicast;interleaved={2 * n}-{2 * n + 1}"),)
         if n == 0:
             headers += (
@@ -196,141 +215,145 @@
                 headers += (("Redeem", plan.code),)
             elif plan.receipt:
                 headers += (("Receipt", plan.receipt),)
-        self._ask("SETUP", self._url(n), headers)
+        self._send_request("SETUP", self._url(n), headers)
 
     def set_rung(self, rung: int) -> None:
-        """Ask for another rung. One question is out at a time; the newest wish is asked next."""
+        """Request another rung. One request is out at a time; the latest wanted rung is requested next."""
         self._wanted_rung = rung
-        self._step()
+        self._send_wanted_rung()
 
-    def _step(self) -> None:
-        if self._asked_rung is None and self._wanted_rung is not None and self.stage is Stage.OPEN:
-            self._asked_rung, self._wanted_rung = self._wanted_rung, None
-            self._ask("SET_PARAMETER", self._url(), (TEXT,), f"rung: {self._asked_rung}\r\n".encode())
+    def _send_wanted_rung(self) -> None:
+        if self._requested_rung is None and self._wanted_rung is not None and self.stage is Stage.OPEN:
+            self._requested_rung, self._wanted_rung = self._wanted_rung, None
+            self._send_request(
+                "SET_PARAMETER", self._url(), (TEXT_CONTENT_TYPE,), f"rung: {self._requested_rung}\r\n".encode()
+            )
 
     def pause(self) -> None:
-        self._ask("PAUSE", self._url())
+        """Send PAUSE."""
+        self._send_request("PAUSE", self._url())
 
     def resume(self, start: str | None) -> None:
-        """PLAY again, from `start` (a Range value) or from where it stands."""
-        self._ask("PLAY", self._url(), (("Range", start),) if start else ())
+        """Send PLAY again, from `start` (a Range value) or from the paused position."""
+        self._send_request("PLAY", self._url(), (("Range", start),) if start else ())
 
     def keep_alive(self) -> None:
-        """Ask for a sign of life, which also brings a report."""
-        self._ask("GET_PARAMETER", self._url())
-
-    def receiver_report(self, track: int, blocks: tuple[Block, ...]) -> bool:
-        """Pass on what the viewer received of a track, by its place; whether it leaves. One that finds the connection
-        full is left out: the next one tells more."""
-        blocks = self.splices[track].reception(blocks)
-        if self.stage is not Stage.OPEN or not blocks or len(self.out) > MOST_REPORTS:
+        """Send a keep-alive, whose answer also carries a load report."""
+        self._send_request("GET_PARAMETER", self._url())
+
+    def forward_receiver_report(self, track: int, blocks: tuple[Block, ...]) -> bool:
+        """Forward the viewer's reception blocks of a track (by index) and return whether they were queued. They are
+        dropped while the connection is backed up; the next report supersedes them.
+        """
+        blocks = self.splices[track].host_blocks(blocks)
+        if self.stage is not Stage.OPEN or not blocks or len(self.out) > MAX_REPORT_BACKLOG_BYTES:
             return False
         payload = encode_compound([ReceiverReport(self.splices[track].ssrc, blocks)], self.splices[track].ssrc)
         self.out += Connection.frame(2 * track + 1, payload)
         return True
 
     def tear_down(self) -> None:
-        """Say goodbye, where there is a session to end."""
-        if self._session and self.stage is not Stage.DONE:
-            self._ask("TEARDOWN", self._url())
+        """Send TEARDOWN if a session is established."""
+        if self._session_id and self.stage is not Stage.DONE:
+            self._send_request("TEARDOWN", self._url())
         self.stage = Stage.DONE
 
-    # ---- what the host does
+    # ---- messages from the host
 
-    def receive(self, now: int, data: bytes) -> list[Result]:
-        """Take the host's bytes."""
-        self.heard = now
-        found: list[Result] = []
+    def receive(self, now: int, data: bytes) -> list[AttemptResult]:
+        """Process the host's bytes and return what they mean for the session."""
+        self.last_heard = now
+        found: list[AttemptResult] = []
         for event in self._wire.receive(data):
             if self.stage is Stage.DONE:
                 break
-            self._event(now, event, found)
+            self._handle_event(now, event, found)
         return found
 
-    def lost(self) -> Code:
-        """The connection broke: what that says of the attempt."""
+    def connection_lost_code(self) -> Code:
+        """Return the outcome of the attempt when the connection is lost in the current stage."""
         if not self.sent:
             return Code.CONNECT_FAILED
-        return Code.OK if self._byes and self._byes >= self._tracks else Code.RESET
+        return Code.OK if self._bye_count and self._bye_count >= self._tracks_set_up else Code.RESET
 
-    def _event(self, now: int, event: Event, found: list[Result]) -> None:
+    def _handle_event(self, now: int, event: Event, found: list[AttemptResult]) -> None:
         if isinstance(event, Run):
             if self.stage is Stage.OPEN:
-                self._media(now, event.data, found)
+                self._handle_media(now, event.data, found)
         elif isinstance(event, Reply):
-            self._reply(now, event, found)
+            self._handle_reply(now, event, found)
         elif isinstance(event, Request):
-            self._request(event)
+            self._handle_request(event)
         elif isinstance(event, Malformed | Unasked):
             if not self.sent:
-                return self._over(Code.CONNECT_FAILED, 0, found)
-            # what does not follow the protocol cannot be trusted to have run or not to have run
-            self._over(Code.RESET if self.stage is Stage.OPEN else Code.ERROR, 0, found)
+                return self._ended(Code.CONNECT_FAILED, 0, found)
+            # after a protocol violation it is not known whether the set-up ran
+            self._ended(Code.RESET if self.stage is Stage.OPEN else Code.ERROR, 0, found)
 
-    def _over(self, code: Code, status: int, found: list[Result]) -> None:
-        found.append(Over(code, status))
+    def _ended(self, code: Code, status: int, found: list[AttemptResult]) -> None:
+        found.append(AttemptEnded(code, status))
 
-    def _request(self, request: Request) -> None:
+    def _handle_request(self, request: Request) -> None:
         status = 200 if request.method in ("OPTIONS", "GET_PARAMETER") else 501
         self.out += Connection.answer(request, Response(status))
 
-    def _reply(self, now: int, reply: Reply, found: list[Result]) -> None:
+    def _handle_reply(self, now: int, reply: Reply, found: list[AttemptResult]) -> None:
         response = reply.response
         report = parse_report(response.header(REPORT_HEADER))
         if report is not None:
             self.report = report
             if self.stage is Stage.OPEN:
-                found.append(Reported(report))
+                found.append(LoadReported(report))
         if self.stage is Stage.ASK:
-            found.append(Ready(parse_up(response.header(UP_HEADER))))
+            found.append(HostChecked(parse_host_up(response.header(UP_HEADER))))
         elif reply.method == "SETUP":
-            self._set_up(response, found)
+            self._handle_setup_reply(response, found)
         elif reply.method == "PLAY" and self.stage is Stage.PLAY:
-            self._playing(now, response, found)
+            self._handle_play_reply(now, response, found)
         elif reply.method in ("PLAY", "PAUSE"):
-            found.append(Done(reply.method, response, self._infos(now, response)))
+            found.append(ForwardedReply(reply.method, response, self._infos(now, response)))
         elif reply.method == "SET_PARAMETER":
-            self._rung_answer(response, found)
-        elif response.status == 454:  # a keep-alive for a session that the host no longer has
-            self._over(Code.RESET, 454, found)
+            self._handle_rung_reply(response, found)
+        elif response.status == 454:  # keep-alive for a session that the host no longer has
+            self._ended(Code.RESET, 454, found)
 
-    def _set_up(self, response: Response, found: list[Result]) -> None:
-        first = self._tracks == 0
+    def _handle_setup_reply(self, response: Response, found: list[AttemptResult]) -> None:
+        first = self._tracks_set_up == 0
         if response.status != 200:
-            # only the first SETUP's 453 proves that nothing ran: a code is redeemed with it
+            # Only a 453 to the first SETUP proves that nothing ran: the code is redeemed with that SETUP.
             full = response.status == 453 and (first or self.plan.code is None)
-            return self._over(Code.FULL if full else Code.ERROR, response.status, found)
+            return self._ended(Code.FULL if full else Code.ERROR, response.status, found)
         if first:
             try:
-                self._session = parse_session(response.header("Session") or "")[0]
+                self._session_id = parse_session(response.header("Session") or "")[0]
             except BadHeader:
-                return self._over(Code.ERROR, response.status, found)
+                return self._ended(Code.ERROR, response.status, found)
             if self.plan.code is not None or self.plan.receipt:
-                found.append(Redeemed(response.header("Receipt") or ""))
-        self._tracks += 1
-        if self._tracks < len(self.splices):
-            return self._setup()
-        self._held = True
+                found.append(ReceiptReceived(response.header("Receipt") or ""))
+        self._tracks_set_up += 1
+        if self._tracks_set_up < len(self.splices):
+            return self._send_setup()
+        self._play_ready = True
         if not self.hold:
-            self.go()
+            self.release_play()
 
-    def go(self) -> None:
-        """The PLAY leaves, or will as soon as all tracks are set up."""
+    def release_play(self) -> None:
+        """Allow the PLAY. It is sent now, or once all tracks are set up."""
         self.hold = False
-        if self._held and self.stage is Stage.SETUP:
+        if self._play_ready and self.stage is Stage.SETUP:
             self.stage = Stage.PLAY
-            self._ask("PLAY", self._url(), (("Range", f"npt={self.plan.start:.3f}-"),))
+            self._send_request("PLAY", self._url(), (("Range", f"npt={self.plan.start:.3f}-"),))
 
-    def _playing(self, now: int, response: Response, found: list[Result]) -> None:
+    def _handle_play_reply(self, now: int, response: Response, found: list[AttemptResult]) -> None:
         if response.status != 200:
             full = response.status == 453 and self.plan.code is None
-            return self._over(Code.FULL if full else Code.ERROR, response.status, found)
+            return self._ended(Code.FULL if full else Code.ERROR, response.status, found)
         self.stage = Stage.OPEN
-        found.append(Played(self._infos(now, response)))
-        self._step()
+        found.append(PlaybackStarted(self._infos(now, response)))
+        self._send_wanted_rung()
 
     def _infos(self, now: int, response: Response) -> tuple[tuple[int, int] | None, ...]:
-        """For each track, where the viewer's numbering goes on; None where the host does not say."""
+        """Return for each track where the viewer's numbering continues, None if the host does not say."""
         found: list[tuple[int, int] | None] = [None] * len(self.splices)
         if response.status == 200:
             for info in parse_rtp_info(response.header("RTP-Info") or ""):
@@ -340,48 +363,48 @@
                     found[at] = self.splices[at].announce(now, info.seq, info.rtptime)
         return tuple(found)
 
-    def _rung_answer(self, response: Response, found: list[Result]) -> None:
-        asked, self._asked_rung = self._asked_rung, None
+    def _handle_rung_reply(self, response: Response, found: list[AttemptResult]) -> None:
+        asked, self._requested_rung = self._requested_rung, None
         if response.status == 200 and asked is not None:
             self.rung = asked
-        found.append(Stepped(self.rung, response.status == 200))
-        self._step()
+        found.append(RungAnswered(self.rung, response.status == 200))
+        self._send_wanted_rung()
 
-    def _media(self, now: int, run: bytearray, found: list[Result]) -> None:
+    def _handle_media(self, now: int, run: bytearray, found: list[AttemptResult]) -> None:
         kept, control = splice_run(now, run, self.splices)
-        found += [Media(data) for data in kept]
+        found += [MediaData(data) for data in kept]
         for track, payload in control:
-            self._control(track, payload, found)
+            self._handle_rtcp(track, payload, found)
 
-    def _control(self, track: int, payload: bytes, found: list[Result]) -> None:
+    def _handle_rtcp(self, track: int, payload: bytes, found: list[AttemptResult]) -> None:
         splice = self.splices[track]
         for one in parse_compound(payload) or ():
             if isinstance(one, App):
-                note = note_of(one)
+                note = parse_note(one)
                 if note is not None:
-                    found.append(Told(*note))
+                    found.append(HostNote(*note))
             elif isinstance(one, SenderReport):
-                found.append(_for_viewer(splice, encode_compound([splice.report(one)], splice.ssrc)))
+                found.append(_for_viewer(splice, encode_compound([splice.viewer_report(one)], splice.ssrc)))
             elif isinstance(one, Bye):
-                self._byes += 1
+                self._bye_count += 1
                 found.append(_for_viewer(splice, encode_compound([Bye((splice.ssrc,))], splice.ssrc)))
-                if self._byes == self._tracks:
-                    self._over(Code.OK, 0, found)
+                if self._bye_count == self._tracks_set_up:
+                    self._ended(Code.OK, 0, found)
 
 
-def _for_viewer(splice: Splice, payload: bytes) -> Media:
-    return Media(frame_header(splice.channel + 1, len(payload)) + payload)
+def _for_viewer(splice: Splice, payload: bytes) -> MediaData:
+    return MediaData(frame_header(splice.channel + 1, len(payload)) + payload)
 
 
 class Question:
-    """One question to a host, on a connection of its own."""
+    """One GET_PARAMETER to a host, on a connection of its own."""
 
     def __init__(self, address: str, limits: Limits, headers: Headers = ()) -> None:
         self._wire = Connection(limits)
         self.out = self._wire.ask("GET_PARAMETER", f"rtsp://{address}/", headers)[1]
 
     def receive(self, data: bytes) -> Response | Code | None:
-        """The answer, ERROR for what is none, None while there is neither."""
+        """Return the response, ERROR for a malformed one, None while there is none."""
         for event in self._wire.receive(data):
             if isinstance(event, Reply):
                 return event.response
@@ -391,7 +414,7 @@
 
 
 def load_told(answer: Response | Code) -> tuple[Code, Report | None]:
-    """What the answer to a probe comes to."""
+    """Return the code and the load report of a probe's answer."""
     if isinstance(answer, Code):
         return answer, None
     return (Code.OK if answer.status == 200 else Code.ERROR), parse_report(answer.header(REPORT_HEADER))
--- a/copperyard/control/budget.py
+++ b/copperyard/control/budget.py
@@ -1,7 +1,8 @@
-"""The retry budget, kept where the bytes leave.
+"""The retry budget, checked when the bytes leave.
 
-The module counts when it decides a send; the set-up's first byte leaves a connect later. Two attempts decided
-just over a span apart can so leave within one. Rule 6 is checked from the sockets: the last word is here.
+The controller counts an attempt when it decides to send it; the first byte of the set-up leaves one connect later. So
+two attempts decided slightly more than a span apart can leave within one span. Rule 6 is audited at the sockets, and
+this check decides.
 """
 
 from __future__ import annotations
@@ -11,48 +12,49 @@
 
 
 class RetryBudget:
-    """Trailing windows of `span` ns: at most `free` further attempts plus `share` of the requests taken."""
+    """Sliding window of `span` ns: at most `free` further attempts plus `share` of the requests accepted in it."""
 
     def __init__(self, span: int, free: float | None, share: float) -> None:
         self.span, self.free, self.share = span, free, share
-        self._taken: deque[int] = deque()
+        self._request_times: deque[int] = deque()
         self._spent: deque[int] = deque()
 
     def assume_spent(self, now: int) -> None:
-        """An earlier life was killed: how much it spent of this window is not known, so all of it. Writing each further
-        attempt to disk before it leaves was weighed: a sync for each retry, to save one window without them."""
+        """After a crash the attempts spent in the current window are not known; assume all of them. Writing each
+        further attempt to disk before it leaves was rejected: one sync per retry, to save one window without retries.
+        """
         if self.free is not None:
             self._spent.extend([now] * int(self.free))
 
     def restore(self, now: int, ages: Iterable[int]) -> None:
-        """An earlier life came to a planned end and told how long ago it spent each."""
+        """After a planned end, take over the ages (ns) of the attempts spent."""
         self._spent.extend(sorted(now - age for age in ages))
 
     def ages(self, now: int) -> tuple[int, ...]:
-        """How long ago each further attempt of this window left."""
-        self._forget(now)
+        """Return the ages (ns) of the further attempts in the current window."""
+        self._trim(now)
         return tuple(now - at for at in self._spent)
 
     def taken(self, now: int) -> None:
-        """A request was taken."""
+        """Count an accepted request."""
         if self.free is not None:
-            self._forget(now)
-            self._taken.append(now)
+            self._trim(now)
+            self._request_times.append(now)
 
     def spend(self, now: int) -> bool:
-        """Whether a further attempt may leave now; if so it is counted."""
+        """Return whether a further attempt may leave now, and count it if so."""
         if self.free is None:
             return True
-        self._forget(now)
-        if len(self._spent) + 1 > self.free + self.share * len(self._taken):
+        self._trim(now)
+        if len(self._spent) + 1 > self.free + self.share * len(self._request_times):
             return False
         self._spent.append(now)
         return True
 
-    def _forget(self, now: int) -> None:
-        # an event exactly a span ago is counted among the spent and not among the taken: whichever side of
-        # the edge a watcher puts it, the budget holds
-        while self._taken and self._taken[0] <= now - self.span:
-            self._taken.popleft()
+    def _trim(self, now: int) -> None:
+        # An attempt exactly one span old still counts and a request exactly one span old does not, so the budget
+        # holds for either definition of the window's edge.
+        while self._request_times and self._request_times[0] <= now - self.span:
+            self._request_times.popleft()
         while self._spent and self._spent[0] < now - self.span:
             self._spent.popleft()
--- a/copperyard/control/catalogue.py
+++ b/copperyard/control/catalogue.py
@@ -1,4 +1,4 @@
-"""The titles that viewers may ask for, and where each lies."""
+"""The titles that viewers may request, and where each is stored."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Track:
-    """One track of a title, as its description announces it: `clock` ticks a second of its RTP time."""
+    """One track of a title, as its SDP announces it. `clock` is the RTP clock rate in Hz."""
 
     kind: str
     payload_type: int
@@ -21,7 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Title:
-    """A film. It lies on the hosts of `holders` cells in a row from `home`; `length` in ns, None: live."""
+    """A title. It is stored on the hosts of `holders` consecutive cells from `home`. `length` is in ns, None for a
+    live title.
+    """
 
     number: int
     path: str
@@ -33,7 +35,7 @@
 
 
 class Catalogue:
-    """Titles by path. ValueError where two titles have one path or one number."""
+    """Titles by path. Raises ValueError if two titles share a path or a number."""
 
     def __init__(self, titles: Iterable[Title]) -> None:
         self._titles: dict[str, Title] = {}
@@ -45,6 +47,7 @@
             numbers.add(title.number)
 
     def find(self, path: str) -> Title | None:
+        """Return the title of a path, None if there is none."""
         return self._titles.get(path)
 
     def __len__(self) -> int:
@@ -52,8 +55,9 @@
 
 
 def describe(title: Title, base: str, query: str) -> sdp.Description:
-    """The session description of a title (RFC 2326 appendix C). Control URLs are absolute and carry the
-    query, so that a code reaches SETUP with every client."""
+    """Return the SDP of a title (RFC 2326 appendix C). Control URLs are absolute and contain the query, so that every
+    client sends the code with SETUP.
+    """
     tail = f"?{query}" if query else ""
     url = base + quote_path(title.path)
     length = f"npt=0-{title.length / 1e9:.3f}" if title.length is not None else "npt=now-"
--- a/copperyard/control/core.py
+++ b/copperyard/control/core.py
@@ -1,6 +1,6 @@
-"""One front without its sockets: the viewers' side, the life of wishes, the list, and time, in one piece.
+"""Core of one front, without I/O: RTSP connections, session requests, the server list and timers.
 
-The I/O calls a method for each thing that happens, passing its clock, and then carries out what `take` gives.
+The I/O calls a method for each event, passing its clock, and then executes the I/O actions that the core hands out.
 """
 
 from __future__ import annotations
@@ -11,122 +11,127 @@
 from ..membership.roster import BadList, Roster
 from ..state.facts import Listed
 from .catalogue import Catalogue
-from .memory import Memory
+from .memory import Journal
 from .orders import Line, Order
 from .plays import Plays
 from .rules import FrontRules
 from .visits import Visits
 
-STOOD = 250_000_000  # ns by which a timer is late before the front says that it stood still
+STALL_THRESHOLD_NS = 250_000_000  # lateness of a timer above which the front logs that this process was stalled
 
 
 class Core:
-    """A front. `seed` feeds the module's draws and, through `rng`, session ids and sources."""
+    """A front. `seed` seeds the controller's random choices; `rng` draws session ids and SSRCs."""
 
     def __init__(
         self, rules: FrontRules, catalogue: Catalogue, zones: tuple[str, ...], seed: int, rng: random.Random, name: str
     ) -> None:
         self.rules = rules
-        # a front that comes back under its name is another one to hosts: its requests are numbered anew
+        # A restarted front gets another name, as its request numbers start again.
         name = self.label = f"{name}.{rng.getrandbits(32):08x}"
-        self._orders: list[Order] = []
+        self._io_actions: list[Order] = []
         self.roster = Roster(zones, rules.settings.cells)
-        self.plays = Plays(rules, seed, name, self._orders)
-        self._cached = b""
-        self.list_changed = False  # since it was written down
-        self.plays.reborn = self._reborn
+        self.plays = Plays(rules, seed, name, self._io_actions)
+        self._cached_list = b""
+        self.list_changed = False  # since it was last saved
+        self.plays.host_restarted = self._host_restarted
         self.plays.host_name = lambda server: self.roster.names.get(server, "")
         self.plays.host_address = lambda host: self.roster.addresses.get(self.roster.numbers.get(host, -1))
-        self.visits = Visits(rules, catalogue, self.plays, rng, self._orders, name)
+        self.visits = Visits(rules, catalogue, self.plays, rng, self._io_actions, name)
 
     def take(self) -> list[Order]:
-        """The orders since the last call, in order."""
-        orders = self._orders[:]
-        self._orders.clear()
+        """Return the pending I/O actions in order and clear them."""
+        orders = self._io_actions[:]
+        self._io_actions.clear()
         return orders
 
-    def remember(self, now: int, memory: Memory, spent: tuple[int, ...] | None) -> None:
-        """Before the start: take over what an earlier life left. `spent` are the ages of its last further attempts,
-        None where it did not come to a planned end."""
+    def remember(self, now: int, journal: Journal, spent: tuple[int, ...] | None) -> None:
+        """Take over the state of an earlier run, before the start. `spent` are the ages of its last further attempts,
+        None if it did not end as planned.
+        """
         plays = self.plays
-        plays.memory = memory
+        plays.journal = journal
         plays.restore(now)
         if spent is None:
             plays.budget.assume_spent(now)
         else:
             plays.budget.restore(now, spent)
-        self._cached = memory.state.body
+        self._cached_list = journal.state.body
 
     def _use_cached(self, now: int) -> None:
-        """The list service does not answer at the start: the last list that an earlier life heard is better than none.
-        It is not used before: where the service answers, what it says is newer."""
-        body, self._cached = self._cached, b""
+        """Use the last server list of an earlier run, if the list service does not answer at the start. It is not
+        used earlier, because an answer of the service is newer.
+        """
+        body, self._cached_list = self._cached_list, b""
         if not body or self.roster.generation is not None:
             return
         try:
             news = self.roster.take(now, body)
         except BadList as error:
-            self._orders.append(Line("list not taken", (("text", f"kept from before: {error}"),)))
+            self._io_actions.append(Line("list not taken", (("text", f"kept from before: {error}"),)))
             return
         if news is not None:
-            self._orders.append(Line("list kept from before", (("generation", self.roster.generation or 0),)))
+            self._io_actions.append(Line("list kept from before", (("generation", self.roster.generation or 0),)))
             self.plays.listed(now, ServerList(ListKind.CACHED, news.entries), self.roster.addresses)
 
     def start(self, now: int) -> None:
-        """The front starts knowing no list; with its first event the module asks to follow it."""
+        """Start without a server list; the controller asks to follow it with its first event."""
         self.plays.listed(now, ServerList(ListKind.CACHED), {})
 
     def list_body(self, now: int, body: bytes) -> bool:
-        """An answer of the list service. False where it made no sense and the whole list is needed."""
+        """Take an answer of the list service. Returns False if it is invalid and the full list is needed."""
         try:
             news = self.roster.take(now, body)
         except BadList as error:
-            self._orders.append(Line("list not taken", (("text", str(error)),)))
+            self._io_actions.append(Line("list not taken", (("text", str(error)),)))
             return False
         if news is not None:
-            self._orders.append(
+            self._io_actions.append(
                 Line("list", (("generation", self.roster.generation or 0), ("lines", len(news.entries))))
             )
             self.plays.listed(now, news, self.roster.addresses)
             self.list_changed = True
         return True
 
-    def _reborn(self, now: int, server: int, boot: str, age: int | None) -> bool:
-        """A host tells its boot and age. True where it is another process than the list told of so far; the module
-        knows then."""
+    def _host_restarted(self, now: int, server: int, boot: str, age: int | None) -> bool:
+        """Take the boot id and uptime that a host reports. Returns True if the host has restarted since the list's
+        last report; the controller has been told then.
+        """
         entry = self.roster.heard(now, server, boot, age)
         if entry is None:
             return False
-        self._orders.append(Line("host began anew", (("server", server), ("boot", boot))))
+        self._io_actions.append(Line("host began anew", (("server", server), ("boot", boot))))
         self.plays.listed(now, ServerList(ListKind.DELTA, (entry,)), self.roster.addresses)
         return True
 
     def keep_list(self, now: int) -> None:
-        """Write the list down, for a new life whose list service does not answer. A background job: many changes that
-        come one after another are written once."""
+        """Write the server list to the journal, for a restart without a list service. Runs as a background job, so
+        that changes in quick succession are written once.
+        """
         self.list_changed = False
-        memory = self.plays.memory
-        memory.write(now, Listed(memory.at(now), self.roster.export(now)))
+        journal = self.plays.journal
+        journal.write(now, Listed(journal.at(now), self.roster.export(now)))
 
     def list_failed(self, now: int, text: str) -> None:
-        """The list service did not answer, or its answer was of no use; the module says when to ask again."""
-        self._orders.append(Line("list failed", (("text", text),)))
+        """Handle a failed poll of the list service; the controller decides when to poll again."""
+        self._io_actions.append(Line("list failed", (("text", text),)))
         self.plays.listed(now, ServerList(ListKind.FAILED), {})
         self._use_cached(now)
 
     def next_wake(self) -> int | None:
+        """Return the time of the next timer, None if there is none."""
         return self.plays.timers.next()
 
     def wake(self, now: int) -> None:
-        """Time has passed: whatever is due happens."""
+        """Handle all timers that are due."""
         due = self.next_wake()
-        if due is not None and now - due > STOOD:
-            self._orders.append(Line("stood still", (("ms", (now - due) // 1_000_000),)))
+        if due is not None and now - due > STALL_THRESHOLD_NS:
+            self._io_actions.append(Line("stood still", (("ms", (now - due) // 1_000_000),)))
         for key in self.plays.timers.due(now):
             assert isinstance(key, tuple)
             if key[0] == "idle":
-                self.visits.idle(now, key[1])
+                self.visits.session_idle(now, key[1])
             elif key[0] == "quiet":
-                self.visits.quiet(now, key[1])
+                self.visits.connection_idle(now, key[1])
             else:
-                self.plays.due(now, key)
+                self.plays.timer_due(now, key)
--- a/copperyard/control/feed.py
+++ b/copperyard/control/feed.py
@@ -1,4 +1,4 @@
-"""Feeds the module and has its actions done: one owner for what every core does with a Controller."""
+"""Passes events to a controller and executes its actions, for every core that has a Controller."""
 
 from __future__ import annotations
 
@@ -10,22 +10,28 @@
 
 
 class Feed:
-    """Call it with an event. What the module's actions bring about at once is told after them, never within them.
-    An action that has no way to be done is an error, never silence."""
+    """Call it with an event. Events that are raised while actions are executed are handled after them, not nested. An
+    action without a handler is an error.
+    """
 
-    def __init__(self, module: Callable[[], Controller], do: Mapping[type, Callable[[int, Action], None]]) -> None:
-        self._module, self._do = module, do
+    def __init__(
+        self, controller: Callable[[], Controller], handlers: Mapping[type, Callable[[int, Action], None]]
+    ) -> None:
+        self._controller, self._handlers = controller, handlers
         self._queue: deque[Event] = deque()
-        self._feeding = False
+        self._draining = False
 
     def __call__(self, now: int, event: Event) -> None:
+        """Queue an event and, unless already running, handle all queued events. Raises KeyError for an action without
+        a handler.
+        """
         self._queue.append(event)
-        if self._feeding:
+        if self._draining:
             return
-        self._feeding = True
+        self._draining = True
         try:
             while self._queue:
-                for action in self._module().handle(now, self._queue.popleft()):
-                    self._do[type(action)](now, action)
+                for action in self._controller().handle(now, self._queue.popleft()):
+                    self._handlers[type(action)](now, action)
         finally:
-            self._feeding = False
+            self._draining = False
--- a/copperyard/control/hosts.py
+++ b/copperyard/control/hosts.py
@@ -1,4 +1,4 @@
-"""What a front knows of hosts besides the module's evidence: addresses, and when it learned of an end."""
+"""What a front knows of hosts besides the controller's view: addresses, and when they became unavailable."""
 
 from __future__ import annotations
 
@@ -6,77 +6,85 @@
 
 from ..interface import ListKind, ServerList, ServerState
 
-KEPT_GONE = 4096
-HEARD = 100_000_000  # ns; no host falls, starts anew and listens again within this time of its last byte
+MAX_UNAVAILABLE_HOSTS = 4096
+HEARD_RECENTLY_NS = 100_000_000  # ns; no host crashes, restarts and listens again within this time of its last byte
 
 
 @dataclass(slots=True)
-class Known:
-    """A host of the list, or of an earlier one. `ended` is when this front first heard that it drains or is
-    gone, None while it is ready; `heard` when a byte of it came last; `anew` when
-    this front first knew of the start that is the newest, at `started`."""
+class HostRecord:
+    """A host of the current server list or an earlier one.
+
+    `unavailable_since` is when this front first learned that the host drains or is gone, None while it is ready;
+    `last_heard` is when its last byte arrived; `restart_known_at` is when this front learned of its latest start, at
+    `started`.
+    """
 
     address: str
-    ended: int | None = None
-    heard: int | None = None
+    unavailable_since: int | None = None
+    last_heard: int | None = None
     started: int = 0
-    anew: int | None = None
+    restart_known_at: int | None = None
 
 
 class HostBook:
-    """Guards what the module cannot see: an attempt decided before news of a drain whose first byte would leave
-    after it."""
+    """Checks set-ups for what the controller cannot see: one decided before a drain was known whose first byte would
+    leave after it.
+    """
 
     def __init__(self) -> None:
-        self._known: dict[int, Known] = {}
+        self._hosts: dict[int, HostRecord] = {}
 
-    def learn(self, now: int, news: ServerList, addresses: dict[int, str]) -> None:
-        """Take news of the list, as the module does."""
-        if news.kind == ListKind.FAILED:
+    def update(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
+        """Take an update of the server list, with the same meaning as for the controller."""
+        if update.kind == ListKind.FAILED:
             return
-        for entry in news.entries:
-            known = self._known.setdefault(entry.server, Known(""))
-            known.address = addresses.get(entry.server, known.address)
-            if entry.started != known.started:
-                known.started, known.anew = entry.started, now
+        for entry in update.entries:
+            host = self._hosts.setdefault(entry.server, HostRecord(""))
+            host.address = addresses.get(entry.server, host.address)
+            if entry.started != host.started:
+                host.started, host.restart_known_at = entry.started, now
             if entry.state == ServerState.READY:
-                known.ended = None
-            elif known.ended is None:
-                known.ended = now
-        if news.kind != ListKind.DELTA:
-            named = {entry.server for entry in news.entries}
-            for server, known in self._known.items():
-                if server not in named and known.ended is None:
-                    known.ended = now
+                host.unavailable_since = None
+            elif host.unavailable_since is None:
+                host.unavailable_since = now
+        if update.kind != ListKind.DELTA:
+            named = {entry.server for entry in update.entries}
+            for server, host in self._hosts.items():
+                if server not in named and host.unavailable_since is None:
+                    host.unavailable_since = now
         self._trim()
 
     def _trim(self) -> None:
-        gone = [server for server, known in self._known.items() if known.ended is not None]
-        for server in gone[: max(0, len(gone) - KEPT_GONE)]:
-            del self._known[server]
+        gone = [server for server, host in self._hosts.items() if host.unavailable_since is not None]
+        for server in gone[: max(0, len(gone) - MAX_UNAVAILABLE_HOSTS)]:
+            del self._hosts[server]
 
     def address(self, server: int) -> str | None:
-        known = self._known.get(server)
-        return known.address if known is not None and known.address else None
+        """Return a host's address, None if it is not known."""
+        host = self._hosts.get(server)
+        return host.address if host is not None and host.address else None
 
     def heard(self, now: int, server: int) -> None:
-        """Bytes of a host came."""
-        known = self._known.get(server)
-        if known is not None:
-            known.heard = now
+        """Note that bytes of a host arrived."""
+        host = self._hosts.get(server)
+        if host is not None:
+            host.last_heard = now
 
     def sure(self, now: int, server: int) -> bool:
-        """Whether it is certain, without asking, that a host's process is still the one that it was."""
-        known = self._known.get(server)
-        return known is not None and known.heard is not None and now - known.heard < HEARD
-
-    def may_start(self, server: int, decided: int | None = None) -> bool:
-        """Whether a set-up's first byte may leave for a host now. The grace is not used: a host that ends wants
-        no new work, and the other fronts' news may be older than ours. Nor one that was `decided` before this front
-        knew that the host began anew: it took a cold host for a warm one (seed 1265)."""
-        known = self._known.get(server)
+        """Return whether the host was heard so recently that its process cannot have restarted since."""
+        host = self._hosts.get(server)
+        return host is not None and host.last_heard is not None and now - host.last_heard < HEARD_RECENTLY_NS
+
+    def may_start(self, server: int, decided_at: int | None = None) -> bool:
+        """Return whether a set-up's first byte may leave for a host now.
+
+        The drain grace is not used: a draining host wants no new work, and other fronts may know of the drain
+        earlier. A set-up decided before this front learned that the host restarted is rejected too: it would treat a
+        cold host as a warm one (seed 1265).
+        """
+        host = self._hosts.get(server)
         return (
-            known is not None
-            and known.ended is None
-            and (decided is None or known.anew is None or known.anew <= decided)
+            host is not None
+            and host.unavailable_since is None
+            and (decided_at is None or host.restart_known_at is None or host.restart_known_at <= decided_at)
         )
--- a/copperyard/control/memory.py
+++ b/copperyard/control/memory.py
@@ -1,4 +1,4 @@
-"""What the core needs of the journal, and a front that keeps none."""
+"""The journal as the core sees it, and a null implementation."""
 
 from __future__ import annotations
 
@@ -8,33 +8,34 @@
 from ..state.ledger import State
 
 STORE_WAIT = 1_000_000_000  # ns that a paid set-up, or its PLAY, waits for the disk
-"""Half of what is left of a paid request would do as well; a disk that takes a second has failed for this purpose, and
-most of a deadline is left to try elsewhere or to say no."""
+"""A disk that takes a second has failed for this purpose, and most of the deadline is left to try elsewhere or to
+refuse. Half of the time left until the deadline would serve as well.
+"""
 
 
-class Memory(Protocol):
-    """Facts go in; each has a number, and is durable at some later time, or never."""
+class Journal(Protocol):
+    """Takes facts. Each gets a sequence number and becomes durable at some later time, or never."""
 
     @property
     def state(self) -> State:
-        """What is known."""
+        """All that is known."""
 
     @property
     def well(self) -> bool:
-        """Whether a fact that is written now can be expected to be durable soon."""
+        """Whether a fact that is written now can be expected to become durable soon."""
 
     def at(self, now: int) -> int:
-        """Service time of this moment."""
+        """Return the service time of a loop time (ns)."""
 
     def write(self, now: int, fact: Fact) -> int:
-        """Take a fact; its number."""
+        """Write a fact and return its sequence number."""
 
     def durable(self, sequence: int) -> bool:
-        """Whether the fact of that number outlives this process."""
+        """Return whether the fact with that number survives this process."""
 
 
-class Forgetful:
-    """No journal: nothing outlives the process, and nothing waits for it."""
+class NullJournal:
+    """No journal: nothing survives the process, and nothing waits for it."""
 
     well = True
 
@@ -42,10 +43,13 @@
         self.state = State()
 
     def at(self, now: int) -> int:
+        """Return the loop time itself."""
         return now
 
     def write(self, now: int, fact: Fact) -> int:
+        """Discard the fact."""
         return 0
 
     def durable(self, sequence: int) -> bool:
+        """Return True, so that nothing waits."""
         return True
--- a/copperyard/control/orders.py
+++ b/copperyard/control/orders.py
@@ -1,4 +1,4 @@
-"""What the core wants the I/O to do. Orders are carried out in their order; none of them waits."""
+"""I/O actions: what the core asks the I/O to do. They are executed in order, and none of them blocks."""
 
 from __future__ import annotations
 
@@ -13,43 +13,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Connect to the attempt's host and run its dialogue. At `attempt.limit` the connection is closed and the
-    core told, unless it plays by then."""
+    """Connect to the attempt's host and run its dialogue. Unless it plays by the attempt's deadline, the connection
+    is closed and the core is told.
+    """
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Flush:
-    """The attempt has bytes for its host."""
+    """Write the attempt's pending bytes to its host."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Write what the attempt still has to say, close its connection, then tell the core."""
+    """Write the attempt's pending bytes, close its connection, then tell the core."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Wrote:
-    """The visitor's outbox has something to send."""
+    """Write the pending bytes of a viewer connection."""
 
     visitor: Visitor
 
 
 @dataclass(frozen=True, slots=True)
 class Hangup:
-    """Close the visitor's connection once its outbox is empty."""
+    """Close a viewer connection once its outbox is empty."""
 
     visitor: Visitor
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Probe a host: a connection, one question, an answer within the time for a connect."""
+    """Probe a host: one request on a connection of its own, answered within the connect time-out."""
 
     server: int
     address: str
@@ -57,8 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Ask a host what became of the set-up `request`, within the time for a connect; `code` is the digest that the
-    answer is given back with."""
+    """Ask a host what became of the set-up `request`, within the connect time-out. The answer is returned with
+    `code`, the code's digest.
+    """
 
     address: str
     request: str
@@ -67,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """Start to follow the server list, or stop."""
+    """Start or stop following the server list."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A line for the log. `fields` never hold a code in clear."""
+    """Write a log line. `fields` never contain a code in clear text."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
--- a/copperyard/control/outbox.py
+++ b/copperyard/control/outbox.py
@@ -1,56 +1,58 @@
-"""What waits for one viewer: bounded, and with an end for a viewer that takes nothing.
+"""Output queue of one viewer: bounded, with a time-out for a viewer that accepts nothing.
 
-Nothing is dropped from the middle of a stream: numbering stays whole. Once `limit` bytes wait, the host that
-feeds the viewer is read no further, which pushes back to it over TCP; each session has a host connection of
-its own, so no other is held up. A viewer that takes no byte for `stall` loses its sessions.
+Nothing is dropped from the middle of a stream, so numbering stays continuous. Once `limit` bytes wait, the I/O stops
+reading from the host that feeds the viewer, which pushes back over TCP. Each session has its own host connection, so
+no other session is affected. A viewer that accepts no byte for the stall time loses its sessions.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-CHUNK = 65536
+MAX_WRITE_BYTES = 65536
 
 
 class Outbox:
-    """Bytes for one peer, first in first out. `limit` bytes hold back media; answers always fit, as a peer's
-    unanswered requests are bounded."""
+    """FIFO of bytes for one peer. `limit` bytes hold back media. Responses always fit, because the number of a peer's
+    unanswered requests is bounded.
+    """
 
     def __init__(self, limit: int, stall: int) -> None:
         self.limit, self.stall = limit, stall
         self.size = 0
-        self.taken = 0  # bytes that the peer took so far
+        self.bytes_taken = 0  # total bytes accepted by the peer
         self._parts: deque[bytes] = deque()
 
     def put(self, data: bytes) -> None:
+        """Append bytes."""
         self._parts.append(data)
         self.size += len(data)
 
     @property
     def full(self) -> bool:
-        """Whether what feeds this box should wait."""
+        """Whether the source of this queue should stop."""
         return self.size >= self.limit
 
     @property
     def roomy(self) -> bool:
-        """Whether what feeds this box may go on: half empty, so that it does not stop and go at every byte."""
+        """Whether the source of this queue may resume: at most half full, so that it does not toggle on each byte."""
         return self.size * 2 <= self.limit
 
     def peek(self) -> bytes:
-        """The next bytes to write, empty where nothing waits."""
+        """Return the next bytes to write, empty if nothing waits."""
         if len(self._parts) > 1:
             parts, size = [], 0
-            while self._parts and size < CHUNK:
+            while self._parts and size < MAX_WRITE_BYTES:
                 parts.append(self._parts.popleft())
                 size += len(parts[-1])
             self._parts.appendleft(b"".join(parts))
         return self._parts[0] if self._parts else b""
 
     def took(self, size: int) -> None:
-        """The peer took `size` of the bytes that peek gave."""
+        """Remove `size` bytes, which the peer accepted, of those that peek returned."""
         if size:
             head = self._parts.popleft()
             if size < len(head):
                 self._parts.appendleft(head[size:])
             self.size -= size
-            self.taken += size
+            self.bytes_taken += size
--- a/copperyard/control/plays.py
+++ b/copperyard/control/plays.py
@@ -1,10 +1,11 @@
-"""The life of each session request: from the viewer's wish to its one answer and to the session's end.
+"""Life cycle of session requests: from the viewer's request to its one answer and to the end of the session.
 
-This is the core that every front shares. It tells the module what happens, turns its actions into orders for
-the I/O, numbers attempts, and keeps what the module cannot see: the bytes that already left. A front (RTSP in
-visits.py) gives wishes and is told what became of them through `Customer`.
+This is the part of the core that is independent of the viewers' protocol. It passes events to the controller, turns
+the controller's actions into I/O actions, numbers the attempts, and tracks what the controller cannot see: which
+bytes have already left. A viewer protocol (RTSP, in RtspServer) hands in session requests and learns their outcome
+through the callbacks of `RequestOwner`.
 
-A wish gets exactly one of played, refused, failed, denied; all four pass `_answer`.
+Each request is answered exactly once, with played, refused, failed or denied; all four go through `_answer`.
 """
 
 from __future__ import annotations
@@ -44,119 +45,126 @@
 from ..state.facts import Redeemed as CodeRedeemed
 from .attempt import (
     Attempt,
-    Done,
-    Media,
-    Over,
-    Plan,
-    Played,
-    Ready,
-    Redeemed,
-    Reported,
-    Result,
+    AttemptEnded,
+    AttemptPlan,
+    AttemptResult,
+    ForwardedReply,
+    HostChecked,
+    HostNote,
+    LoadReported,
+    MediaData,
+    PlaybackStarted,
+    ReceiptReceived,
+    RungAnswered,
     Stage,
-    Stepped,
-    Told,
 )
 from .budget import RetryBudget
 from .catalogue import Title
-from .evidence import NoteGate
+from .evidence import NoteRateLimiter
 from .feed import Feed
 from .hosts import HostBook
-from .memory import STORE_WAIT, Forgetful, Memory
+from .memory import STORE_WAIT, Journal, NullJournal
 from .orders import Ask, Flush, Follow, Line, Order, Settle, Start, Stop
-from .redemption import Fate, Redemptions, Verdict
+from .redemption import CodeState, Redemptions, Verdict
 from .rules import FrontRules
 from .settling import Answer, Settler, parse_settled
 from .splice import Splice
 from .timers import Timers
 
-UNRUN = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)
+NOT_RUN_OUTCOMES = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)
 SECOND = 1_000_000_000
-EXPIRE_EVERY = 60 * SECOND  # ns between looks for codes that may be forgotten
-EXPIRE_MOST = 2000  # codes forgotten at a time: about a millisecond
+CODE_EXPIRY_INTERVAL_NS = 60 * SECOND  # ns between checks for expired codes
+MAX_CODES_EXPIRED = 2000  # codes forgotten per run; about 1 ms
 
 
-class Customer(Protocol):
-    """The front's side of one wish."""
+class RequestOwner(Protocol):
+    """Callbacks of whoever made a session request, implemented by the viewer protocol."""
 
     def played(self, now: int, infos: tuple[tuple[int, int] | None, ...]) -> None:
-        """The answer: it plays."""
+        """Answer: the session plays. `infos` is the RTP-Info of each track (sequence number, timestamp), if known."""
 
     def refused(self, now: int, retry_after: int) -> None:
-        """The answer: no; a new try does no harm, best after `retry_after` ns (0: no advice)."""
+        """Answer: refused. A retry is safe, best after `retry_after` ns (0: no advice)."""
 
     def failed(self, now: int, code: Code | None) -> None:
-        """The answer: it failed; nothing is promised of what ran."""
+        """Answer: failed. Whether anything ran at a host is not known."""
 
     def denied(self, now: int, status: int, text: str) -> None:
-        """The answer: this may not be had, whatever the room."""
+        """Answer: not available to this viewer, regardless of capacity."""
 
-    def media(self, now: int, media: Media) -> None:
-        """Bytes for the viewer of what plays."""
+    def media(self, now: int, media: MediaData) -> None:
+        """Deliver media of the playing session to the viewer."""
 
-    def done(self, now: int, done: Done) -> None:
-        """A pause or resume has its answer."""
+    def forwarded_reply(self, now: int, reply: ForwardedReply) -> None:
+        """Deliver the host's answer to a forwarded PAUSE or PLAY."""
 
     def ended(self, now: int, code: Code) -> None:
-        """What played is over."""
+        """The playing session has ended."""
 
-    def moved(self, now: int) -> None:
-        """The session ends so that it comes back to this front."""
+    def redirected(self, now: int) -> None:
+        """The session is about to end and the viewer is to request it again at this front."""
 
     def blocked(self) -> bool:
-        """Whether the viewer takes no more for now."""
+        """Return whether the viewer's output queue is full."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What a viewer wants: `top` the highest rung that it can use, `start` the place in the film in s."""
+class SessionRequest:
+    """A viewer's request for a session. `max_rung` is the highest rung that the viewer can use, `start_s` the
+    position in the title in seconds, `splices` the RTP state of each requested track, `moved` whether it continues a
+    session that was redirected.
+    """
 
     title: Title
     tracks: tuple[int, ...]
     cls: int
-    top: int
+    max_rung: int
     code: str | None
-    start: float
+    start_s: float
     splices: tuple[Splice, ...]
     moved: bool = False
 
 
 @dataclass(slots=True)
-class Play:
-    """One wish. `customer` is None once the viewer left."""
+class RequestState:
+    """State of one session request.
+
+    The request's owner is None once the viewer has left. `code_is_fresh` is true while its code may still be sent as
+    a new one. `playing` is set when the host plays; `playing_since` and `last_keep_alive` are loop times in ns.
+    """
 
     ref: int
-    wish: Wish
-    customer: Customer | None
+    request: SessionRequest
+    customer: RequestOwner | None
     deadline: int
-    fresh: bool
+    code_is_fresh: bool
     rung: int = 0
     attempts: int = 0
     attempt: Attempt | None = None
     answered: bool = False
-    opened: bool = False
-    last: Code | None = None
+    playing: bool = False
+    last_outcome: Code | None = None
     host: str = ""
-    kept_alive: int = 0
-    began: int = 0
+    last_keep_alive: int = 0
+    playing_since: int = 0
 
 
 class Watcher:
-    """Who measures what a front is asked and what becomes of it; this one does not."""
+    """Observer of session requests and their outcomes. This base class ignores all events."""
 
     def wished(self, now: int, cls: int) -> None:
-        """A viewer asked for a session."""
+        """A viewer requested a session of class `cls`."""
 
     def lasted(self, cls: int, ns: int) -> None:
-        """A session that played is over."""
+        """A session of class `cls` ended after playing for `ns`."""
 
     def tried(self, now: int, server: int, broke: bool) -> None:
-        """A set-up at a host came to its end, or stands."""
+        """A set-up at a host failed, or succeeded."""
 
 
 @dataclass(slots=True)
 class Counts:
-    """What happened since the start."""
+    """Totals since the start. `_answer` updates the field of each answer by its name."""
 
     taken: int = 0
     played: int = 0
@@ -169,7 +177,9 @@
 
 
 class Plays:
-    """All wishes of one front. Every method takes the front's own clock in ns; orders gather in `orders`."""
+    """All session requests of one front. Every method takes the loop's clock in ns; I/O actions are appended to the
+    list that is passed in.
+    """
 
     def __init__(
         self, rules: FrontRules, seed: int, name: str, orders: list[Order], controller: Controller | None = None
@@ -178,26 +188,26 @@
         self.rules, self.name, self.orders = rules, name, orders
         self.controller = controller if controller is not None else Controller(s, seed)
         self.hosts = HostBook()
-        # how long an attempt that is about to leave waits for news of the list that has begun to arrive: a set-up
-        # that left later than the grace after the news began would be late by the news' own length
+        # How long an attempt that is ready to leave waits for the rest of a server list update that has begun to
+        # arrive. A set-up that left later than the drain grace after the update began would violate the grace.
         self.news_wait = s.drain_grace
-        self.reborn: Callable[[int, int, str, int | None], bool] = lambda now, server, boot, age: False
+        self.host_restarted: Callable[[int, int, str, int | None], bool] = lambda now, server, boot, age: False
         self.budget = RetryBudget(s.ratio_span, s.free_resends, s.further_ratio)
         self.codes = Redemptions(rules.bounds.codes)
-        self.memory: Memory = Forgetful()
+        self.journal: Journal = NullJournal()
         self.watcher = Watcher()
         self.settler = Settler()
         self.host_name: Callable[[int], str] = str
         self.host_address: Callable[[str], str | None] = lambda name: None
-        self._stored: dict[int, Attempt] = {}  # attempts that wait for the journal, by ref
+        self._awaiting_journal: dict[int, Attempt] = {}  # attempts that wait for the journal, by ref
         self.timers = Timers()
-        self.plays: dict[int, Play] = {}
-        self.waiting = 0  # of them, those that do not play yet
+        self.plays: dict[int, RequestState] = {}
+        self.waiting = 0  # number of requests that do not play yet
         self.counts = Counts()
-        self._gate = NoteGate()
-        self._next = 1
-        self._asked: dict[int, int] = {}
-        self._feed = Feed(
+        self._note_limiter = NoteRateLimiter()
+        self._next_ref = 1
+        self._probe_sent: dict[int, int] = {}
+        self._notify_controller = Feed(
             lambda: self.controller,
             {
                 Send: self._send,
@@ -213,7 +223,7 @@
             },
         )
 
-    # ---- the module
+    # ---- controller actions
 
     def _log(self, now: int, action: Action) -> None:
         assert isinstance(action, Log)
@@ -231,220 +241,238 @@
         assert isinstance(action, Probe)
         address = self.hosts.address(action.server)
         if address is None:
-            self._feed(now, Probed(action.server, Code.MOOT, 0))
+            self._notify_controller(now, Probed(action.server, Code.MOOT, 0))
         else:
-            self._asked[action.server] = now
+            self._probe_sent[action.server] = now
             self.orders.append(Ask(action.server, address))
 
     def _rate(self, now: int, action: Action) -> None:
         assert isinstance(action, Rate)
-        play = self.plays.get(action.ref)
-        if play is None:
+        state = self.plays.get(action.ref)
+        if state is None:
             return
-        play.rung = action.rung
-        if play.attempt is not None and play.attempt.stage is Stage.OPEN:
-            play.attempt.set_rung(action.rung)
-            self.orders.append(Flush(play.attempt))
+        state.rung = action.rung
+        if state.attempt is not None and state.attempt.stage is Stage.OPEN:
+            state.attempt.set_rung(action.rung)
+            self.orders.append(Flush(state.attempt))
 
     def _send(self, now: int, action: Action) -> None:
         assert isinstance(action, Send)
-        play = self.plays.get(action.ref)
-        if play is None:
+        state = self.plays.get(action.ref)
+        if state is None:
             return
-        number, play.attempts = play.attempts, play.attempts + 1
+        number, state.attempts = state.attempts, state.attempts + 1
         address = self.hosts.address(action.server)
-        if play.attempt is not None or address is None or not self.hosts.may_start(action.server):
-            # an attempt still out, or a host that this front no longer knows as ready: nothing leaves
-            self._outcome(now, play, number, action.server, Code.MOOT, 0, None)
+        if state.attempt is not None or address is None or not self.hosts.may_start(action.server):
+            # another attempt is still out, or the host is not known as ready: nothing is sent
+            self._report_outcome(now, state, number, action.server, Code.MOOT, 0, None)
             return
-        wish = play.wish
-        receipt = self.codes.receipt(wish.code) if wish.code is not None and not play.fresh else ""
-        cls = self.rules.settings.classes[wish.cls].name
-        play.host = self.host_name(action.server)
-        plan = Plan(
-            play.ref,
+        request = state.request
+        receipt = self.codes.receipt(request.code) if request.code is not None and not state.code_is_fresh else ""
+        cls = self.rules.settings.classes[request.cls].name
+        state.host = self.host_name(action.server)
+        plan = AttemptPlan(
+            state.ref,
             number,
             action.server,
             address,
-            wish.title,
-            wish.tracks,
+            request.title,
+            request.tracks,
             cls,
-            play.rung,
+            state.rung,
             self.name,
-            wish.code if play.fresh else None,
+            request.code if state.code_is_fresh else None,
             receipt,
-            wish.start,
+            request.start_s,
         )
-        play.attempt = Attempt(plan, self.rules.hosts, wish.splices, now, min(action.not_past, play.deadline))
+        state.attempt = Attempt(plan, self.rules.hosts, request.splices, now, min(action.not_past, state.deadline))
         if plan.code is not None:
-            # the disk works while the connection is made; the set-up waits for both
+            # The journal write runs while the connection is made; the set-up waits for both.
             fact = Carried(
-                self.memory.at(now), digest(plan.code), f"{self.name}/{plan.ref}", self.host_name(plan.server)
+                self.journal.at(now), digest(plan.code), f"{self.name}/{plan.ref}", self.host_name(plan.server)
             )
-            play.attempt.intent, play.attempt.hold = self.memory.write(now, fact), True
+            state.attempt.intent, state.attempt.hold = self.journal.write(now, fact), True
         self.counts.attempts += 1
-        self.orders.append(Start(play.attempt))
+        self.orders.append(Start(state.attempt))
 
     def _cancel(self, now: int, action: Action) -> None:
         assert isinstance(action, Cancel)
-        play = self.plays.get(action.ref)
+        state = self.plays.get(action.ref)
         if (
-            play is not None
-            and play.attempt is not None
-            and not play.opened
-            and play.attempt.plan.number == action.attempt
+            state is not None
+            and state.attempt is not None
+            and not state.playing
+            and state.attempt.plan.number == action.attempt
         ):
-            self._end(play.attempt, Code.CANCELLED)
+            self._end_attempt(state.attempt, Code.CANCELLED)
 
     def _move(self, now: int, action: Action) -> None:
         assert isinstance(action, Move)
-        play = self.plays.get(action.ref)
-        if play is not None and play.attempt is not None and play.opened:
-            if play.customer is not None:
-                play.customer.moved(now)
-            self._end(play.attempt, Code.CANCELLED)
+        state = self.plays.get(action.ref)
+        if state is not None and state.attempt is not None and state.playing:
+            if state.customer is not None:
+                state.customer.redirected(now)
+            self._end_attempt(state.attempt, Code.CANCELLED)
 
     def _refuse(self, now: int, action: Action) -> None:
         assert isinstance(action, Refuse)
-        play = self.plays.get(action.ref)
-        if play is not None:
-            self._answer(now, play, "refused", lambda c: c.refused(now, action.retry_after))
+        state = self.plays.get(action.ref)
+        if state is not None:
+            self._answer(now, state, "refused", lambda c: c.refused(now, action.retry_after))
 
     def _fail(self, now: int, action: Action) -> None:
         assert isinstance(action, Fail)
-        play = self.plays.get(action.ref)
-        if play is not None:
-            self._answer(now, play, "failed", lambda c: c.failed(now, play.last))
+        state = self.plays.get(action.ref)
+        if state is not None:
+            self._answer(now, state, "failed", lambda c: c.failed(now, state.last_outcome))
+
+    # ---- session requests
 
-    # ---- wishes
+    def begin(self, now: int, request: SessionRequest, owner: RequestOwner) -> int | None:
+        """Accept a session request. The owner is told the answer, possibly before this method returns.
 
-    def begin(self, now: int, wish: Wish, customer: Customer) -> int | None:
-        """Take a wish; the customer is told its answer, perhaps before this returns. None where it was answered
-        without the module: a code that is busy, unclear or one too many, or too many open requests."""
-        kind = self.rules.settings.classes[wish.cls]
-        ref, self._next = self._next, self._next + 1
+        Returns the request's ref, or None if it was answered without the controller: its code is in use, unclear or
+        exceeds the number of codes, the journal is down, or too many requests are unanswered.
+        """
+        kind = self.rules.settings.classes[request.cls]
+        ref, self._next_ref = self._next_ref, self._next_ref + 1
         self.counts.taken += 1
         if self.waiting >= self.rules.bounds.open_requests:
             self.counts.failed += 1
-            customer.denied(now, 503, "too many requests wait for their answer")
+            owner.denied(now, 503, "too many requests wait for their answer")
             return None
         fresh = True
-        if wish.code is not None:
-            verdict = self.codes.claim(wish.code, ref)
+        if request.code is not None:
+            verdict = self.codes.claim(request.code, ref)
             if verdict is Verdict.UNCLEAR:
-                self.settler.urge(now, digest(wish.code))
-                self.settle_timer(now)
-            elif verdict is Verdict.REDEEM and not self.memory.well:
-                # without a disk a redemption would be forgotten by a kill: it is not begun. Free sessions, and
-                # families that paid already, go on
-                self.codes.settle(wish.code, ref)
+                self.settler.query_soon(now, digest(request.code))
+                self.schedule_code_queries(now)
+            elif verdict is Verdict.REDEEM and not self.journal.well:
+                # Without a working journal a redemption would be lost if the process were killed, so none is started.
+                # Free sessions and sessions whose code is already redeemed are not affected.
+                self.codes.release(request.code, ref)
                 self.counts.denied += 1
-                customer.denied(now, 503, "codes cannot be taken just now")
+                owner.denied(now, 503, "codes cannot be taken just now")
                 return None
             fresh = verdict is Verdict.REDEEM
             if verdict in _CODE_DENIALS:
                 self.counts.denied += 1
-                customer.denied(now, *_CODE_DENIALS[verdict])
+                owner.denied(now, *_CODE_DENIALS[verdict])
                 return None
-        play = Play(ref, wish, customer, now + kind.deadline, fresh)
-        self.plays[ref] = play
+        state = RequestState(ref, request, owner, now + kind.deadline, fresh)
+        self.plays[ref] = state
         self.waiting += 1
         self.budget.taken(now)
-        self.watcher.wished(now, wish.cls)
-        self.timers.set(("overdue", ref), play.deadline)
-        length = wish.title.length
-        hint = max(0, length - int(wish.start * SECOND)) if length is not None else None
-        title = wish.title
-        self._feed(
+        self.watcher.wished(now, request.cls)
+        self.timers.set(("overdue", ref), state.deadline)
+        length = request.title.length
+        hint = max(0, length - int(request.start_s * SECOND)) if length is not None else None
+        title = request.title
+        self._notify_controller(
             now,
-            Request(ref, wish.cls, wish.top, play.deadline, title.number, title.home, title.holders, hint, wish.moved),
+            Request(
+                ref,
+                request.cls,
+                request.max_rung,
+                state.deadline,
+                title.number,
+                title.home,
+                title.holders,
+                hint,
+                request.moved,
+            ),
         )
         return ref
 
     def leave(self, now: int, ref: int) -> None:
-        """The viewer wants nothing more of a wish: it left, or said TEARDOWN."""
-        play = self.plays.get(ref)
-        if play is None or play.customer is None:
+        """End a request because the viewer left or sent TEARDOWN."""
+        state = self.plays.get(ref)
+        if state is None or state.customer is None:
             return
-        play.customer = None
-        attempt = play.attempt
-        if not play.answered:
+        state.customer = None
+        attempt = state.attempt
+        if not state.answered:
             self.counts.left += 1
         if attempt is None:
-            self._feed(now, Left(ref))
-            self._drop(now, play)
-        elif play.opened:
-            self._end(attempt, Code.OK)
+            self._notify_controller(now, Left(ref))
+            self._remove(now, state)
+        elif state.playing:
+            self._end_attempt(attempt, Code.OK)
         else:
-            self._feed(now, Left(ref))
+            self._notify_controller(now, Left(ref))
             if not (attempt.sent and attempt.plan.code is not None):
-                self._end(attempt, Code.CANCELLED)
-            # else the code may be redeemed this very moment: the attempt goes on to its limit, so that the
-            # family's next request finds a receipt and not a riddle
+                self._end_attempt(attempt, Code.CANCELLED)
+            # Otherwise the code may be redeemed at this moment. The attempt continues to its deadline, so that the
+            # viewer's next request finds the receipt instead of an unclear code.
 
     def received_by_viewer(self, ref: int, track: int, blocks: tuple[Block, ...]) -> None:
-        """Pass on to the host what the viewer received of a track, by its place among the wish's."""
-        play = self.plays.get(ref)
-        if play is not None and play.attempt is not None and play.attempt.receiver_report(track, blocks):
-            self.orders.append(Flush(play.attempt))
+        """Forward a viewer's RTCP reception blocks to the host. `track` is the index among the request's tracks."""
+        state = self.plays.get(ref)
+        if state is not None and state.attempt is not None and state.attempt.forward_receiver_report(track, blocks):
+            self.orders.append(Flush(state.attempt))
 
     def pause(self, now: int, ref: int) -> None:
-        """Pass a viewer's PAUSE on; `Customer.done` or `ended` follows within the class's deadline."""
-        play = self.plays[ref]
-        if play.attempt is not None:
-            play.attempt.pause()
-            self._await(now, play)
+        """Forward a viewer's PAUSE. `forwarded_reply` or `ended` follows within the class's deadline."""
+        state = self.plays[ref]
+        if state.attempt is not None:
+            state.attempt.pause()
+            self._await_forwarded_reply(now, state)
 
     def resume(self, now: int, ref: int, start: str | None) -> None:
-        """Pass a viewer's PLAY after a pause on, from `start` (a Range value) or from where it stood."""
-        play = self.plays[ref]
-        if play.attempt is not None:
-            play.attempt.resume(start)
-            self._await(now, play)
+        """Forward a viewer's PLAY after a pause, from `start` (a Range value) or from the paused position."""
+        state = self.plays[ref]
+        if state.attempt is not None:
+            state.attempt.resume(start)
+            self._await_forwarded_reply(now, state)
 
-    def _await(self, now: int, play: Play) -> None:
-        assert play.attempt is not None
-        self.orders.append(Flush(play.attempt))
-        self.timers.set(("asked", play.ref), now + self.rules.settings.classes[play.wish.cls].deadline)
+    def _await_forwarded_reply(self, now: int, state: RequestState) -> None:
+        assert state.attempt is not None
+        self.orders.append(Flush(state.attempt))
+        self.timers.set(("asked", state.ref), now + self.rules.settings.classes[state.request.cls].deadline)
 
     # ---- attempts: called by the I/O
 
     def connected(self, now: int, attempt: Attempt) -> bool:
-        """The host's connection stands. Whether the set-up may leave; if not, the I/O closes and says so. This is
-        the last instant at which nothing has run: a drain heard of while connecting, and a retry budget
-        that is used up at this very moment, still stop it."""
-        attempt.trip = now - attempt.began
+        """The connection to the host is established. Returns whether the attempt may continue; if not, the I/O closes
+        the connection and reports it.
+
+        This is the last moment at which nothing has run: a drain learned of while connecting, or a retry budget that
+        is used up by now, still stops the set-up.
+        """
+        attempt.last_exchange_ns = now - attempt.decided_at
         if self.rules.settings.turn is None or self.hosts.sure(now, attempt.plan.server):
             return self._leave(now, attempt)
-        # a host that fell and came back since this front heard of it is cold, and the list may tell later: it is
-        # asked before the set-up leaves
-        if attempt.verdict is None and self._too_late(now, attempt):
+        # A host that restarted since it was last heard is cold, and the server list may report that later. It is
+        # checked before the set-up is sent.
+        if attempt.verdict is None and self._is_stale(now, attempt):
             attempt.verdict = Code.MOOT
         if attempt.verdict is None:
             self.timers.set(("ask", attempt.plan.ref), now + self.rules.settings.connect_timeout)
-            attempt.ask_first(now)
+            attempt.send_host_check(now)
         return attempt.verdict is None
 
-    def _too_late(self, now: int, attempt: Attempt) -> bool:
-        """Whether what held when the attempt was decided need not hold any more: news of an end came since, its time
-        has passed, or so long went by (this front stood still) that a turn at a cold host is another's by now."""
-        # the answer takes as long as the last exchange did, at least: a set-up that leaves later than that is closed
-        # while its first byte is still on its way, and the next attempt overtakes it (seed 3091)
-        longest = 2 * self.rules.settings.connect_timeout + (STORE_WAIT if attempt.intent else 0)
+    def _is_stale(self, now: int, attempt: Attempt) -> bool:
+        """Return whether the decision behind an attempt may be outdated: the host has become unavailable or
+        restarted, the deadline has passed, or so much time went by (this process was stalled) that the attempt's turn
+        at a cold host has passed to another front.
+        """
+        # The answer takes at least as long as the last exchange. A set-up that is sent later than that is closed
+        # while its first byte is still on its way, and the next attempt overtakes it (seed 3091).
+        max_age = 2 * self.rules.settings.connect_timeout + (STORE_WAIT if attempt.intent else 0)
         return (
-            now + attempt.trip >= attempt.limit
-            or now - attempt.began > longest
-            or not self.hosts.may_start(attempt.plan.server, attempt.began)
+            now + attempt.last_exchange_ns >= attempt.limit
+            or now - attempt.decided_at > max_age
+            or not self.hosts.may_start(attempt.plan.server, attempt.decided_at)
         )
 
     def _leave(self, now: int, attempt: Attempt) -> bool:
-        """Whether the set-up leaves now: the last instant at which nothing has run."""
+        """Send the set-up unless the attempt is outdated or over budget. Returns whether the attempt continues."""
         plan = attempt.plan
-        if attempt.verdict is None and self._too_late(now, attempt):
+        if attempt.verdict is None and self._is_stale(now, attempt):
             attempt.verdict = Code.MOOT
-        if attempt.verdict is None and not self.memory.durable(attempt.intent):
-            # that the code may be redeemed from now on must outlive this process
-            self._stored[plan.ref] = attempt
+        if attempt.verdict is None and not self.journal.durable(attempt.intent):
+            # The intent must be durable first: from here on the code may be redeemed, and that must survive a crash.
+            self._awaiting_journal[plan.ref] = attempt
             self.timers.set(("store", plan.ref), now + STORE_WAIT)
             return True
         if attempt.verdict is None and plan.number > 0 and not self.budget.spend(now):
@@ -452,327 +480,344 @@
         if attempt.verdict is not None:
             return False
         if plan.code is not None:
-            self.codes.carried(plan.code)
-        attempt.connected(now)
+            self.codes.mark_sent(plan.code)
+        attempt.start_setup(now)
         return True
 
     def stored(self, now: int) -> None:
-        """More is durable than before, or the disk failed: what waited for it goes on, or comes to its end."""
-        for ref, attempt in list(self._stored.items()):
+        """More of the journal is durable, or the disk failed. Continues or ends the attempts that waited for it."""
+        for ref, attempt in list(self._awaiting_journal.items()):
             if attempt.stage in (Stage.CONNECT, Stage.ASK):
-                if self.memory.durable(attempt.intent):
-                    self._unwait(ref)
+                if self.journal.durable(attempt.intent):
+                    self._stop_journal_wait(ref)
                     if self._leave(now, attempt):
                         self.orders.append(Flush(attempt))
                     else:
                         attempt.tear_down()
                         self.orders.append(Stop(attempt))
-            elif self.memory.durable(attempt.fact):
-                self._unwait(ref)
-                attempt.go()
+            elif self.journal.durable(attempt.receipt_sequence):
+                self._stop_journal_wait(ref)
+                attempt.release_play()
                 self.orders.append(Flush(attempt))
 
-    def _unwait(self, ref: int) -> None:
-        self._stored.pop(ref, None)
+    def _stop_journal_wait(self, ref: int) -> None:
+        self._awaiting_journal.pop(ref, None)
         self.timers.drop(("store", ref))
 
-    def _store_late(self, now: int, ref: int) -> None:
-        """The journal took too long. A set-up that has not left never will; a code that is redeemed is not kept
-        from its family any longer: its intent is durable, and an answer lost by a kill is found again by asking the
-        host."""
-        attempt = self._stored.pop(ref, None)
+    def _journal_late(self, now: int, ref: int) -> None:
+        """End an attempt's wait for the journal.
+
+        A set-up that has not been sent is dropped. A redeemed code is not withheld from its viewer any longer: its
+        intent is durable, and a receipt lost in a crash is recovered by querying the host.
+        """
+        attempt = self._awaiting_journal.pop(ref, None)
         if attempt is None:
             return
         self.orders.append(Line("journal late", (("ref", ref),)))
         if attempt.sent:
-            attempt.go()
+            attempt.release_play()
             self.orders.append(Flush(attempt))
         else:
-            self._end(attempt, Code.MOOT)
+            self._end_attempt(attempt, Code.MOOT)
 
-    # ---- codes that are unclear
+    # ---- unclear codes
 
-    def settle_timer(self, now: int) -> None:
-        """See to it that whoever is due is asked."""
-        due = self.settler.next()
+    def schedule_code_queries(self, now: int) -> None:
+        """Set the timer for the next query about an unclear code."""
+        due = self.settler.next_due()
         if due is not None:
             self.timers.set(("settle", 0), max(now, due))
 
-    def _ask_hosts(self, now: int) -> None:
-        for case in self.settler.due(now, lambda name: self.host_address(name) is not None):
-            address = self.host_address(case.host)
+    def _query_unclear_codes(self, now: int) -> None:
+        for unclear in self.settler.start_due_queries(now, lambda name: self.host_address(name) is not None):
+            address = self.host_address(unclear.host)
             assert address is not None
-            self.orders.append(Settle(address, case.request, case.code))
-        self.settle_timer(now)
+            self.orders.append(Settle(address, unclear.request, unclear.code))
+        self.schedule_code_queries(now)
 
     def settled(self, now: int, code: bytes, text: str | None) -> None:
-        """A host's answer about an unclear code, or None where it gave none."""
+        """Take a host's answer about an unclear code, None if it gave none."""
         answer, receipt = parse_settled(text)
-        if self.settler.answered(now, code, answer):
-            self.cleared_up(now, code, receipt if answer is Answer.REDEEMED else None)
-        self.settle_timer(now)
+        if self.settler.record_answer(now, code, answer):
+            self.resolve_code(now, code, receipt if answer is Answer.REDEEMED else None)
+        self.schedule_code_queries(now)
 
     def expire(self, now: int) -> int:
-        """Forget codes that no office takes any more, a bounded number at a time; when to go on. A background job."""
-        before = self.memory.at(now) - self.rules.bounds.code_life
-        found = self.memory.state.expire(before, EXPIRE_MOST)
+        """Forget codes that have expired at the redemption service, a bounded number per run. Returns the time of the
+        next run. Runs as a background job.
+        """
+        before = self.journal.at(now) - self.rules.bounds.code_life
+        found = self.journal.state.expire(before, MAX_CODES_EXPIRED)
         self.codes.forget(found)
         for code in found:
             self.settler.drop(code)
-        return now if len(found) == EXPIRE_MOST else now + EXPIRE_EVERY
+        return now if len(found) == MAX_CODES_EXPIRED else now + CODE_EXPIRY_INTERVAL_NS
 
     def restore(self, now: int) -> None:
-        """Take over what the journal holds of an earlier life."""
-        state = self.memory.state
+        """Take over the codes that the journal of an earlier run holds."""
+        state = self.journal.state
         self.codes.restore(state.codes)
         for code, kept in state.unclear().items():
             self.settler.add(now, code, kept.request, kept.host)
-        self.settle_timer(now)
+        self.schedule_code_queries(now)
 
-    def cleared_up(self, now: int, code: bytes, receipt: str | None) -> None:
-        """A host told what became of an unclear code: redeemed with this receipt, or (None) never."""
-        if self.codes.cleared_up(code, receipt):
-            at = self.memory.at(now)
-            self.memory.write(now, Cleared(at, code) if receipt is None else CodeRedeemed(at, code, receipt))
+    def resolve_code(self, now: int, code: bytes, receipt: str | None) -> None:
+        """Record what became of an unclear code: redeemed with `receipt`, or never redeemed if it is None."""
+        if self.codes.resolve(code, receipt):
+            at = self.journal.at(now)
+            self.journal.write(now, Cleared(at, code) if receipt is None else CodeRedeemed(at, code, receipt))
             self.orders.append(Line("code settled", (("redeemed", "no" if receipt is None else "yes"),)))
 
-    def _ready(self, now: int, attempt: Attempt, ready: Ready) -> None:
-        """A host that was asked first is there. Where it began anew the module decides again, knowing that."""
+    def _host_checked(self, now: int, attempt: Attempt, check: HostChecked) -> None:
+        """The host answered the check before the set-up. If it has restarted, the controller decides again."""
         plan = attempt.plan
         self.timers.drop(("ask", plan.ref))
-        attempt.trip = now - attempt.asked
-        if ready.up is not None and self.reborn(now, plan.server, *ready.up):
-            self._end(attempt, Code.MOOT)
+        attempt.last_exchange_ns = now - attempt.check_sent_at
+        if check.up is not None and self.host_restarted(now, plan.server, *check.up):
+            self._end_attempt(attempt, Code.MOOT)
         elif not self._leave(now, attempt):
             attempt.tear_down()
             self.orders.append(Stop(attempt))
 
     def received(self, now: int, attempt: Attempt, data: bytes) -> None:
-        """Bytes of a host."""
-        play = self.plays.get(attempt.plan.ref)
-        if play is None or play.attempt is not attempt or attempt.verdict is not None:
+        """Process bytes from a host."""
+        state = self.plays.get(attempt.plan.ref)
+        if state is None or state.attempt is not attempt or attempt.verdict is not None:
             return
         self.hosts.heard(now, attempt.plan.server)
         for result in attempt.receive(now, data):
             if attempt.verdict is not None:
                 break
-            self._result(now, play, attempt, result)
+            self._handle_result(now, state, attempt, result)
         if attempt.out and attempt.verdict is None:
             self.orders.append(Flush(attempt))
 
     def expired(self, now: int, attempt: Attempt) -> None:
-        """The attempt's limit passed; the I/O has closed its connection, or is about to."""
+        """The attempt's deadline passed; the I/O has closed the connection or is about to."""
         if attempt.verdict is None and attempt.stage is not Stage.OPEN:
             attempt.verdict = Code.TIMEOUT if attempt.sent else Code.CONNECT_FAILED
 
     def closed(self, now: int, attempt: Attempt) -> None:
-        """The host's connection is closed: the attempt's one end."""
-        play = self.plays.get(attempt.plan.ref)
-        if play is None or play.attempt is not attempt:
+        """The connection to the host is closed. This is the only place where an attempt ends."""
+        state = self.plays.get(attempt.plan.ref)
+        if state is None or state.attempt is not attempt:
             return
-        code = attempt.verdict if attempt.verdict is not None else attempt.lost()
+        code = attempt.verdict if attempt.verdict is not None else attempt.connection_lost_code()
         attempt.verdict, attempt.stage = code, Stage.DONE
-        play.attempt = None
+        state.attempt = None
         plan = attempt.plan
-        self._unwait(plan.ref)
-        if plan.code is not None and (code in UNRUN or not attempt.sent):
-            self._never_ran(now, plan.code)
-        if play.opened and play.customer is not None:
-            play.customer.ended(now, code)
-        self._outcome(now, play, plan.number, plan.server, code, now - attempt.began, attempt.report)
-
-    def _never_ran(self, now: int, code: str) -> None:
-        if self.codes.never_ran(code):
-            self.memory.write(now, Cleared(self.memory.at(now), digest(code)))
-
-    def _outcome(
-        self, now: int, play: Play, number: int, server: int, code: Code, took: int, report: Report | None
+        self._stop_journal_wait(plan.ref)
+        if plan.code is not None and (code in NOT_RUN_OUTCOMES or not attempt.sent):
+            self._record_never_ran(now, plan.code)
+        if state.playing and state.customer is not None:
+            state.customer.ended(now, code)
+        self._report_outcome(now, state, plan.number, plan.server, code, now - attempt.decided_at, attempt.report)
+
+    def _record_never_ran(self, now: int, code: str) -> None:
+        if self.codes.mark_never_ran(code):
+            self.journal.write(now, Cleared(self.journal.at(now), digest(code)))
+
+    def _report_outcome(
+        self, now: int, state: RequestState, number: int, server: int, code: Code, duration: int, report: Report | None
     ) -> None:
-        over = play.opened or play.answered or play.customer is None
-        if play.opened:
-            self.watcher.lasted(play.wish.cls, max(0, now - play.began))
+        over = state.playing or state.answered or state.customer is None
+        if state.playing:
+            self.watcher.lasted(state.request.cls, max(0, now - state.playing_since))
         else:
             self.watcher.tried(now, server, code in (Code.TIMEOUT, Code.CONNECT_FAILED, Code.RESET, Code.ERROR))
-        play.last = code
+        state.last_outcome = code
         self.counts.outcomes[code.name] = self.counts.outcomes.get(code.name, 0) + 1
         if code is not Code.OK:
-            self._line("attempt ended", play, ("attempt", number), ("server", server), ("outcome", code.name))
+            self._log_line("attempt ended", state, ("attempt", number), ("server", server), ("outcome", code.name))
         if over:
-            self._drop(now, play)
-        self._feed(now, Outcome(play.ref, number, server, code, took, over, report))
+            self._remove(now, state)
+        self._notify_controller(now, Outcome(state.ref, number, server, code, duration, over, report))
 
-    def _end(self, attempt: Attempt, code: Code) -> None:
-        """Bring an attempt to its end; its outcome follows once the connection is closed."""
+    def _end_attempt(self, attempt: Attempt, code: Code) -> None:
+        """Start to end an attempt. Its outcome is reported once the connection is closed."""
         if attempt.verdict is None:
             attempt.verdict = code
             attempt.tear_down()
             self.orders.append(Stop(attempt))
 
-    def _result(self, now: int, play: Play, attempt: Attempt, result: Result) -> None:
+    def _handle_result(self, now: int, state: RequestState, attempt: Attempt, result: AttemptResult) -> None:
         plan = attempt.plan
-        if isinstance(result, Media):
-            if play.customer is not None:
-                play.customer.media(now, result)
-        elif isinstance(result, Played):
-            self._played(now, play, attempt, result)
-        elif isinstance(result, Told):
-            if self._gate.passes(now, plan.server, result.kind):
-                self._feed(now, Note(plan.ref, plan.number, plan.server, result.kind, result.value))
-        elif isinstance(result, Reported):
-            self._feed(now, Probed(plan.server, Code.OK, 0, result.report))
-        elif isinstance(result, Ready):
-            self._ready(now, attempt, result)
-        elif isinstance(result, Redeemed):
-            if play.wish.code is not None:
-                self.codes.redeemed(play.wish.code, result.receipt)
+        if isinstance(result, MediaData):
+            if state.customer is not None:
+                state.customer.media(now, result)
+        elif isinstance(result, PlaybackStarted):
+            self._playback_started(now, state, attempt, result)
+        elif isinstance(result, HostNote):
+            if self._note_limiter.allows(now, plan.server, result.kind):
+                self._notify_controller(now, Note(plan.ref, plan.number, plan.server, result.kind, result.value))
+        elif isinstance(result, LoadReported):
+            self._notify_controller(now, Probed(plan.server, Code.OK, 0, result.report))
+        elif isinstance(result, HostChecked):
+            self._host_checked(now, attempt, result)
+        elif isinstance(result, ReceiptReceived):
+            if state.request.code is not None:
+                self.codes.mark_redeemed(state.request.code, result.receipt)
                 if attempt.hold:
-                    self._keep_receipt(now, attempt, play.wish.code, result.receipt)
-        elif isinstance(result, Stepped):
+                    self._record_receipt(now, attempt, state.request.code, result.receipt)
+        elif isinstance(result, RungAnswered):
             if not result.ok:
                 self.orders.append(Line("rung not followed", (("ref", plan.ref), ("rung", result.rung))))
-                self._feed(now, Note(plan.ref, plan.number, plan.server, NoteKind.RUNG, float(result.rung)))
-        elif isinstance(result, Done):
+                self._notify_controller(
+                    now, Note(plan.ref, plan.number, plan.server, NoteKind.RUNG, float(result.rung))
+                )
+        elif isinstance(result, ForwardedReply):
             self.timers.drop(("asked", plan.ref))
-            if play.customer is not None:
-                play.customer.done(now, result)
+            if state.customer is not None:
+                state.customer.forwarded_reply(now, result)
         else:
-            self._over(now, play, attempt, result)
+            self._attempt_ended(now, state, attempt, result)
 
-    def _keep_receipt(self, now: int, attempt: Attempt, code: str, receipt: str) -> None:
-        fact = CodeRedeemed(self.memory.at(now), digest(code), receipt)
-        attempt.fact = self.memory.write(now, fact)
-        if self.memory.durable(attempt.fact):
-            attempt.go()
+    def _record_receipt(self, now: int, attempt: Attempt, code: str, receipt: str) -> None:
+        fact = CodeRedeemed(self.journal.at(now), digest(code), receipt)
+        attempt.receipt_sequence = self.journal.write(now, fact)
+        if self.journal.durable(attempt.receipt_sequence):
+            attempt.release_play()
         else:
-            self._stored[attempt.plan.ref] = attempt
+            self._awaiting_journal[attempt.plan.ref] = attempt
             self.timers.set(("store", attempt.plan.ref), now + STORE_WAIT)
 
-    def _over(self, now: int, play: Play, attempt: Attempt, over: Over) -> None:
-        if over.status == 403 and attempt.plan.code is not None and not play.opened:
-            # the office takes no such code: that is the viewer's matter, and must not count against the host
-            self._never_ran(now, attempt.plan.code)
-            self._answer(now, play, "denied", lambda c: c.denied(now, 403, "the code is not valid"))
-            self._end(attempt, Code.CANCELLED)
+    def _attempt_ended(self, now: int, state: RequestState, attempt: Attempt, ended: AttemptEnded) -> None:
+        if ended.status == 403 and attempt.plan.code is not None and not state.playing:
+            # The redemption service does not accept the code. That is the viewer's error and must not count against
+            # the host.
+            self._record_never_ran(now, attempt.plan.code)
+            self._answer(now, state, "denied", lambda c: c.denied(now, 403, "the code is not valid"))
+            self._end_attempt(attempt, Code.CANCELLED)
         else:
-            self._end(attempt, over.code)
+            self._end_attempt(attempt, ended.code)
 
-    def _played(self, now: int, play: Play, attempt: Attempt, played: Played) -> None:
-        if play.customer is None or play.answered:
-            self._end(attempt, Code.CANCELLED)
-        elif now > play.deadline:
-            self._end(attempt, Code.TIMEOUT)  # the answer would come too late to be one
+    def _playback_started(self, now: int, state: RequestState, attempt: Attempt, started: PlaybackStarted) -> None:
+        if state.customer is None or state.answered:
+            self._end_attempt(attempt, Code.CANCELLED)
+        elif now > state.deadline:
+            self._end_attempt(attempt, Code.TIMEOUT)  # too late to count as an answer
         else:
-            play.opened, play.kept_alive, play.began = True, now, now
+            state.playing, state.last_keep_alive, state.playing_since = True, now, now
             self.watcher.tried(now, attempt.plan.server, False)
             self.waiting -= 1
-            self._answer(now, play, "played", lambda c: c.played(now, played.infos))
-            self.timers.set(("alive", play.ref), now + self.rules.bounds.silence)
+            self._answer(now, state, "played", lambda c: c.played(now, started.infos))
+            self.timers.set(("alive", state.ref), now + self.rules.bounds.silence)
             plan = attempt.plan
-            self._feed(now, Opened(plan.ref, plan.number, plan.server, now - attempt.began))
+            self._notify_controller(now, Opened(plan.ref, plan.number, plan.server, now - attempt.decided_at))
 
     # ---- answers
 
-    def _answer(self, now: int, play: Play, kind: str, tell: Callable[[Customer], None]) -> None:
-        """The one place from which a wish is answered."""
-        if play.answered:
+    def _answer(self, now: int, state: RequestState, kind: str, tell: Callable[[RequestOwner], None]) -> None:
+        """Answer a request. Every answer goes through here."""
+        if state.answered:
             return
-        play.answered = True
+        state.answered = True
         if kind != "played":
-            self._line(kind, play, ("attempts", play.attempts))
-        self.timers.drop(("overdue", play.ref))
+            self._log_line(kind, state, ("attempts", state.attempts))
+        self.timers.drop(("overdue", state.ref))
         setattr(self.counts, kind, getattr(self.counts, kind) + 1)
-        customer = play.customer
-        if customer is not None:
-            tell(customer)
-        if play.attempt is None:
-            self._drop(now, play)
-
-    def _line(self, event: str, play: Play, *fields: tuple[str, str | int]) -> None:
-        """A line of one session; all of a session's lines share its ref. What went well makes none."""
-        cls = self.rules.settings.classes[play.wish.cls].name
-        self.orders.append(Line(event, (("ref", play.ref), ("class", cls), ("title", play.wish.title.path), *fields)))
-
-    def _drop(self, now: int, play: Play) -> None:
-        """All is over: forget the wish, and say what became of its code."""
-        if self.plays.pop(play.ref, None) is not None and not play.opened:
+        owner = state.customer
+        if owner is not None:
+            tell(owner)
+        if state.attempt is None:
+            self._remove(now, state)
+
+    def _log_line(self, event: str, state: RequestState, *fields: tuple[str, str | int]) -> None:
+        """Log an event of a session request. All lines of a session share its ref; successful steps are not logged."""
+        cls = self.rules.settings.classes[state.request.cls].name
+        self.orders.append(
+            Line(event, (("ref", state.ref), ("class", cls), ("title", state.request.title.path), *fields))
+        )
+
+    def _remove(self, now: int, state: RequestState) -> None:
+        """Remove a finished request and release its code."""
+        if self.plays.pop(state.ref, None) is not None and not state.playing:
             self.waiting -= 1
         for kind in ("overdue", "alive", "asked", "ask"):
-            self.timers.drop((kind, play.ref))
-        if play.wish.code is not None and self.codes.settle(play.wish.code, play.ref) is Fate.UNCLEAR:
-            key = digest(play.wish.code)
-            self.settler.add(now, key, f"{self.name}/{play.ref}", play.host)
-            self.settle_timer(now)
+            self.timers.drop((kind, state.ref))
+        if state.request.code is not None and self.codes.release(state.request.code, state.ref) is CodeState.UNCLEAR:
+            key = digest(state.request.code)
+            self.settler.add(now, key, f"{self.name}/{state.ref}", state.host)
+            self.schedule_code_queries(now)
 
-    # ---- news and time
+    # ---- updates and timers
 
     def agreed(self, now: int, ways: Ways) -> None:
-        """What gateways agreed on for this one."""
-        self._feed(now, ways)
+        """Pass on the ways between zones that the gateways agreed on."""
+        self._notify_controller(now, ways)
 
-    def listed(self, now: int, news: ServerList, addresses: dict[int, str]) -> None:
-        """News of the server list."""
-        self.hosts.learn(now, news, addresses)
-        self._feed(now, news)
+    def listed(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
+        """Take an update of the server list."""
+        self.hosts.update(now, update, addresses)
+        self._notify_controller(now, update)
 
     def probed(self, now: int, server: int, code: Code, report: Report | None) -> None:
-        """The end of a probe."""
-        self._feed(now, Probed(server, code, now - self._asked.pop(server, now), report))
-
-    def due(self, now: int, key: object) -> None:
-        """A timer of this object came up."""
+        """Take the result of a probe."""
+        self._notify_controller(now, Probed(server, code, now - self._probe_sent.pop(server, now), report))
+
+    def timer_due(self, now: int, key: object) -> None:
+        """Handle a timer of this table. The kinds are: module (the controller's timers), settle (queries about
+        unclear codes), store (journal wait), overdue (request deadline), alive (host silence), ask (host check),
+        asked (forwarded PAUSE or PLAY).
+        """
         assert isinstance(key, tuple)
         kind, number = key
         if kind == "module":
-            self._feed(now, Wake(number))
+            self._notify_controller(now, Wake(number))
             return
         if kind == "settle":
-            return self._ask_hosts(now)
+            return self._query_unclear_codes(now)
         if kind == "store":
-            return self._store_late(now, number)
-        play = self.plays.get(number)
-        if play is None:
+            return self._journal_late(now, number)
+        state = self.plays.get(number)
+        if state is None:
             return
         if kind == "overdue":
-            self._overdue(now, play)
+            self._deadline_passed(now, state)
         elif kind == "alive":
-            self._alive(now, play)
+            self._check_host_silence(now, state)
         elif kind == "ask":
-            if play.attempt is not None and play.attempt.stage is Stage.ASK:
-                self._end(play.attempt, Code.CONNECT_FAILED)  # it takes connections and says nothing: nothing ran
-        elif kind == "asked" and play.attempt is not None:
-            self._end(play.attempt, Code.TIMEOUT)  # the host left a PAUSE or PLAY without an answer
-
-    def _overdue(self, now: int, play: Play) -> None:
-        """The viewer's time is up and nothing was said: this front stood still, or a host's bytes came late.
-        A late failure is an answer; silence is none."""
-        self._feed(now, Left(play.ref))
-        attempt = play.attempt
-        self._answer(now, play, "failed", lambda c: c.failed(now, Code.TIMEOUT))
+            if state.attempt is not None and state.attempt.stage is Stage.ASK:
+                self._end_attempt(
+                    state.attempt, Code.CONNECT_FAILED
+                )  # accepts connections but does not answer: nothing ran
+        elif kind == "asked" and state.attempt is not None:
+            self._end_attempt(state.attempt, Code.TIMEOUT)  # the host did not answer a PAUSE or PLAY
+
+    def _deadline_passed(self, now: int, state: RequestState) -> None:
+        """The request's deadline passed without an answer: this process was stalled, or the host's bytes were late. A
+        late failure is still an answer.
+        """
+        self._notify_controller(now, Left(state.ref))
+        attempt = state.attempt
+        self._answer(now, state, "failed", lambda c: c.failed(now, Code.TIMEOUT))
         if attempt is not None:
-            self._end(attempt, Code.TIMEOUT)
+            self._end_attempt(attempt, Code.TIMEOUT)
 
-    def _alive(self, now: int, play: Play) -> None:
-        """Watch over what plays: a host that vanished without a reset sends nothing, not even an end."""
-        attempt = play.attempt
+    def _check_host_silence(self, now: int, state: RequestState) -> None:
+        """Check that the host of a playing session still sends. A host that vanishes without a reset sends nothing,
+        not even an end of stream.
+        """
+        attempt = state.attempt
         if attempt is None or attempt.verdict is not None:
             return
         bounds, plan = self.rules.bounds, attempt.plan
-        quiet = 0 if play.customer is not None and play.customer.blocked() else now - attempt.heard
-        if quiet >= bounds.dead:
-            self._end(attempt, Code.TIMEOUT)
+        silent_for = 0 if state.customer is not None and state.customer.blocked() else now - attempt.last_heard
+        if silent_for >= bounds.dead:
+            self._end_attempt(attempt, Code.TIMEOUT)
             return
-        if quiet >= bounds.silence and self._gate.passes(now, plan.server, NoteKind.SHARE):
-            self._feed(now, Note(plan.ref, plan.number, plan.server, NoteKind.SHARE, 0.0))
-        if quiet >= bounds.silence or now - play.kept_alive >= bounds.idle // 3:
-            play.kept_alive = now
+        if silent_for >= bounds.silence and self._note_limiter.allows(now, plan.server, NoteKind.SHARE):
+            self._notify_controller(now, Note(plan.ref, plan.number, plan.server, NoteKind.SHARE, 0.0))
+        if silent_for >= bounds.silence or now - state.last_keep_alive >= bounds.idle // 3:
+            state.last_keep_alive = now
             attempt.keep_alive()
             self.orders.append(Flush(attempt))
-        self.timers.set(("alive", play.ref), now + bounds.silence)
+        self.timers.set(("alive", state.ref), now + bounds.silence)
 
 
 _CODE_DENIALS = {
     Verdict.BUSY: (403, "the code is in use"),
-    # a refusal would promise that a new try does no harm; of an unclear code nobody can say that yet
+    # a refusal would promise that a retry is safe, which is not known for an unclear code
     Verdict.UNCLEAR: (500, "whether the code was redeemed is not known"),
-    Verdict.CROWDED: (503, "too many codes are in use"),
+    Verdict.TABLE_FULL: (503, "too many codes are in use"),
 }
--- a/copperyard/control/redemption.py
+++ b/copperyard/control/redemption.py
@@ -1,7 +1,7 @@
-"""Paid codes: what became of each, and what a request that brings one may do.
+"""Paid codes: what is known of each, and what a request with a code may do.
 
-A code is redeemed by the first set-up that carries it to a host. From then on it must never be carried as a
-fresh one again; a session that paid may come back with the receipt that the host gave.
+A code is redeemed by the first set-up that carries it to a host. After that it must never be sent as a fresh code
+again; the viewer may return with the receipt that the host gave.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from ..state.ledger import Kept
 
 
-class Fate(Enum):
-    """What is known of a code. UNCLEAR: a set-up may have run and no host said so."""
+class CodeState(Enum):
+    """What is known of a code. UNCLEAR: a set-up may have run and no host confirmed it."""
 
-    OUT = "out"
+    PENDING = "out"
     REDEEMED = "redeemed"
     UNCLEAR = "unclear"
 
@@ -29,108 +29,113 @@
     RESUME = "resume"
     BUSY = "busy"
     UNCLEAR = "unclear"
-    CROWDED = "crowded"
+    TABLE_FULL = "crowded"
 
 
 @dataclass(slots=True)
-class _Code:
-    fate: Fate
+class _CodeRecord:
+    state: CodeState
     ref: int | None
     receipt: str = ""
-    carried: bool = False
+    sent: bool = False
 
 
 class Redemptions:
-    """The ledger of codes of one front, `most` at a time. None is ever forgotten to make room, the redeemed ones
-    neither: seeds 1145 and 1454 of the drawn worlds sent such a code out as a fresh one, and only the office stood
-    between a family and a second payment. A full ledger takes no new codes. Codes are kept by their digests, as on
-    disk."""
+    """The codes of one front, at most `max_codes`, by their digests as in the journal.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._codes: dict[bytes, _Code] = {}
+    No code is dropped to make room, not even a redeemed one: in the simulated seeds 1145 and 1454 a dropped code was
+    sent out as a fresh one, and only the redemption service prevented a second payment. When the table is full, new
+    codes are rejected.
+    """
+
+    def __init__(self, max_codes: int) -> None:
+        self.max_codes = max_codes
+        self._codes: dict[bytes, _CodeRecord] = {}
 
     def __len__(self) -> int:
         return len(self._codes)
 
     def restore(self, codes: Mapping[bytes, Kept]) -> None:
-        """Take over what an earlier life knew: those without a receipt are unclear."""
+        """Take over the codes of an earlier run; those without a receipt are unclear."""
         for code, kept in codes.items():
-            fate = Fate.UNCLEAR if kept.receipt is None else Fate.REDEEMED
-            self._codes[code] = _Code(fate, None, kept.receipt or "", True)
+            state = CodeState.UNCLEAR if kept.receipt is None else CodeState.REDEEMED
+            self._codes[code] = _CodeRecord(state, None, kept.receipt or "", True)
 
     def claim(self, code: str, ref: int) -> Verdict:
-        """A request `ref` brings a code. REDEEM and RESUME bind the code to it until `settle`."""
+        """Claim a code for the request `ref`. REDEEM and RESUME bind the code to the request until `release`."""
         key = digest(code)
-        known = self._codes.get(key)
-        if known is None:
-            if len(self._codes) >= self.most:
-                return Verdict.CROWDED
-            self._codes[key] = _Code(Fate.OUT, ref)
+        record = self._codes.get(key)
+        if record is None:
+            if len(self._codes) >= self.max_codes:
+                return Verdict.TABLE_FULL
+            self._codes[key] = _CodeRecord(CodeState.PENDING, ref)
             return Verdict.REDEEM
-        if known.ref is not None:
+        if record.ref is not None:
             return Verdict.BUSY
-        if known.fate is Fate.UNCLEAR:
+        if record.state is CodeState.UNCLEAR:
             return Verdict.UNCLEAR
-        known.ref = ref
+        record.ref = ref
         return Verdict.RESUME
 
     def receipt(self, code: str) -> str:
-        """The receipt that a resumed set-up shows; empty where the code is not redeemed yet."""
-        known = self._codes.get(digest(code))
-        return known.receipt if known is not None else ""
-
-    def carried(self, code: str) -> None:
-        """A set-up's bytes with the code leave for a host: from here on it may have been redeemed."""
-        known = self._codes.get(digest(code))
-        if known is not None and known.fate is Fate.OUT:
-            known.carried = True
-
-    def never_ran(self, code: str) -> bool:
-        """It is proven that the set-up did not run: the code is as it was before it left. Whether that is news: a code
-        that is redeemed stays so."""
-        known = self._codes.get(digest(code))
-        if known is None or known.fate is not Fate.OUT:
+        """Return the receipt for a resumed set-up, empty if the code is not redeemed yet."""
+        record = self._codes.get(digest(code))
+        return record.receipt if record is not None else ""
+
+    def mark_sent(self, code: str) -> None:
+        """Note that a set-up with the code is being sent: from here on it may be redeemed."""
+        record = self._codes.get(digest(code))
+        if record is not None and record.state is CodeState.PENDING:
+            record.sent = True
+
+    def mark_never_ran(self, code: str) -> bool:
+        """Note proof that the set-up did not run, which restores the code. Returns False if nothing changes; a
+        redeemed code stays redeemed.
+        """
+        record = self._codes.get(digest(code))
+        if record is None or record.state is not CodeState.PENDING:
             return False
-        known.carried = False
+        record.sent = False
         return True
 
-    def redeemed(self, code: str, receipt: str) -> None:
-        """A host says that it redeemed the code."""
-        known = self._codes.get(digest(code))
-        if known is not None:
-            known.fate, known.receipt = Fate.REDEEMED, receipt or known.receipt
+    def mark_redeemed(self, code: str, receipt: str) -> None:
+        """Note that a host redeemed the code."""
+        record = self._codes.get(digest(code))
+        if record is not None:
+            record.state, record.receipt = CodeState.REDEEMED, receipt or record.receipt
 
-    def settle(self, code: str, ref: int) -> Fate | None:
-        """The request `ref` and all its attempts are over. What is left of the code: None, where it is as good
-        as new."""
+    def release(self, code: str, ref: int) -> CodeState | None:
+        """End the claim of request `ref`, whose attempts are all over. Returns the state of the code, None if it is
+        unused.
+        """
         key = digest(code)
-        known = self._codes.get(key)
-        if known is None or known.ref != ref:
+        record = self._codes.get(key)
+        if record is None or record.ref != ref:
             return None
-        known.ref = None
-        if known.fate is Fate.OUT and not known.carried:
+        record.ref = None
+        if record.state is CodeState.PENDING and not record.sent:
             del self._codes[key]
             return None
-        if known.fate is Fate.OUT:
-            known.fate = Fate.UNCLEAR
-        return known.fate
-
-    def cleared_up(self, key: bytes, receipt: str | None) -> bool:
-        """A host was asked about an unclear code, by its digest: it was redeemed with this receipt, or (None) never
-        ran. Whether it still was unclear."""
-        known = self._codes.get(key)
-        if known is None or known.fate is not Fate.UNCLEAR or known.ref is not None:
+        if record.state is CodeState.PENDING:
+            record.state = CodeState.UNCLEAR
+        return record.state
+
+    def resolve(self, key: bytes, receipt: str | None) -> bool:
+        """Settle an unclear code, given by its digest, by a host's answer: redeemed with `receipt`, or never run if
+        it is None. Returns whether the code was still unclear.
+        """
+        record = self._codes.get(key)
+        if record is None or record.state is not CodeState.UNCLEAR or record.ref is not None:
             return False
         if receipt is None:
             del self._codes[key]
         else:
-            known.fate, known.receipt = Fate.REDEEMED, receipt
+            record.state, record.receipt = CodeState.REDEEMED, receipt
         return True
 
     def forget(self, keys: Iterable[bytes]) -> None:
-        """Codes that no office takes any more; those of an open request stay."""
+        """Drop expired codes, except those of open requests."""
         for key in keys:
-            known = self._codes.get(key)
-            if known is not None and known.ref is None:
+            record = self._codes.get(key)
+            if record is not None and record.ref is None:
                 del self._codes[key]
--- a/copperyard/control/rules.py
+++ b/copperyard/control/rules.py
@@ -1,4 +1,4 @@
-"""What an operator sets for a front beside the module's own settings. Types only; config/ fills them."""
+"""An operator's settings for a front besides the controller's. Types only; config/ fills them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Who may come in as which class: the first entry whose path prefix fits and whose wish for a code is met.
-    `cls` is the index of the class in Settings.classes."""
+    """Admits requests to a class. The first one whose path prefix matches and whose `paid` agrees with the presence
+    of a code applies. `cls` is the index of the class in Settings.classes.
+    """
 
     cls: int
     prefix: str
@@ -22,11 +23,12 @@
 class Bounds:
     """Bounds of one gateway. Times are ns, sizes bytes.
 
-    `queue`: bytes that wait for one viewer before its host is read no further; `stall`: how long a viewer may
-    take nothing before its sessions end; `idle`: the RTSP session time-out; `silence`: how long a playing host
-    may send nothing before the module hears of it; `dead`: and before the session is given up; `codes`: paid
-    codes remembered; `code_life`: how long after its last use no office takes a code any more; `open_requests`:
-    requests without an answer at a time."""
+    `queue`: bytes that wait for one viewer before reading from its host stops; `stall`: how long a viewer may accept
+    nothing before its sessions end; `idle`: the RTSP session time-out; `silence`: how long a playing host may send
+    nothing before the controller is told; `dead`: how long before its session is given up; `codes`: paid codes
+    remembered; `code_life`: time after its last use at which a code expires at the redemption service;
+    `open_requests`: unanswered requests at a time.
+    """
 
     connections: int
     sessions: int
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontRules:
-    """All that a front's core is told at its start."""
+    """Configuration of a front's core. `viewers` and `hosts` limit the RTSP connections to either side."""
 
     settings: Settings
     entries: tuple[Entry, ...]
--- a/copperyard/control/settling.py
+++ b/copperyard/control/settling.py
@@ -1,8 +1,8 @@
-"""Codes that are unclear: a set-up with them left, and nobody said what became of it. Their hosts are asked.
+"""Unclear codes: a set-up with the code was sent and its outcome is not known. The host is queried.
 
-A host answers for a set-up's Request-Id (docs/host-protocol.md): redeemed, with the receipt; never, and from then on it
-will not run that request any more; or that it still runs. Until a host has answered, the code is neither sent again nor
-refused. Whom to ask, when, and how often is decided here; the asking is the I/O's.
+A host answers for the Request-Id of a set-up (docs/host-protocol.md): redeemed, with the receipt; never, after which
+it will not run that request any more; or still running. Until a host has answered, the code is neither sent again nor
+refused. This module decides which host to query and when; the I/O sends the queries.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 MS = 1_000_000
 SETTLE_HEADER, SETTLED_HEADER = "Settle", "Settled"
-FIRST, MOST = 250 * MS, 60_000 * MS  # waits between questions for one code, doubling
-URGED = 100 * MS  # a family that asks now has its code asked for at once, but not more often than this
-AT_ONCE = 4  # questions out: a front that comes back to thousands of unclear codes must not flood their hosts
-MOST_TEXT = 512
+FIRST_RETRY_WAIT_NS, MAX_RETRY_WAIT_NS = 250 * MS, 60_000 * MS  # waits between queries for one code, doubling
+MIN_QUERY_INTERVAL_NS = 100 * MS  # a viewer that returns with the code triggers a query, but not more often than this
+MAX_QUERIES = 4  # queries out at a time: a front that restarts with thousands of unclear codes must not flood the hosts
+MAX_SETTLED_CHARS = 512
 
 
 class Answer(Enum):
-    """What a host says of a set-up."""
+    """What a host says became of a set-up; NONE if it gave no valid answer."""
 
     REDEEMED = "redeemed"
     NEVER = "never"
@@ -29,27 +29,27 @@
 
 
 @dataclass(slots=True)
-class Case:
-    """One unclear code. `due` is when to ask next (ns, the loop's clock), `asked` when it was asked last."""
+class UnclearCode:
+    """One unclear code, by its digest. `request` is the Request-Id of its set-up; times are loop times in ns."""
 
     code: bytes
     request: str
     host: str
-    due: int
-    wait: int = FIRST
-    asked: int | None = None
-    out: bool = False
+    next_query_at: int
+    retry_wait: int = FIRST_RETRY_WAIT_NS
+    last_query_at: int | None = None
+    querying: bool = False
 
 
 def parse_settled(text: str | None) -> tuple[Answer, str]:
-    """A host's answer and the receipt with it. NONE where it says nothing that makes sense."""
-    if text is None or len(text) > MOST_TEXT:
+    """Parse a host's answer and the receipt with it. Returns NONE for an invalid one."""
+    if text is None or len(text) > MAX_SETTLED_CHARS:
         return Answer.NONE, ""
     word, _, rest = text.partition(";")
     answer = next((a for a in Answer if a.value == word.strip()), Answer.NONE)
     receipt = rest.strip().removeprefix("receipt=") if rest.strip().startswith("receipt=") else ""
     if answer is Answer.REDEEMED and not receipt:
-        return Answer.NONE, ""  # without it the family could not come back to what it paid
+        return Answer.NONE, ""  # without the receipt the viewer could not resume the paid session
     return answer, receipt
 
 
@@ -57,68 +57,76 @@
     """All unclear codes of a front."""
 
     def __init__(self) -> None:
-        self._cases: dict[bytes, Case] = {}
+        self._codes: dict[bytes, UnclearCode] = {}
         self._out = 0
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._codes)
 
-    def __iter__(self) -> Iterator[Case]:
-        return iter(self._cases.values())
+    def __iter__(self) -> Iterator[UnclearCode]:
+        return iter(self._codes.values())
 
     def add(self, now: int, code: bytes, request: str, host: str) -> None:
-        """A code has become unclear, or was found so."""
-        if code not in self._cases:
-            self._cases[code] = Case(code, request, host, now)
+        """Add a code that has become unclear or was found so in the journal."""
+        if code not in self._codes:
+            self._codes[code] = UnclearCode(code, request, host, now)
 
     def drop(self, code: bytes) -> None:
-        """Nobody needs to know any more."""
-        case = self._cases.pop(code, None)
-        if case is not None and case.out:
+        """Remove a code that need not be settled any more."""
+        unclear = self._codes.pop(code, None)
+        if unclear is not None and unclear.querying:
             self._out -= 1
 
-    def urge(self, now: int, code: bytes) -> None:
-        """A family brings the code: ask now, unless that was done just before."""
-        case = self._cases.get(code)
-        if case is not None and not case.out:
-            case.due = min(case.due, max(now, case.asked + URGED if case.asked is not None else now))
-
-    def due(self, now: int, known: Callable[[str], bool]) -> list[Case]:
-        """Whom to ask now: the longest due first. A host that is not on the list is waited for."""
-        ready = sorted((c for c in self._cases.values() if not c.out and c.due <= now), key=lambda c: c.due)
-        found: list[Case] = []
-        for case in ready:
-            if self._out >= AT_ONCE:
+    def query_soon(self, now: int, code: bytes) -> None:
+        """Query soon, because a viewer returned with the code, unless it was queried just before."""
+        unclear = self._codes.get(code)
+        if unclear is not None and not unclear.querying:
+            unclear.next_query_at = min(
+                unclear.next_query_at,
+                max(now, unclear.last_query_at + MIN_QUERY_INTERVAL_NS if unclear.last_query_at is not None else now),
+            )
+
+    def start_due_queries(self, now: int, is_listed: Callable[[str], bool]) -> list[UnclearCode]:
+        """Return the codes to query now, longest due first, and mark them as queried. A host that is not listed is
+        retried later.
+        """
+        ready = sorted(
+            (c for c in self._codes.values() if not c.querying and c.next_query_at <= now),
+            key=lambda c: c.next_query_at,
+        )
+        found: list[UnclearCode] = []
+        for unclear in ready:
+            if self._out >= MAX_QUERIES:
                 break
-            case.asked = now
-            if not known(case.host):
-                self._later(now, case)
+            unclear.last_query_at = now
+            if not is_listed(unclear.host):
+                self._schedule_retry(now, unclear)
                 continue
-            case.out = True
+            unclear.querying = True
             self._out += 1
-            found.append(case)
+            found.append(unclear)
         return found
 
-    def answered(self, now: int, code: bytes, answer: Answer) -> bool:
-        """What a host said. Whether that settles the code; if not it is asked for again later."""
-        case = self._cases.get(code)
-        if case is None:
+    def record_answer(self, now: int, code: bytes, answer: Answer) -> bool:
+        """Take a host's answer. Returns whether it settles the code; otherwise the query is repeated later."""
+        unclear = self._codes.get(code)
+        if unclear is None:
             return False
-        if case.out:
-            case.out = False
+        if unclear.querying:
+            unclear.querying = False
             self._out -= 1
         if answer in (Answer.REDEEMED, Answer.NEVER):
-            del self._cases[code]
+            del self._codes[code]
             return True
-        self._later(now, case)
+        self._schedule_retry(now, unclear)
         return False
 
-    def _later(self, now: int, case: Case) -> None:
-        case.due = now + case.wait
-        case.wait = min(MOST, 2 * case.wait)
+    def _schedule_retry(self, now: int, unclear: UnclearCode) -> None:
+        unclear.next_query_at = now + unclear.retry_wait
+        unclear.retry_wait = min(MAX_RETRY_WAIT_NS, 2 * unclear.retry_wait)
 
-    def next(self) -> int | None:
-        """When somebody is due next, None while nobody is or all questions that may be are out."""
-        if self._out >= AT_ONCE:
+    def next_due(self) -> int | None:
+        """Return the time of the next query, None if nothing is due or the maximum number of queries is out."""
+        if self._out >= MAX_QUERIES:
             return None
-        return min((c.due for c in self._cases.values() if not c.out), default=None)
+        return min((c.next_query_at for c in self._codes.values() if not c.querying), default=None)
--- a/copperyard/control/splice.py
+++ b/copperyard/control/splice.py
@@ -1,7 +1,7 @@
-"""Keeps a viewer's RTP streams whole over whatever feeds them: another host, a pause, another rung.
+"""Rewrites RTP so that a viewer's streams stay continuous when the host, the position or the rung changes.
 
-A viewer is told one SSRC at SETUP. Sequence numbers and timestamps that it gets go on without a jump
-backwards (RFC 3550 section 5.1), though every host starts its own at random.
+A viewer is told one SSRC per track at SETUP. Its sequence numbers and timestamps never jump backwards (RFC 3550
+section 5.1), although every host starts at random values.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 from ..protocol.rtp import Block, Packet, SenderReport, parse, rewrite
 
 SECOND = 1_000_000_000
-_NUMBERS = struct.Struct(">HII")  # sequence number, timestamp, source, from byte 2 of a packet on
+_SEQ_TS_SSRC = struct.Struct(">HII")  # sequence number, timestamp, SSRC, from byte 2 of a packet
 
 
 @dataclass(slots=True)
 class Splice:
-    """One track. `clock` is its ticks a second, `ssrc`, `seq` and `ts` what the viewer gets next, `channel` the
-    interleaved channel on which it does; its RTCP goes by the next one."""
+    """RTP state of one track. `clock` is ticks per second; `ssrc`, `seq` and `ts` are what the viewer gets next;
+    `channel` is its interleaved channel, with RTCP on the next one; `source` is the host's SSRC, None after an
+    announcement until its first packet.
+    """
 
     clock: int
     ssrc: int
@@ -27,81 +29,86 @@
     ts: int
     channel: int = 0
     source: int | None = None
-    seq_off: int = 0
-    ts_off: int = 0
-    at: int = 0
-    sent: int = 0
-    octets: int = 0
+    seq_offset: int = 0
+    ts_offset: int = 0
+    last_packet_at: int = 0
+    packets_sent: int = 0
+    octets_sent: int = 0
 
     def announce(self, now: int, seq: int, ts: int) -> tuple[int, int]:
-        """A host says with which packet it begins (RTP-Info). Gives the same for the viewer."""
+        """Take the first sequence number and timestamp that a host announces (RTP-Info). Returns the viewer's."""
         self.source = None
-        self._aim(now, seq, ts)
+        self._rebase(now, seq, ts)
         return self.seq, self.ts
 
-    def _aim(self, now: int, seq: int, ts: int) -> None:
-        if self.sent:
-            # the break took time for the viewer as well: its clock went on
-            self.ts = (self.ts + max(1, (now - self.at) * self.clock // SECOND)) & 0xFFFFFFFF
-        self.at = now
-        self.seq_off = self.seq - seq & 0xFFFF
-        self.ts_off = self.ts - ts & 0xFFFFFFFF
+    def _rebase(self, now: int, seq: int, ts: int) -> None:
+        if self.packets_sent:
+            # the viewer's clock advanced during the interruption
+            self.ts = (self.ts + max(1, (now - self.last_packet_at) * self.clock // SECOND)) & 0xFFFFFFFF
+        self.last_packet_at = now
+        self.seq_offset = self.seq - seq & 0xFFFF
+        self.ts_offset = self.ts - ts & 0xFFFFFFFF
 
     def packet(self, now: int, data: bytes) -> bytes | None:
-        """A host's RTP packet as the viewer gets it; None for what is no RTP."""
+        """Return a host's RTP packet as the viewer gets it, None if it is not RTP."""
         head = parse(data)
         if head is None:
             return None
         if head.ssrc != self.source:
-            self.meet(now, head.ssrc, head.seq, head.ts)
-        return self._pass(now, head, data)
+            self.switch_source(now, head.ssrc, head.seq, head.ts)
+        return self._rewrite(now, head, data)
 
-    def meet(self, now: int, source: int, seq: int, ts: int) -> None:
-        """A packet of another source than before. One that changed without being announced is numbered anew
-        behind what was sent."""
+    def switch_source(self, now: int, source: int, seq: int, ts: int) -> None:
+        """Handle a packet with a new SSRC. A change that was not announced is numbered to follow what was sent."""
         if self.source is not None:
-            self._aim(now, seq, ts)
+            self._rebase(now, seq, ts)
         self.source = source
 
-    def _pass(self, now: int, head: Packet, data: bytes) -> bytes:
-        seq = head.seq + self.seq_off & 0xFFFF
-        ts = head.ts + self.ts_off & 0xFFFFFFFF
-        if (seq - self.seq) & 0xFFFF < 0x8000:  # not one that came late
+    def _rewrite(self, now: int, head: Packet, data: bytes) -> bytes:
+        seq = head.seq + self.seq_offset & 0xFFFF
+        ts = head.ts + self.ts_offset & 0xFFFFFFFF
+        if (seq - self.seq) & 0xFFFF < 0x8000:  # ignore reordered packets
             self.seq = seq + 1 & 0xFFFF
-            self.ts, self.at = ts, now
-        self.sent += 1
-        self.octets += len(data) - 12
+            self.ts, self.last_packet_at = ts, now
+        self.packets_sent += 1
+        self.octets_sent += len(data) - 12
         return rewrite(data, seq, ts, self.ssrc)
 
-    def reception(self, blocks: Sequence[Block]) -> tuple[Block, ...]:
-        """What a viewer received of this track (RFC 3550 section 6.4.1), in the host's own source and numbers. What
-        speaks of other sources, or of a time when no host fed this track, is left out."""
+    def host_blocks(self, blocks: Sequence[Block]) -> tuple[Block, ...]:
+        """Translate a viewer's reception blocks (RFC 3550 section 6.4.1) to the host's SSRC and sequence numbers.
+        Blocks about other sources, or from a time when no host fed this track, are dropped.
+        """
         found = []
         for one in blocks:
             if one.ssrc == self.ssrc and self.source is not None:
-                highest = one.highest - self.seq_off & 0xFFFFFFFF
+                highest = one.highest - self.seq_offset & 0xFFFFFFFF
                 found.append(replace(one, ssrc=self.source, highest=highest))
         return tuple(found)
 
-    def report(self, one: SenderReport) -> SenderReport:
-        """A host's sender report as the viewer gets it: the counts are of what this front sent."""
+    def viewer_report(self, report: SenderReport) -> SenderReport:
+        """Return a host's sender report as the viewer gets it, with the counts of what this front sent."""
         return replace(
-            one, ssrc=self.ssrc, ts=one.ts + self.ts_off & 0xFFFFFFFF, packets=self.sent, octets=self.octets, blocks=()
+            report,
+            ssrc=self.ssrc,
+            ts=report.ts + self.ts_offset & 0xFFFFFFFF,
+            packets=self.packets_sent,
+            octets=self.octets_sent,
+            blocks=(),
         )
 
 
 def splice_run(now: int, run: bytearray, splices: Sequence[Splice]) -> tuple[list[bytes], list[tuple[int, bytes]]]:
-    """Turn a run of a host's interleaved frames into the viewer's, in place: what is for the viewer, and the
-    frames on RTCP channels (track, payload), which the caller reads. Frames of channels that nobody set up, and
-    what is no RTP, are left out.
+    """Rewrite a run of a host's interleaved frames for the viewer, in place. Returns the data for the viewer and the
+    RTCP frames (track, payload), which the caller processes. Frames on unknown channels and frames that are not RTP
+    are dropped.
 
-    This is the one loop that every byte of media passes; it does what Splice.packet does, without an object a
-    packet."""
+    All media passes through this loop. It does the same as Splice.packet without an object per packet.
+    """
     kept: list[bytes] = []
     control: list[tuple[int, bytes]] = []
     at = begin = 0
     size, channels = len(run), 2 * len(splices)
-    unpack, pack = _NUMBERS.unpack_from, _NUMBERS.pack_into
+    unpack, pack = _SEQ_TS_SSRC.unpack_from, _SEQ_TS_SSRC.pack_into
     while at < size:
         channel = run[at + 1]
         end = at + 4 + (run[at + 2] << 8 | run[at + 3])
@@ -115,13 +122,13 @@
         one = splices[channel >> 1]
         seq, ts, source = unpack(run, at + 6)
         if source != one.source:
-            one.meet(now, source, seq, ts)
-        seq = seq + one.seq_off & 0xFFFF
-        ts = ts + one.ts_off & 0xFFFFFFFF
+            one.switch_source(now, source, seq, ts)
+        seq = seq + one.seq_offset & 0xFFFF
+        ts = ts + one.ts_offset & 0xFFFFFFFF
         if seq - one.seq & 0x8000 == 0:
-            one.seq, one.ts, one.at = seq + 1 & 0xFFFF, ts, now
-        one.sent += 1
-        one.octets += end - at - 16
+            one.seq, one.ts, one.last_packet_at = seq + 1 & 0xFFFF, ts, now
+        one.packets_sent += 1
+        one.octets_sent += end - at - 16
         pack(run, at + 6, seq, ts, one.ssrc)
         run[at + 1] = one.channel
         at = end
--- a/copperyard/control/visits.py
+++ b/copperyard/control/visits.py
@@ -1,11 +1,11 @@
-"""The RTSP front: what each viewer's connection asked, in which state its sessions are, what it is answered.
+"""RTSP server for viewers: parses requests, keeps session states and sends responses.
 
-What the answers promise. SETUP 200: the title exists, this viewer may ask for it, and the session's channels and
-sources are fixed; no host has been asked and nothing is paid. PLAY 200: a host plays it, a code is redeemed. The
-wish that the module hears of is the PLAY; a viewer that sets up and goes away costs no host anything.
+What the responses promise. SETUP 200: the title exists, the viewer may request it, and the session's channels and
+SSRCs are fixed; no host has been asked and no code is spent. PLAY 200: a host plays the title and its code, if any,
+is redeemed. The session request is made at PLAY, so a viewer that only sets up costs no host anything.
 
-Responses leave in the order of their requests (RFC 2326 section 9.1), so each request takes a place in a line
-when it comes, and the line moves when its head is answered.
+Responses are sent in the order of their requests (RFC 2326 section 9.1): each request enters a queue when it arrives,
+and responses leave from the head of the queue.
 """
 
 from __future__ import annotations
@@ -33,24 +33,24 @@
     quote_path,
 )
 from ..protocol.rtsp.messages import BadHeader, Headers
-from .admission import Admission, Denial, admit, top_rung
-from .attempt import Done, Media
+from .admission import Admission, Denial, admit, highest_rung
+from .attempt import ForwardedReply, MediaData
 from .catalogue import Catalogue, Title, describe
 from .orders import Hangup, Line, Order, Wrote
 from .outbox import Outbox
-from .plays import Plays, Wish
+from .plays import Plays, SessionRequest
 from .rules import FrontRules
 from .splice import Splice
 
 SECOND = 1_000_000_000
 METHODS = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER, SET_PARAMETER"
-KNOWN = ("ANNOUNCE", "RECORD", "REDIRECT")  # of RFC 2326, and not served here
-REPORT_GAP = SECOND  # ns between receiver reports of one track that go on to its host
+UNSUPPORTED_METHODS = ("ANNOUNCE", "RECORD", "REDIRECT")  # defined in RFC 2326 but not supported here
+RECEIVER_REPORT_INTERVAL_NS = SECOND  # ns between receiver reports of one track that are forwarded to the host
 SDP_TYPE = "application/sdp"
 
 
-class State(Enum):
-    """RFC 2326 appendix A.2, with the time in which the answer to PLAY is not known yet."""
+class RtspState(Enum):
+    """Session states of RFC 2326 appendix A.2, and STARTING while the answer to PLAY is not known yet."""
 
     READY = "ready"
     STARTING = "starting"
@@ -59,8 +59,8 @@
 
 
 @dataclass(slots=True)
-class Slot:
-    """A request's place in the line of responses."""
+class PendingResponse:
+    """A request in the response queue; `data` is its encoded response, None until it is answered."""
 
     request: Request
     data: bytes | None = None
@@ -70,182 +70,205 @@
     """One viewer connection."""
 
     def __init__(self, rules: FrontRules, peer: str, number: int, now: int) -> None:
-        self.number, self.heard = number, now
+        self.number, self.last_heard = number, now
         self.wire = Connection(rules.viewers)
         self.outbox = Outbox(rules.bounds.queue, rules.bounds.stall)
         self.peer = peer
         self.sessions: dict[str, Session] = {}
-        self.slots: deque[Slot] = deque()
+        self.pending_responses: deque[PendingResponse] = deque()
         self.closing = False
         self.gone = False
 
 
 @dataclass(eq=False, slots=True)
 class Session:
-    """One RTSP session; it is the Customer of its wish."""
+    """One RTSP session. It owns its session request and takes the callbacks of `RequestOwner`.
 
-    visits: Visits
+    `splices` holds the RTP state of each track by number, `playing_splices` those of the current request in track
+    order. `ref` is the session request's, None while there is none. `last_heard` is when the viewer last showed
+    activity (ns), `bytes_taken` the outbox total at the last idle check, `last_reports` when a receiver report of
+    each track was last forwarded.
+    """
+
+    rtsp_server: Visits
     visitor: Visitor
     id: str
     title: Title
     admission: Admission
-    base: str
-    top: int
-    legs: dict[int, Splice] = field(default_factory=dict)
-    state: State = State.READY
+    base_url: str
+    max_rung: int
+    splices: dict[int, Splice] = field(default_factory=dict)
+    state: RtspState = RtspState.READY
     ref: int | None = None
-    slots: list[Slot] = field(default_factory=list)
-    start: float = 0.0
-    heard: int = 0
-    order: tuple[Splice, ...] = ()
-    taken: int = 0
-    reported: dict[int, int] = field(default_factory=dict)
+    slots: list[PendingResponse] = field(default_factory=list)
+    start_s: float = 0.0
+    last_heard: int = 0
+    playing_splices: tuple[Splice, ...] = ()
+    bytes_taken: int = 0
+    last_reports: dict[int, int] = field(default_factory=dict)
 
     def played(self, now: int, infos: tuple[tuple[int, int] | None, ...]) -> None:
-        self.state = State.PLAYING
-        name: Headers = (("Request-Id", f"{self.visits.server[1]}/{self.ref}"),)
-        self._say(now, Response(200, self._play_headers(infos) + name))
+        """Answer the PLAY with 200."""
+        self.state = RtspState.PLAYING
+        name: Headers = (("Request-Id", f"{self.rtsp_server.server_header[1]}/{self.ref}"),)
+        self._answer_pending(now, Response(200, self._play_headers(infos) + name))
 
     def refused(self, now: int, retry_after: int) -> None:
+        """Answer the PLAY with 453 and, if there is advice, Retry-After."""
         headers: Headers = (("Retry-After", str(-(-retry_after // SECOND))),) if retry_after > 0 else ()
-        self._back(now, Response(453, headers))
+        self._answer_and_reset(now, Response(453, headers))
 
     def failed(self, now: int, code: Code | None) -> None:
+        """Answer the PLAY with 504 after a time-out, 503 if no host had room, 502 otherwise."""
         status = {Code.TIMEOUT: 504, Code.FULL: 503, None: 503}.get(code, 502)
-        self._back(now, Response(status))
+        self._answer_and_reset(now, Response(status))
 
     def denied(self, now: int, status: int, text: str) -> None:
-        self._back(now, Response(status, (), b"", text))
+        """Answer the PLAY with `status`."""
+        self._answer_and_reset(now, Response(status, (), b"", text))
 
-    def _back(self, now: int, response: Response) -> None:
-        self.state, self.ref = State.READY, None
-        self._say(now, response)
+    def _answer_and_reset(self, now: int, response: Response) -> None:
+        self.state, self.ref = RtspState.READY, None
+        self._answer_pending(now, response)
 
-    def _say(self, now: int, response: Response) -> None:
-        """Answer all that waits for this outcome: the PLAY, and its repeats while it was out."""
+    def _answer_pending(self, now: int, response: Response) -> None:
+        """Answer all requests that wait for this outcome: the PLAY and its repetitions."""
         slots, self.slots = self.slots, []
         with_id = Response(response.status, (("Session", self.id), *response.headers), b"", response.reason)
-        for slot in slots:
-            self.visits.reply(now, self.visitor, slot, with_id)
+        for pending in slots:
+            self.rtsp_server.reply(now, self.visitor, pending, with_id)
 
-    def media(self, now: int, media: Media) -> None:
+    def media(self, now: int, media: MediaData) -> None:
+        """Queue media for the viewer."""
         if not self.visitor.gone:
             self.visitor.outbox.put(media.data)
-            self.visits.wrote(self.visitor)
+            self.rtsp_server.output_added(self.visitor)
 
-    def done(self, now: int, done: Done) -> None:
-        ok = done.response.status == 200
-        if done.method == "PAUSE":
-            self.state = State.PAUSED if ok else self.state
+    def forwarded_reply(self, now: int, reply: ForwardedReply) -> None:
+        """Answer the viewer's PAUSE or PLAY with the host's status."""
+        ok = reply.response.status == 200
+        if reply.method == "PAUSE":
+            self.state = RtspState.PAUSED if ok else self.state
             headers: Headers = ()
         else:
-            self.state = State.PLAYING if ok else self.state
-            headers = self._play_headers(done.infos) if ok else ()
-        self._say(now, Response(done.response.status, headers))
+            self.state = RtspState.PLAYING if ok else self.state
+            headers = self._play_headers(reply.infos) if ok else ()
+        self._answer_pending(now, Response(reply.response.status, headers))
 
     def ended(self, now: int, code: Code) -> None:
-        self.state, self.ref = State.READY, None
-        self._say(now, Response(504 if code == Code.TIMEOUT else 502))
+        """Reset the session. Unless the host ended the stream itself, send RTCP BYE and remove the session."""
+        self.state, self.ref = RtspState.READY, None
+        self._answer_pending(now, Response(504 if code == Code.TIMEOUT else 502))
         if code != Code.OK:
-            # the host did not say goodbye: the viewer must not wait for media that never come
-            for leg in self.order:
-                bye = encode_compound([Bye((leg.ssrc,))], leg.ssrc)
-                self.visitor.outbox.put(frame_header(leg.channel + 1, len(bye)) + bye)
-            # the connection stays: a TEARDOWN may be on its way and is owed its answer
-            self.visits.forget(self)
-        self.visits.wrote(self.visitor)
-
-    def moved(self, now: int) -> None:
-        url = self.base + quote_path(self.title.path)
+            # The host sent no BYE; the viewer must not wait for media that never come.
+            for splice in self.playing_splices:
+                bye = encode_compound([Bye((splice.ssrc,))], splice.ssrc)
+                self.visitor.outbox.put(frame_header(splice.channel + 1, len(bye)) + bye)
+            # The connection stays open: a TEARDOWN may be on its way and needs its response.
+            self.rtsp_server.remove_session(self)
+        self.rtsp_server.output_added(self.visitor)
+
+    def redirected(self, now: int) -> None:
+        """Send the viewer a REDIRECT to the same URL."""
+        url = self.base_url + quote_path(self.title.path)
         data = self.visitor.wire.ask("REDIRECT", url, (("Session", self.id), ("Location", url)))[1]
         self.visitor.outbox.put(data)
-        self.visits.wrote(self.visitor)
+        self.rtsp_server.output_added(self.visitor)
 
     def blocked(self) -> bool:
+        """Return whether the viewer's outbox is full."""
         return self.visitor.outbox.full
 
     def _play_headers(self, infos: tuple[tuple[int, int] | None, ...]) -> Headers:
         end = self.title.length / SECOND if self.title.length is not None else None
-        urls = [f"{self.base}{quote_path(self.title.path)}/track{n}" for n in sorted(self.legs)]
+        urls = [f"{self.base_url}{quote_path(self.title.path)}/track{n}" for n in sorted(self.splices)]
         told = [RtpInfo(url, *info).encode() for url, info in zip(urls, infos, strict=True) if info]
-        headers: Headers = (("Range", Range(self.start, end).encode()),)
+        headers: Headers = (("Range", Range(self.start_s, end).encode()),)
         return headers + ((("RTP-Info", ",".join(told)),) if told else ())
 
 
 class Visits:
-    """All viewer connections of one front."""
+    """All viewer connections and RTSP sessions of one front."""
 
     def __init__(
-        self, rules: FrontRules, catalogue: Catalogue, plays: Plays, rng: random.Random, orders: list[Order], name: str
+        self,
+        rules: FrontRules,
+        catalogue: Catalogue,
+        session_table: Plays,
+        rng: random.Random,
+        io_actions: list[Order],
+        name: str,
     ) -> None:
-        self.rules, self.catalogue, self.plays = rules, catalogue, plays
-        self.random, self.orders, self.server = rng, orders, ("Server", name)
+        self.rules, self.catalogue, self.session_table = rules, catalogue, session_table
+        self.random, self.io_actions, self.server_header = rng, io_actions, ("Server", name)
         self.visitors: dict[int, Visitor] = {}
         self._next = 0
         self.sessions: dict[str, Session] = {}
         self.draining = False
 
-    # ---- the connection
+    # ---- connections
 
     def opened(self, now: int, peer: str) -> Visitor | None:
-        """A viewer connected; None where there are too many."""
+        """Accept a viewer connection; None if the limit is reached or the front is draining."""
         if len(self.visitors) >= self.rules.bounds.connections or self.draining:
             return None
         self._next += 1
-        visitor = Visitor(self.rules, peer, self._next, now)
-        self.visitors[self._next] = visitor
-        self.plays.timers.set(("quiet", visitor.number), now + self.rules.bounds.idle)
-        return visitor
-
-    def quiet(self, now: int, number: int) -> None:
-        """The timer of a connection came up: one that holds no session and says nothing is closed."""
-        visitor = self.visitors.get(number)
-        if visitor is None:
+        connection = Visitor(self.rules, peer, self._next, now)
+        self.visitors[self._next] = connection
+        self.session_table.timers.set(("quiet", connection.number), now + self.rules.bounds.idle)
+        return connection
+
+    def connection_idle(self, now: int, number: int) -> None:
+        """Handle the idle timer of a connection: close it if it has no session and sent nothing."""
+        connection = self.visitors.get(number)
+        if connection is None:
             return
-        until = visitor.heard + self.rules.bounds.idle
-        if now - until > SECOND and not visitor.sessions:
-            until = now + SECOND  # found late, as for a session
-            visitor.heard = until - self.rules.bounds.idle
-        if now >= until and not visitor.sessions and not visitor.slots:
-            self.hang_up(visitor)
+        until = connection.last_heard + self.rules.bounds.idle
+        if now - until > SECOND and not connection.sessions:
+            until = now + SECOND  # the timer is late, as in `session_idle`
+            connection.last_heard = until - self.rules.bounds.idle
+        if now >= until and not connection.sessions and not connection.pending_responses:
+            self.close_after_output(connection)
         else:
-            self.plays.timers.set(("quiet", number), max(until, now + SECOND))
-
-    def closed(self, now: int, visitor: Visitor) -> None:
-        """The viewer's connection is gone: so are its sessions, which cannot go on without it."""
-        visitor.gone = True
-        self.visitors.pop(visitor.number, None)
-        self.plays.timers.drop(("quiet", visitor.number))
-        for session in list(visitor.sessions.values()):
-            self._end(now, session)
-
-    def received(self, now: int, visitor: Visitor, data: bytes) -> None:
-        """Bytes of a viewer."""
-        visitor.heard = now
-        for event in visitor.wire.receive(data):
-            if visitor.closing:
+            self.session_table.timers.set(("quiet", number), max(until, now + SECOND))
+
+    def closed(self, now: int, connection: Visitor) -> None:
+        """The viewer's connection is closed. End its sessions, which cannot continue without it."""
+        connection.gone = True
+        self.visitors.pop(connection.number, None)
+        self.session_table.timers.drop(("quiet", connection.number))
+        for session in list(connection.sessions.values()):
+            self._end_session(now, session)
+
+    def received(self, now: int, connection: Visitor, data: bytes) -> None:
+        """Process bytes from a viewer."""
+        connection.last_heard = now
+        for event in connection.wire.receive(data):
+            if connection.closing:
                 return
             if isinstance(event, Request):
-                self._request(now, visitor, event)
+                self._handle_request(now, connection, event)
             elif isinstance(event, Frame):
-                self._frame(now, visitor, event)
+                self._handle_frame(now, connection, event)
             elif isinstance(event, Malformed):
-                self._malformed(now, visitor, event)
+                self._handle_malformed(now, connection, event)
             else:
-                assert isinstance(event, Reply | Unasked)  # what a viewer says to a REDIRECT changes nothing
-
-    def _frame(self, now: int, visitor: Visitor, event: Frame) -> None:
-        """A viewer's RTCP is a sign of life; its receiver reports go on to the host, one a track in REPORT_GAP."""
-        for session in visitor.sessions.values():
-            if not any(event.channel in (x.channel, x.channel + 1) for x in session.legs.values()):
+                assert isinstance(event, Reply | Unasked)  # a viewer's response to a REDIRECT changes nothing
+
+    def _handle_frame(self, now: int, connection: Visitor, event: Frame) -> None:
+        """Handle an interleaved frame. RTCP from a viewer counts as activity; one receiver report per track is
+        forwarded to the host in each RECEIVER_REPORT_INTERVAL_NS.
+        """
+        for session in connection.sessions.values():
+            if not any(event.channel in (x.channel, x.channel + 1) for x in session.splices.values()):
                 continue
-            session.heard = now
-            track = next((n for n, x in enumerate(session.order) if x.channel + 1 == event.channel), None)
+            session.last_heard = now
+            track = next((n for n, x in enumerate(session.playing_splices) if x.channel + 1 == event.channel), None)
             if (
                 track is None
                 or session.ref is None
-                or session.state is not State.PLAYING
-                or now - session.reported.get(track, -REPORT_GAP) < REPORT_GAP
+                or session.state is not RtspState.PLAYING
+                or now - session.last_reports.get(track, -RECEIVER_REPORT_INTERVAL_NS) < RECEIVER_REPORT_INTERVAL_NS
             ):
                 continue
             blocks = [
@@ -255,53 +278,54 @@
                 for block in one.blocks
             ]
             if blocks:
-                session.reported[track] = now
-                self.plays.received_by_viewer(session.ref, track, tuple(blocks))
-
-    def _malformed(self, now: int, visitor: Visitor, event: Malformed) -> None:
-        self.orders.append(Line("viewer malformed", (("peer", visitor.peer), ("text", event.text))))
-        slot = Slot(Request("", "*"))
-        visitor.slots.append(slot)
-        self.reply(now, visitor, slot, Response(event.status, (("Connection", "close"),)))
-        self.hang_up(visitor)
-
-    def hang_up(self, visitor: Visitor) -> None:
-        """Close once all is written; nothing that comes after is read."""
-        visitor.closing = True
-        self.orders.append(Hangup(visitor))
-
-    def wrote(self, visitor: Visitor) -> None:
-        self.orders.append(Wrote(visitor))
-
-    def reply(self, now: int, visitor: Visitor, slot: Slot, response: Response) -> None:
-        """Answer one request, once; it leaves when all before it are answered."""
-        if slot.data is not None or visitor.gone:
+                session.last_reports[track] = now
+                self.session_table.received_by_viewer(session.ref, track, tuple(blocks))
+
+    def _handle_malformed(self, now: int, connection: Visitor, event: Malformed) -> None:
+        self.io_actions.append(Line("viewer malformed", (("peer", connection.peer), ("text", event.text))))
+        pending = PendingResponse(Request("", "*"))
+        connection.pending_responses.append(pending)
+        self.reply(now, connection, pending, Response(event.status, (("Connection", "close"),)))
+        self.close_after_output(connection)
+
+    def close_after_output(self, connection: Visitor) -> None:
+        """Close the connection once its output is written. No further input is read."""
+        connection.closing = True
+        self.io_actions.append(Hangup(connection))
+
+    def output_added(self, connection: Visitor) -> None:
+        """Have the I/O write the connection's outbox."""
+        self.io_actions.append(Wrote(connection))
+
+    def reply(self, now: int, connection: Visitor, pending: PendingResponse, response: Response) -> None:
+        """Answer a request once. The response leaves when all earlier requests are answered."""
+        if pending.data is not None or connection.gone:
             return
-        headers = (*response.headers, self.server)
-        slot.data = visitor.wire.answer(slot.request, replace(response, headers=headers))
-        while visitor.slots and visitor.slots[0].data is not None:
-            visitor.outbox.put(visitor.slots.popleft().data or b"")
-        self.wrote(visitor)
+        headers = (*response.headers, self.server_header)
+        pending.data = connection.wire.answer(pending.request, replace(response, headers=headers))
+        while connection.pending_responses and connection.pending_responses[0].data is not None:
+            connection.outbox.put(connection.pending_responses.popleft().data or b"")
+        self.output_added(connection)
 
     # ---- requests
 
-    def _request(self, now: int, visitor: Visitor, request: Request) -> None:
-        slot = Slot(request)
-        visitor.slots.append(slot)
-        if len(visitor.slots) > self.rules.viewers.pending:
-            slot.data = visitor.wire.answer(request, Response(503, (("Connection", "close"),)))
-            self.hang_up(visitor)
+    def _handle_request(self, now: int, connection: Visitor, request: Request) -> None:
+        pending = PendingResponse(request)
+        connection.pending_responses.append(pending)
+        if len(connection.pending_responses) > self.rules.viewers.pending:
+            pending.data = connection.wire.answer(request, Response(503, (("Connection", "close"),)))
+            self.close_after_output(connection)
             return
         try:
-            response = self._answer(now, visitor, slot, request)
+            response = self._answer(now, connection, pending, request)
         except BadHeader as error:
             response = Response(error.status, (), b"")
-            self.orders.append(Line("viewer mistaken", (("peer", visitor.peer), ("text", str(error)))))
+            self.io_actions.append(Line("viewer mistaken", (("peer", connection.peer), ("text", str(error)))))
         if response is not None:
-            self.reply(now, visitor, slot, response)
+            self.reply(now, connection, pending, response)
 
-    def _answer(self, now: int, visitor: Visitor, slot: Slot, request: Request) -> Response | None:
-        """The response, or None where it comes later."""
+    def _answer(self, now: int, connection: Visitor, pending: PendingResponse, request: Request) -> Response | None:
+        """Return the response, or None if it follows later."""
         if request.cseq is None:
             return Response(400, (), b"", "CSeq is missing or no number")
         if not supported(request):
@@ -311,68 +335,73 @@
             return Response(551, (("Unsupported", require),))
         method = request.method
         if method == "OPTIONS":
-            self._alive(now, visitor, request)
+            self._refresh_session(now, connection, request)
             return Response(200, (("Public", METHODS),))
-        if method in KNOWN:
+        if method in UNSUPPORTED_METHODS:
             return Response(405, (("Allow", METHODS),))
         if method not in METHODS.split(", "):
             return Response(501, (("Public", METHODS),))
         target = parse_url(request.uri, self.rules.viewers.line)
         if method == "DESCRIBE":
-            return self._describe(request, target)
+            return self._answer_describe(request, target)
         if method == "SETUP":
-            return self._setup(now, visitor, request, target)
+            return self._answer_setup(now, connection, request, target)
         named = request.header("Session")
         if named is None:
             if method in ("GET_PARAMETER", "SET_PARAMETER"):
-                return self._parameter(request)
+                return self._answer_parameter(request)
             return Response(454)
-        session = visitor.sessions.get(parse_session(named)[0])
+        session = connection.sessions.get(parse_session(named)[0])
         if session is None:
             return Response(454)
-        session.heard = now
-        return self._in_session(now, session, slot, request, target)
+        session.last_heard = now
+        return self._answer_in_session(now, session, pending, request, target)
 
-    def _alive(self, now: int, visitor: Visitor, request: Request) -> None:
-        """OPTIONS that names a session is a sign of life for it (RFC 2326 section 10.1 leaves it without influence
-        on the state, and players in the field use it to keep a session)."""
+    def _refresh_session(self, now: int, connection: Visitor, request: Request) -> None:
+        """Refresh the session that an OPTIONS request names. RFC 2326 section 10.1 leaves the session state
+        unaffected, but deployed players use OPTIONS as a keep-alive.
+        """
         named = request.header("Session")
-        session = visitor.sessions.get(parse_session(named)[0]) if named is not None else None
+        session = connection.sessions.get(parse_session(named)[0]) if named is not None else None
         if session is not None:
-            session.heard = now
+            session.last_heard = now
 
-    def _in_session(self, now: int, session: Session, slot: Slot, request: Request, target: Target) -> Response | None:
+    def _answer_in_session(
+        self, now: int, session: Session, pending: PendingResponse, request: Request, target: Target
+    ) -> Response | None:
         method, state = request.method, session.state
         if method == "TEARDOWN":
-            self._end(now, session)
+            self._end_session(now, session)
             return Response(200, (("Session", session.id),))
         if method in ("GET_PARAMETER", "SET_PARAMETER"):
-            return self._parameter(request, session)
-        if target.track is not None and len(session.legs) > 1:
+            return self._answer_parameter(request, session)
+        if target.track is not None and len(session.splices) > 1:
             return Response(460, (("Session", session.id),))
         if method == "PLAY":
-            return self._play(now, session, slot, request)
-        if state is State.PAUSED and not session.slots:
+            return self._answer_play(now, session, pending, request)
+        if state is RtspState.PAUSED and not session.slots:
             return Response(200, (("Session", session.id),))
-        if state is not State.PLAYING or session.slots or session.ref is None:
+        if state is not RtspState.PLAYING or session.slots or session.ref is None:
             return Response(455, (("Session", session.id), ("Allow", METHODS)))
-        session.slots.append(slot)
-        self.plays.pause(now, session.ref)
+        session.slots.append(pending)
+        self.session_table.pause(now, session.ref)
         return None
 
-    def _parameter(self, request: Request, session: Session | None = None) -> Response:
-        """An empty one is a sign of life (sections 10.8, 10.9); there is no parameter to read or to set."""
-        headers: Headers = (("Session", f"{session.id};timeout={self._timeout}"),) if session else ()
+    def _answer_parameter(self, request: Request, session: Session | None = None) -> Response:
+        """Answer GET_PARAMETER and SET_PARAMETER. An empty body is a keep-alive (RFC 2326 sections 10.8, 10.9); no
+        parameters are supported.
+        """
+        headers: Headers = (("Session", f"{session.id};timeout={self._timeout_s}"),) if session else ()
         if request.body.strip():
             name = request.body.decode("utf-8", "replace").split("\n")[0].split(":")[0].strip()
             return Response(451, headers + (("Content-Type", "text/parameters"),), name.encode()[:256])
         return Response(200, headers)
 
     @property
-    def _timeout(self) -> int:
+    def _timeout_s(self) -> int:
         return max(1, self.rules.bounds.idle // SECOND)
 
-    def _title(self, target: Target) -> tuple[Title, Admission] | Response:
+    def _find_title(self, target: Target) -> tuple[Title, Admission] | Response:
         title = self.catalogue.find(target.path)
         if title is None:
             return Response(404)
@@ -381,11 +410,11 @@
             return Response(admission.status, (), b"", admission.text)
         return title, admission
 
-    def _describe(self, request: Request, target: Target) -> Response:
+    def _answer_describe(self, request: Request, target: Target) -> Response:
         accept = request.header("Accept")
         if accept is not None and SDP_TYPE not in accept and "*/*" not in accept:
             return Response(406)
-        found = self._title(target)
+        found = self._find_title(target)
         if isinstance(found, Response):
             return found
         base = f"rtsp://{target.host}"
@@ -393,8 +422,8 @@
         url = base + quote_path(target.path) + "/"
         return Response(200, (("Content-Base", url), ("Content-Type", SDP_TYPE)), body)
 
-    def _setup(self, now: int, visitor: Visitor, request: Request, target: Target) -> Response:
-        found = self._title(target)
+    def _answer_setup(self, now: int, connection: Visitor, request: Request, target: Target) -> Response:
+        found = self._find_title(target)
         if isinstance(found, Response):
             return found
         title, admission = found
@@ -405,21 +434,21 @@
             return Response(404)
         transport = parse_transport(request.header("Transport") or "")
         named = request.header("Session")
-        session = visitor.sessions.get(parse_session(named)[0]) if named is not None else None
+        session = connection.sessions.get(parse_session(named)[0]) if named is not None else None
         if named is not None and session is None:
             return Response(454)
         if session is not None and session.title is not title:
             return Response(459)
-        if session is not None and session.state is not State.READY:
+        if session is not None and session.state is not RtspState.READY:
             return Response(455, (("Session", session.id),))
-        channels = self._channels(visitor, session, track, transport)
+        channels = self._choose_channels(connection, session, track, transport)
         if channels is None:
             return Response(461)
         if session is None:
             if len(self.sessions) >= self.rules.bounds.sessions or self.draining:
                 return Response(503)
-            session = self._session(now, visitor, request, target, title, admission)
-        session.heard = now
+            session = self._open_session(now, connection, request, target, title, admission)
+        session.last_heard = now
         splice = Splice(
             title.tracks[track - 1].clock,
             self.random.getrandbits(32),
@@ -427,116 +456,121 @@
             self.random.getrandbits(32),
             channels,
         )
-        session.legs[track] = splice
+        session.splices[track] = splice
         return Response(
             200,
             (
                 ("Transport", Transport((channels, channels + 1), splice.ssrc).encode()),
-                ("Session", f"{session.id};timeout={self._timeout}"),
+                ("Session", f"{session.id};timeout={self._timeout_s}"),
             ),
         )
 
-    def _session(
-        self, now: int, visitor: Visitor, request: Request, target: Target, title: Title, admission: Admission
+    def _open_session(
+        self, now: int, connection: Visitor, request: Request, target: Target, title: Title, admission: Admission
     ) -> Session:
-        top = top_rung(self.rules, admission.entry.cls, parse_bandwidth(request.header("Bandwidth")))
+        top = highest_rung(self.rules, admission.entry.cls, parse_bandwidth(request.header("Bandwidth")))
         session = Session(
-            self, visitor, f"{self.random.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
+            self, connection, f"{self.random.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
         )
-        visitor.sessions[session.id] = self.sessions[session.id] = session
-        self.plays.timers.set(("idle", session.id), now + self.rules.bounds.idle)
+        connection.sessions[session.id] = self.sessions[session.id] = session
+        self.session_table.timers.set(("idle", session.id), now + self.rules.bounds.idle)
         return session
 
-    def _channels(self, visitor: Visitor, session: Session | None, track: int, transport: Transport) -> int | None:
-        """The channel pair for a track, None where the wanted one is taken or all are."""
+    def _choose_channels(
+        self, connection: Visitor, session: Session | None, track: int, transport: Transport
+    ) -> int | None:
+        """Return the first channel of a pair for a track, None if the requested pair or all pairs are taken."""
         taken = {
             channel
-            for one in visitor.sessions.values()
-            for n, leg in one.legs.items()
-            if one is not session or n != track
-            for channel in (leg.channel, leg.channel + 1)
+            for other in connection.sessions.values()
+            for n, splice in other.splices.items()
+            if other is not session or n != track
+            for channel in (splice.channel, splice.channel + 1)
         }
         if transport.channels is not None:
             return transport.channels[0] if taken.isdisjoint(transport.channels) else None
         return next((n for n in range(0, 256, 2) if n not in taken and n + 1 not in taken), None)
 
-    def _play(self, now: int, session: Session, slot: Slot, request: Request) -> Response | None:
+    def _answer_play(self, now: int, session: Session, pending: PendingResponse, request: Request) -> Response | None:
         ranged = request.header("Range")
         length = session.title.length
         span = parse_range(ranged, length / SECOND if length is not None else None) if ranged else None
-        if session.state is State.STARTING or session.state is State.PLAYING and session.slots:
-            session.slots.append(slot)  # the PLAY again while the first is out: the same answer for both
+        if session.state is RtspState.STARTING or session.state is RtspState.PLAYING and session.slots:
+            session.slots.append(pending)  # a repeated PLAY gets the same answer as the pending one
             return None
-        if session.state is State.PLAYING:
+        if session.state is RtspState.PLAYING:
             if span is not None and span.start is not None:
                 return Response(455, (("Session", session.id), ("Allow", METHODS)))
             return Response(200, (("Session", session.id),))
-        if session.state is State.PAUSED and session.ref is not None:
+        if session.state is RtspState.PAUSED and session.ref is not None:
             if session.slots:
                 return Response(455, (("Session", session.id),))
-            session.slots.append(slot)
+            session.slots.append(pending)
             if span is not None and span.start is not None:
-                session.start = span.start
-            self.plays.resume(now, session.ref, span.encode() if span is not None and span.start is not None else None)
+                session.start_s = span.start
+            self.session_table.resume(
+                now, session.ref, span.encode() if span is not None and span.start is not None else None
+            )
             return None
         if self.draining:
             return Response(503, (("Session", session.id),))
-        session.start = span.start if span is not None and span.start is not None else 0.0
-        session.state = State.STARTING
-        session.slots.append(slot)
-        tracks = tuple(sorted(session.legs))
-        session.order = tuple(session.legs[n] for n in tracks)
-        wish = Wish(
+        session.start_s = span.start if span is not None and span.start is not None else 0.0
+        session.state = RtspState.STARTING
+        session.slots.append(pending)
+        tracks = tuple(sorted(session.splices))
+        session.playing_splices = tuple(session.splices[n] for n in tracks)
+        session_request = SessionRequest(
             session.title,
             tracks,
             session.admission.entry.cls,
-            session.top,
+            session.max_rung,
             session.admission.code,
-            session.start,
-            session.order,
+            session.start_s,
+            session.playing_splices,
         )
         session.ref = None
-        ref = self.plays.begin(now, wish, session)
-        if session.state in (State.STARTING, State.PLAYING):
+        ref = self.session_table.begin(now, session_request, session)
+        if session.state in (RtspState.STARTING, RtspState.PLAYING):
             session.ref = ref
         return None
 
-    # ---- ends
+    # ---- end of sessions
 
-    def forget(self, session: Session) -> None:
+    def remove_session(self, session: Session) -> None:
+        """Forget a session and its idle timer."""
         session.visitor.sessions.pop(session.id, None)
         self.sessions.pop(session.id, None)
-        self.plays.timers.drop(("idle", session.id))
+        self.session_table.timers.drop(("idle", session.id))
 
-    def _end(self, now: int, session: Session) -> None:
-        """The viewer wants no more of a session, or is gone. What it still waited for is answered first."""
+    def _end_session(self, now: int, session: Session) -> None:
+        """End a session that the viewer closed or left. Pending requests are answered first."""
         ref, session.ref = session.ref, None
-        session._say(now, Response(455, (), b"", "The session was torn down"))
-        self.forget(session)
+        session._answer_pending(now, Response(455, (), b"", "The session was torn down"))
+        self.remove_session(session)
         if ref is not None:
-            self.plays.leave(now, ref)
+            self.session_table.leave(now, ref)
 
-    def idle(self, now: int, name: str) -> None:
-        """The timer of a session came up: it ends if nothing was heard of its viewer for the time-out."""
+    def session_idle(self, now: int, name: str) -> None:
+        """Handle the idle timer of a session: end it if its viewer showed no activity for the session time-out."""
         session = self.sessions.get(name)
         if session is None:
             return
-        if session.state is State.PLAYING and session.visitor.outbox.taken > session.taken:
-            # a viewer that takes its media is there, though it says nothing (RFC 2326 section 12.37 leaves it to the
-            # server); one that takes nothing any more loses its connection to `stall`
-            session.heard = now
-        session.taken = session.visitor.outbox.taken
-        until = session.heard + self.rules.bounds.idle
-        if now - until > SECOND and session.state is not State.STARTING:
-            # found late: this front stood still, and what the viewer said meanwhile waits unread
+        if session.state is RtspState.PLAYING and session.visitor.outbox.bytes_taken > session.bytes_taken:
+            # A viewer that accepts media is alive even if it sends nothing (RFC 2326 section 12.37 leaves this to the
+            # server). A viewer that accepts nothing loses its connection through the stall time-out.
+            session.last_heard = now
+        session.bytes_taken = session.visitor.outbox.bytes_taken
+        until = session.last_heard + self.rules.bounds.idle
+        if now - until > SECOND and session.state is not RtspState.STARTING:
+            # The timer is late because this process was stalled. What the viewer sent meanwhile may still be unread.
             until = now + SECOND
-            session.heard = until - self.rules.bounds.idle
-        if now < until or session.state is State.STARTING:
-            self.plays.timers.set(("idle", name), max(until, now + SECOND))
+            session.last_heard = until - self.rules.bounds.idle
+        if now < until or session.state is RtspState.STARTING:
+            self.session_table.timers.set(("idle", name), max(until, now + SECOND))
             return
-        self.orders.append(Line("session idle", (("peer", session.visitor.peer),)))
-        self._end(now, session)
+        self.io_actions.append(Line("session idle", (("peer", session.visitor.peer),)))
+        self._end_session(now, session)
 
-    def stalled(self, now: int, visitor: Visitor) -> None:
-        """The viewer took nothing for the time that a stall may last."""
-        self.orders.append(Line("viewer stalled", (("peer", visitor.peer), ("waiting", visitor.outbox.size))))
+    def stalled(self, now: int, connection: Visitor) -> None:
+        """Log that a viewer accepted no bytes for the stall time-out."""
+        self.io_actions.append(Line("viewer stalled", (("peer", connection.peer), ("waiting", connection.outbox.size))))
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -1,4 +1,4 @@
-"""A small site for tests of the parts without I/O, and a world that plays the I/O with drawn luck."""
+"""A small site for tests of the core without I/O: rules, titles, and both ends of its connections."""
 
 from __future__ import annotations
 
@@ -43,24 +43,24 @@
     return Catalogue((FILM, OTHER))
 
 
-def listing(core, n=4, state=api.ServerState.READY, now=0):
-    """Tell the core of n hosts at once, past the roster."""
+def publish_hosts(core, n=4, state=api.ServerState.READY, now=0):
+    """Give the core a list of n hosts, bypassing the roster."""
     entries = tuple(replace(helpers.entry(k), state=state) for k in range(n))
     core.plays.listed(now, api.ServerList(api.ListKind.FULL, entries), {k: f"127.0.0.1:{7000 + k}" for k in range(n)})
 
 
 def front(seed=3, hosts=4, **changes):
-    """A core that knows its hosts and has none of them for cold."""
+    """Return a core that knows its hosts and considers none of them cold."""
     core = Core(rules(**changes), catalogue(), ("z",), seed, random.Random(seed), "gw")
     core.start(0)
-    listing(core, hosts)
+    publish_hosts(core, hosts)
     core.plays.controller.carried = True
     core.take()
     return core
 
 
 class Host:
-    """The host's end of one attempt: what was asked of it, as messages."""
+    """The host's end of one attempt; `asked` are the requests that it received."""
 
     def __init__(self, attempt):
         self.attempt = attempt
@@ -77,7 +77,7 @@
         return Connection.answer(request, Response(status, headers, body))
 
     def good(self, request):
-        """The answer of a host that does what it is asked."""
+        """Return the answer of a host that accepts the request."""
         if request.method == "SETUP":
             headers: Headers = (("Session", "s1;timeout=60"), ("Transport", request.header("Transport")))
             if request.header("Redeem"):
@@ -89,28 +89,28 @@
         return self.reply(request)
 
 
-class Guest:
+class Viewer:
     """A viewer's end of one connection to a core."""
 
     def __init__(self, core, now=0):
         self.core, self.now = core, now
-        self.visitor = core.visits.opened(now, "viewer")
+        self.connection = core.visits.opened(now, "viewer")
         self.wire = Connection(WIRE)
         self.events = []
 
     def send(self, data, now=None):
         self.now = self.now if now is None else now
-        self.core.visits.received(self.now, self.visitor, data)
+        self.core.visits.received(self.now, self.connection, data)
         return self.hear()
 
     def ask(self, method, url="rtsp://gw/films/a", headers=(), now=None):
-        """Ask; the status if the answer came at once, with its headers kept in `last`."""
+        """Send a request and return its CSeq."""
         cseq, data = self.wire.ask(method, url, headers)
         self.send(data, now)
         return cseq
 
     def hear(self):
-        box = self.visitor.outbox
+        box = self.connection.outbox
         while data := box.peek():
             box.took(len(data))
             self.events += self.wire.receive(data)
@@ -122,7 +122,7 @@
         return found[0] if found else None
 
     def set_up(self, url="rtsp://gw/films/a", tracks=2, query=""):
-        """SETUP all tracks; the session's headers."""
+        """SETUP all tracks and return the Session header."""
         headers: Headers = ()
         for n in range(1, tracks + 1):
             transport = (("Transport", f"RTP/AVP/TCP;unicast;interleaved={2 * n - 2}-{2 * n - 1}"),)
@@ -137,7 +137,7 @@
 
 
 def play_through(core, attempt, now=MS):
-    """Connect an attempt and have its host do all that is asked, up to the playing."""
+    """Connect an attempt and let its host accept all requests until it plays."""
     host = Host(attempt)
     assert core.plays.connected(now, attempt)
     while requests := host.read():
