--- a/tests/control/test_plays.py
+++ b/tests/control/test_plays.py
@@ -1,4 +1,4 @@
-"""The life of a wish: each hard case by hand, then drawn interleavings of all that can happen."""
+"""The life cycle of session requests: single cases, then random interleavings of all events."""
 
 import random
 from collections import Counter
@@ -13,13 +13,13 @@
     SECOND,
     Ask,
     Flush,
-    Guest,
     Host,
     Line,
     Stop,
+    Viewer,
     front,
-    listing,
     play_through,
+    publish_hosts,
     starts,
 )
 from tests.helpers import entry
@@ -27,17 +27,17 @@
 FILM = "rtsp://gw/films/a"
 
 
-def begun(core, query="", now=0):
-    """A viewer whose PLAY is out: the guest, the PLAY's number, its first attempt."""
-    guest = Guest(core, now)
-    session = guest.set_up(query=query)
-    play = guest.ask("PLAY", FILM, session, now=now)
+def request_session(core, query="", now=0):
+    """Return a viewer whose PLAY is unanswered, the PLAY's CSeq and its first attempt."""
+    viewer = Viewer(core, now)
+    session = viewer.set_up(query=query)
+    play = viewer.ask("PLAY", FILM, session, now=now)
     found = starts(core.take())
-    return guest, play, found[0] if found else None
+    return viewer, play, found[0] if found else None
 
 
-def set_up(core, attempt, now=MS):
-    """The host answers every SETUP and is quiet from the PLAY on."""
+def answer_setups(core, attempt, now=MS):
+    """Let the host answer every SETUP, but not the PLAY."""
     host = Host(attempt)
     assert core.plays.connected(now, attempt)
     while requests := [r for r in host.read() if r.method == "SETUP"]:
@@ -51,29 +51,29 @@
     core.plays.closed(attempt.limit, attempt)
 
 
-def asked_first(**changes):
-    """A core that asks first, its viewer's PLAY out, the connection up: all, and the host's end of it."""
+def host_check_pending(**changes):
+    """Return a core with an unanswered PLAY whose attempt waits for the host check, and the host's end."""
     core = front(turn=(0, 0), **changes)
-    guest, play, attempt = begun(core)
+    viewer, play, attempt = request_session(core)
     host = Host(attempt)
     assert core.plays.connected(MS, attempt)
-    return core, guest, play, attempt, host
+    return core, viewer, play, attempt, host
 
 
-def test_a_host_not_heard_of_lately_is_asked_before_a_set_up_leaves():
-    core, guest, play, attempt, host = asked_first()
+def test_a_host_not_heard_recently_is_checked_before_the_set_up():
+    core, viewer, play, attempt, host = host_check_pending()
     (question,) = host.read()
     assert question.method == "GET_PARAMETER" and attempt.stage is Stage.ASK and not attempt.sent
-    core.plays.received(2 * MS, attempt, host.reply(question, 501))  # one that knows no such question
+    core.plays.received(2 * MS, attempt, host.reply(question, 501))  # a host without support for the request
     assert [r.method for r in host.read()] == ["SETUP"] and attempt.sent
-    # heard of just now: the next one goes there at once, and later it is asked again
+    # heard just now, so the next attempt skips the check; later ones do not
     assert core.plays.hosts.sure(50 * MS, attempt.plan.server)
     assert not core.plays.hosts.sure(200 * MS, attempt.plan.server)
 
 
-def test_a_host_that_says_that_it_began_anew_gets_nothing_that_was_decided_before():
-    core, guest, play, attempt, host = asked_first(cold_from=0.001)
-    core.roster._entries[attempt.plan.server] = entry(attempt.plan.server)  # as the list told it: up for long
+def test_a_host_found_restarted_gets_no_set_up_decided_earlier():
+    core, viewer, play, attempt, host = host_check_pending(cold_from=0.001)
+    core.roster._entries[attempt.plan.server] = entry(attempt.plan.server)  # the list says it has been up for long
     core.roster.addresses[attempt.plan.server] = attempt.plan.address
     (question,) = host.read()
     core.plays.received(2 * MS, attempt, host.reply(question, 200, (("Host-Up", "boot=9; ms=20"),)))
@@ -81,13 +81,13 @@
     lines = [o.event for o in core.take() if isinstance(o, Line)]
     assert "host began anew" in lines
     core.plays.closed(3 * MS, attempt)
-    # the module knows: it is cold, and its like get nothing out of turn
+    # the controller knows that the host is cold, so it gets sessions only in turn
     assert core.plays.controller.servers[attempt.plan.server].entry.started == max(1, 2 * MS - 20 * MS)
 
 
 @pytest.mark.parametrize("end", ["silence", "nonsense", "close"])
-def test_a_host_that_does_not_say_that_it_is_there_has_run_nothing(end):
-    core, guest, play, attempt, host = asked_first()
+def test_a_host_that_fails_the_check_has_run_nothing(end):
+    core, viewer, play, attempt, host = host_check_pending()
     if end == "silence":
         core.wake(MS + core.rules.settings.connect_timeout)
     elif end == "nonsense":
@@ -96,44 +96,44 @@
     assert core.plays.counts.outcomes == {"CONNECT_FAILED": 1}
 
 
-def test_a_set_up_decided_long_ago_does_not_leave_after_a_stand():
+def test_an_outdated_set_up_is_not_sent_after_a_stall():
     core = front()
-    guest, play, attempt = begun(core)
+    viewer, play, attempt = request_session(core)
     assert not core.plays.connected(600 * MS, attempt) and attempt.verdict is Code.MOOT
 
 
-def test_standing_still_is_told():
+def test_a_stall_of_the_process_is_logged():
     core = front()
-    begun(core)
+    request_session(core)
     core.wake(core.next_wake() + 400 * MS)
     assert any(isinstance(o, Line) and o.event == "stood still" for o in core.take())
 
 
-def test_a_host_quiet_before_play_a_free_session_is_placed_elsewhere_in_time():
+def test_a_free_session_moves_to_another_host_if_play_is_unanswered():
     core = front()
-    guest, play, attempt = begun(core)
-    set_up(core, attempt)
+    viewer, play, attempt = request_session(core)
+    answer_setups(core, attempt)
     expire(core, attempt)
     core.wake(attempt.limit + 300 * MS)
     (second,) = starts(core.take())
     assert second.plan.server != attempt.plan.server and second.plan.number == 1
-    play_through(core, second, second.began + MS)
-    assert guest.answer(play).status == 200
+    play_through(core, second, second.decided_at + MS)
+    assert viewer.answer(play).status == 200
 
 
-def test_a_host_quiet_before_play_a_paid_session_fails_once_and_its_receipt_is_kept():
+def test_a_paid_session_fails_if_play_is_unanswered_and_keeps_its_receipt():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
-    set_up(core, attempt)
+    viewer, play, attempt = request_session(core, "?code=X1")
+    answer_setups(core, attempt)
     expire(core, attempt)
     core.wake(4 * SECOND)
     orders = core.take()
-    assert guest.answer(play).status == 504 and not starts(orders)
+    assert viewer.answer(play).status == 504 and not starts(orders)
     lines = [o for o in orders if isinstance(o, Line) and o.event != "module"]
     assert [line.event for line in lines] == ["attempt ended", "failed"]
     assert {dict(line.fields)["ref"] for line in lines} == {1} and "X1" not in str(lines)
-    # the family comes again with the same code: it is not redeemed a second time
-    _, again, second = begun(core, "?code=X1", 5 * SECOND)
+    # the viewer returns with the same code: it is not redeemed a second time
+    _, again, second = request_session(core, "?code=X1", 5 * SECOND)
     host = play_through(core, second, 5 * SECOND)
     first = host.asked[0]
     assert first.header("Redeem") is None and first.header("Receipt") == "r-X1"
@@ -141,26 +141,28 @@
 
 def test_a_code_whose_set_up_was_never_answered_is_not_sent_again():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
+    viewer, play, attempt = request_session(core, "?code=X1")
     assert core.plays.connected(MS, attempt)
     expire(core, attempt)
-    assert guest.answer(play).status == 504
-    other, again, second = begun(core, "?code=X1", 5 * SECOND)
-    assert second is None and other.answer(again).status == 500  # no refusal: that would promise too much
+    assert viewer.answer(play).status == 504
+    other, again, second = request_session(core, "?code=X1", 5 * SECOND)
+    assert (
+        second is None and other.answer(again).status == 500
+    )  # not a refusal, which would promise that a retry is safe
 
 
-def test_the_same_code_on_another_connection_while_the_first_is_out():
+def test_a_code_in_use_is_denied_on_another_connection():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
-    other, again, second = begun(core, "?code=X1")
+    viewer, play, attempt = request_session(core, "?code=X1")
+    other, again, second = request_session(core, "?code=X1")
     assert second is None and other.answer(again).status == 403
     play_through(core, attempt)
-    assert guest.answer(play).status == 200
+    assert viewer.answer(play).status == 200
 
 
-def test_a_full_answer_proves_that_the_code_is_still_good():
+def test_a_453_to_setup_proves_that_the_code_is_unused():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
+    viewer, play, attempt = request_session(core, "?code=X1")
     assert core.plays.connected(MS, attempt)
     host = Host(attempt)
     core.plays.received(2 * MS, attempt, host.reply(host.read()[0], 453))
@@ -168,37 +170,37 @@
     core.wake(300 * MS)
     (second,) = starts(core.take())
     assert play_through(core, second, 301 * MS).asked[0].header("Redeem") == "X1"
-    assert guest.answer(play).status == 200
+    assert viewer.answer(play).status == 200
 
 
-def test_a_full_answer_after_the_redemption_proves_nothing():
+def test_a_453_to_play_proves_nothing_about_the_code():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
-    host = set_up(core, attempt)
+    viewer, play, attempt = request_session(core, "?code=X1")
+    host = answer_setups(core, attempt)
     request = next(r for r in host.asked if r.method == "PLAY")
     core.plays.received(2 * MS, attempt, host.reply(request, 453))
     core.plays.closed(2 * MS, attempt)
     core.wake(4 * SECOND)
-    assert guest.answer(play).status == 502 and not starts(core.take())
+    assert viewer.answer(play).status == 502 and not starts(core.take())
 
 
-def test_a_code_that_the_office_does_not_know_is_the_viewers_matter():
+def test_an_invalid_code_does_not_count_against_the_host():
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
+    viewer, play, attempt = request_session(core, "?code=X1")
     assert core.plays.connected(MS, attempt)
     host = Host(attempt)
     core.plays.received(2 * MS, attempt, host.reply(host.read()[0], 403))
-    assert guest.answer(play).status == 403
+    assert viewer.answer(play).status == 403
     core.plays.closed(2 * MS, attempt)
     assert not core.plays.plays and core.plays.controller.servers[attempt.plan.server].bad == 0
 
 
-def test_the_viewer_leaves_mid_redemption_and_finds_its_receipt():
+def test_a_viewer_that_leaves_during_redemption_finds_its_receipt():
     core = front()
-    guest, _, attempt = begun(core, "?code=X1")
+    viewer, _, attempt = request_session(core, "?code=X1")
     assert core.plays.connected(MS, attempt)
-    core.visits.closed(2 * MS, guest.visitor)
-    assert attempt.verdict is None  # the answer may be under way: it is waited for
+    core.visits.closed(2 * MS, viewer.connection)
+    assert attempt.verdict is None  # the answer may be on its way, so the attempt goes on
     host = Host(attempt)
     while requests := host.read():
         for request in requests:
@@ -210,9 +212,9 @@
 
 
 @pytest.mark.parametrize("drained, leaves", [(False, True), (True, False)])
-def test_a_drain_heard_while_connecting_stops_the_set_up(drained, leaves):
+def test_a_drain_learned_of_while_connecting_stops_the_set_up(drained, leaves):
     core = front()
-    _, _, attempt = begun(core)
+    _, _, attempt = request_session(core)
     if drained:
         news = (entry(attempt.plan.server, state=ServerState.DRAINING),)
         core.plays.listed(MS, ServerList(ListKind.DELTA, news), {})
@@ -224,12 +226,12 @@
         assert all(a.plan.server != attempt.plan.server for a in starts(core.take()))
 
 
-def test_the_200_in_the_moment_of_the_limit():
-    # heard before the limit fired: it plays; after the connection was given up: it counts for nothing
+def test_a_200_at_the_deadline():
+    # The answer counts if it arrives before the deadline fires, and not once the connection was given up.
     for late in (False, True):
         core = front()
-        guest, play, attempt = begun(core, "?code=X1")
-        host = set_up(core, attempt)
+        viewer, play, attempt = request_session(core, "?code=X1")
+        host = answer_setups(core, attempt)
         good = host.good(next(r for r in host.asked if r.method == "PLAY"))
         if late:
             core.plays.expired(attempt.limit, attempt)
@@ -237,40 +239,40 @@
         if late:
             core.plays.closed(attempt.limit, attempt)
         core.wake(attempt.limit + SECOND)
-        assert guest.answer(play).status == (504 if late else 200)
+        assert viewer.answer(play).status == (504 if late else 200)
 
 
-def test_a_cancel_that_crosses_a_success():
+def test_a_teardown_that_crosses_a_200():
     core = front()
-    guest, play, attempt = begun(core)
-    host = set_up(core, attempt)
+    viewer, play, attempt = request_session(core)
+    host = answer_setups(core, attempt)
     good = host.good(next(r for r in host.asked if r.method == "PLAY"))
-    guest.ask("TEARDOWN", FILM, (("Session", next(iter(core.visits.sessions))),))
+    viewer.ask("TEARDOWN", FILM, (("Session", next(iter(core.visits.sessions))),))
     core.plays.received(2 * MS, attempt, good)
-    assert attempt.verdict is Code.CANCELLED and guest.answer(play).status == 455
+    assert attempt.verdict is Code.CANCELLED and viewer.answer(play).status == 455
     core.plays.closed(3 * MS, attempt)
     assert not core.plays.plays
 
 
-def test_a_teardown_races_with_the_hosts_own_end():
+def test_a_teardown_that_races_with_the_hosts_end_of_stream():
     from copperyard.protocol.rtp import Bye, encode_compound
 
     core = front()
-    guest, play, attempt = begun(core)
+    viewer, play, attempt = request_session(core)
     host = play_through(core, attempt)
     byes = b"".join(host.wire.frame(c, encode_compound([Bye((1,))], 1)) for c in (1, 3))
     session = next(iter(core.visits.sessions))
     core.plays.received(2 * MS, attempt, byes)
     assert attempt.verdict is Code.OK
-    teardown = guest.ask("TEARDOWN", FILM, (("Session", session),))
+    teardown = viewer.ask("TEARDOWN", FILM, (("Session", session),))
     core.plays.closed(3 * MS, attempt)
-    assert guest.answer(teardown).status == 200 and not core.plays.plays
-    assert guest.answer(play).status == 200
+    assert viewer.answer(teardown).status == 200 and not core.plays.plays
+    assert viewer.answer(play).status == 200
 
 
-def test_rungs_go_to_the_host_one_at_a_time_and_a_refused_one_is_told():
+def test_rung_requests_are_sent_one_at_a_time_and_a_refusal_is_reported():
     core = front()
-    _, _, attempt = begun(core)
+    _, _, attempt = request_session(core)
     host = play_through(core, attempt)
     attempt.set_rung(1)
     attempt.set_rung(0)
@@ -283,9 +285,9 @@
     assert attempt.rung == 1 and core.plays.controller.sessions[attempt.plan.ref].rung == 1
 
 
-def test_a_host_that_falls_silent_is_told_of_and_then_given_up():
+def test_a_silent_host_is_reported_and_then_given_up():
     core = front()
-    _, _, attempt = begun(core)
+    _, _, attempt = request_session(core)
     play_through(core, attempt)
     core.take()
     core.wake(1500 * MS)
@@ -296,13 +298,13 @@
     assert attempt.verdict is Code.TIMEOUT and any(isinstance(o, Stop) for o in core.take())
 
 
-def test_an_attempt_for_a_host_without_an_address_never_leaves():
+def test_no_attempt_is_made_at_a_host_without_an_address():
     core = front()
-    core.plays.hosts._known.clear()
-    guest, play, attempt = begun(core)
+    core.plays.hosts._hosts.clear()
+    viewer, play, attempt = request_session(core)
     assert attempt is None
     core.wake(5 * SECOND)
-    assert guest.answer(play).status == 453
+    assert viewer.answer(play).status == 453
 
 
 @pytest.mark.parametrize(
@@ -315,24 +317,24 @@
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: a b\r\n\r\n",
     ],
 )
-def test_bytes_of_a_host_that_make_no_sense(reply):
+def test_invalid_bytes_from_a_host(reply):
     core = front()
-    guest, play, attempt = begun(core, "?code=X1")
+    viewer, play, attempt = request_session(core, "?code=X1")
     assert core.plays.connected(MS, attempt)
     core.plays.received(2 * MS, attempt, reply)
     core.plays.closed(3 * MS, attempt)
     core.wake(4 * SECOND)
-    assert guest.answer(play).status in (502, 504) and not starts(core.take())
+    assert viewer.answer(play).status in (502, 504) and not starts(core.take())
 
 
-class World:
-    """The I/O with drawn luck: connects, answers, losses, limits, drains and viewers in any order."""
+class SimulatedIO:
+    """Random I/O: connects, answers, losses, deadlines, drains and viewers in any order."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.core = front(seed, free_resends=2.0, further_ratio=0.2, ratio_span=5 * SECOND)
         self.now = 0
-        self.guests, self.plays = [], []
+        self.viewers, self.plays = [], []
         self.live = {}
         self.carried = Counter()
         self.out = Counter()
@@ -359,8 +361,8 @@
 
     def host_step(self):
         attempt = self.random.choice(list(self.live))
-        luck = self.random.random()
-        if attempt.verdict is not None or luck < 0.07:
+        draw = self.random.random()
+        if attempt.verdict is not None or draw < 0.07:
             if self.random.random() < 0.3 and attempt.verdict is None:
                 self.core.plays.expired(self.now, attempt)
             self.close(attempt)
@@ -382,42 +384,42 @@
                     self.core.plays.received(self.now, attempt, data)
 
     def viewer_step(self):
-        luck = self.random.random()
-        if luck < 0.4 or not self.guests:
-            guest = Guest(self.core, self.now)
-            code = self.random.choice(("", "", "?code=A", "?code=B", f"?code=N{len(self.guests)}"))
-            session = guest.set_up(query=code)
-            self.guests.append((guest, session))
-            self.plays.append((guest, guest.ask("PLAY", FILM, session, now=self.now)))
-        elif luck < 0.7:
-            guest, session = self.random.choice(self.guests)
-            if not guest.visitor.gone and not guest.visitor.closing:
-                cseq = guest.ask(
+        draw = self.random.random()
+        if draw < 0.4 or not self.viewers:
+            viewer = Viewer(self.core, self.now)
+            code = self.random.choice(("", "", "?code=A", "?code=B", f"?code=N{len(self.viewers)}"))
+            session = viewer.set_up(query=code)
+            self.viewers.append((viewer, session))
+            self.plays.append((viewer, viewer.ask("PLAY", FILM, session, now=self.now)))
+        elif draw < 0.7:
+            viewer, session = self.random.choice(self.viewers)
+            if not viewer.connection.gone and not viewer.connection.closing:
+                cseq = viewer.ask(
                     self.random.choice(("PLAY", "PAUSE", "TEARDOWN", "GET_PARAMETER")), FILM, session, now=self.now
                 )
-                self.plays.append((guest, cseq))
+                self.plays.append((viewer, cseq))
         else:
-            guest, _ = self.random.choice(self.guests)
-            if not guest.visitor.gone:
-                self.core.visits.closed(self.now, guest.visitor)
+            viewer, _ = self.random.choice(self.viewers)
+            if not viewer.connection.gone:
+                self.core.visits.closed(self.now, viewer.connection)
 
     def step(self):
         self.now += self.random.choice((0, MS, 20 * MS, 150 * MS))
         self.core.wake(self.now)
-        luck = self.random.random()
-        if luck < 0.03:
+        draw = self.random.random()
+        if draw < 0.03:
             state = self.random.choice((ServerState.READY, ServerState.DRAINING))
-            listing(self.core, self.random.randrange(2, 5), state, self.now)
-        elif luck < 0.25:
+            publish_hosts(self.core, self.random.randrange(2, 5), state, self.now)
+        elif draw < 0.25:
             self.viewer_step()
         elif self.live:
             self.host_step()
         self.orders()
 
     def finish(self):
-        for guest, _ in self.guests:
-            if not guest.visitor.gone:
-                self.core.visits.closed(self.now, guest.visitor)
+        for viewer, _ in self.viewers:
+            if not viewer.connection.gone:
+                self.core.visits.closed(self.now, viewer.connection)
         self.orders()
         for _ in range(200):
             self.now += 100 * MS
@@ -431,31 +433,31 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_any_interleaving_gives_each_request_one_answer_and_leaves_nothing(seed):
-    world = World(seed)
+def test_any_interleaving_gives_each_request_one_answer_and_leaks_nothing(seed):
+    io = SimulatedIO(seed)
     for _ in range(400):
-        world.step()
-    # viewers that stayed get their answers once their time is up
+        io.step()
+    # viewers that stay get their answers by their deadlines
     for _ in range(60):
-        world.now += 100 * MS
-        world.core.wake(world.now)
-        for attempt in list(world.live):
-            if attempt.verdict is not None or attempt.stage is not Stage.OPEN and world.now >= attempt.limit:
-                world.core.plays.expired(world.now, attempt)
-                world.close(attempt)
-        world.orders()
-    for guest, cseq in world.plays:
-        guest.hear()
-        answers = [e for e in guest.events if getattr(e, "cseq", None) == cseq]
+        io.now += 100 * MS
+        io.core.wake(io.now)
+        for attempt in list(io.live):
+            if attempt.verdict is not None or attempt.stage is not Stage.OPEN and io.now >= attempt.limit:
+                io.core.plays.expired(io.now, attempt)
+                io.close(attempt)
+        io.orders()
+    for viewer, cseq in io.plays:
+        viewer.hear()
+        answers = [e for e in viewer.events if getattr(e, "cseq", None) == cseq]
         assert len(answers) <= 1
-        assert answers or guest.visitor.gone, "a request was left without an answer"
-        assert not any(type(e).__name__ == "Unasked" for e in guest.events)
-    world.finish()
-    core = world.core
-    assert not core.plays.plays and not core.visits.sessions and not world.live and core.plays.waiting == 0
+        assert answers or viewer.connection.gone, "a request was left without an answer"
+        assert not any(type(e).__name__ == "Unasked" for e in viewer.events)
+    io.finish()
+    core = io.core
+    assert not core.plays.plays and not core.visits.sessions and not io.live and core.plays.waiting == 0
     assert not core.plays.controller.sessions and not core.plays.controller.held and not core.plays.controller.seats
     assert all(c.ref is None for c in core.plays.codes._codes.values())
 
 
-def test_a_response_without_a_reason_is_whole():
+def test_a_response_without_a_reason_is_complete():
     assert Response(453).encode() == b"RTSP/1.0 453 Not Enough Bandwidth\r\n\r\n"
