--- a/copperyard/control/admission.py
+++ b/copperyard/control/admission.py
@@ -33,13 +33,13 @@
     code = target.get(CODE_PARAMETER)
     if code is not None and not (0 < len(code) <= MAX_CODE_CHARS and code.isascii() and code.isalnum()):
         return Denial(400, "a code is 1 to 128 letters and digits")
-    reached = [e for e in rules.entries if title.path.startswith(e.prefix)]
-    for entry in reached:
+    matching = [e for e in rules.entries if title.path.startswith(e.prefix)]
+    for entry in matching:
         if entry.paid == (code is not None):
             return Admission(entry, code)
-    if reached and code is None:
+    if matching and code is None:
         return Denial(402, "this title is played with a code only")
-    if reached:
+    if matching:
         # A code that cannot be redeemed here is rejected; if it were ignored, the viewer would think it was spent.
         return Denial(403, "this title takes no code")
     return Denial(403, "no class plays this title")
--- a/copperyard/control/catalogue.py
+++ b/copperyard/control/catalogue.py
@@ -42,7 +42,7 @@
         numbers: set[int] = set()
         for title in titles:
             if title.path in self._titles or title.number in numbers:
-                raise ValueError(f"two titles are {title.path} or share its number {title.number}")
+                raise ValueError(f"two titles share the path {title.path} or the number {title.number}")
             self._titles[title.path] = title
             numbers.add(title.number)
 
--- a/copperyard/control/core.py
+++ b/copperyard/control/core.py
@@ -12,7 +12,7 @@
 from ..state.facts import Listed
 from .catalogue import Catalogue
 from .memory import Journal
-from .orders import Line, Order
+from .orders import IoAction, Line
 from .plays import Plays
 from .rules import FrontRules
 from .visits import Visits
@@ -29,7 +29,7 @@
         self.rules = rules
         # A restarted front gets another name, as its request numbers start again.
         name = self.label = f"{name}.{rng.getrandbits(32):08x}"
-        self._io_actions: list[Order] = []
+        self._io_actions: list[IoAction] = []
         self.roster = Roster(zones, rules.settings.cells)
         self.plays = Plays(rules, seed, name, self._io_actions)
         self._cached_list = b""
@@ -39,7 +39,7 @@
         self.plays.host_address = lambda host: self.roster.addresses.get(self.roster.numbers.get(host, -1))
         self.visits = Visits(rules, catalogue, self.plays, rng, self._io_actions, name)
 
-    def take(self) -> list[Order]:
+    def take(self) -> list[IoAction]:
         """Return the pending I/O actions in order and clear them."""
         orders = self._io_actions[:]
         self._io_actions.clear()
@@ -58,7 +58,7 @@
             plays.budget.restore(now, spent)
         self._cached_list = journal.state.body
 
-    def _use_cached(self, now: int) -> None:
+    def _use_cached_list(self, now: int) -> None:
         """Use the last server list of an earlier run, if the list service does not answer at the start. It is not
         used earlier, because an answer of the service is newer.
         """
@@ -116,7 +116,7 @@
         """Handle a failed poll of the list service; the controller decides when to poll again."""
         self._io_actions.append(Line("list failed", (("text", text),)))
         self.plays.listed(now, ServerList(ListKind.FAILED), {})
-        self._use_cached(now)
+        self._use_cached_list(now)
 
     def next_wake(self) -> int | None:
         """Return the time of the next timer, None if there is none."""
--- a/copperyard/control/orders.py
+++ b/copperyard/control/orders.py
@@ -82,4 +82,4 @@
     fields: tuple[tuple[str, str | int], ...] = ()
 
 
-Order = Start | Flush | Stop | Wrote | Hangup | Ask | Settle | Follow | Line
+IoAction = Start | Flush | Stop | Wrote | Hangup | Ask | Settle | Follow | Line
--- a/copperyard/control/outbox.py
+++ b/copperyard/control/outbox.py
@@ -21,11 +21,11 @@
         self.limit, self.stall = limit, stall
         self.size = 0
         self.bytes_taken = 0  # total bytes accepted by the peer
-        self._parts: deque[bytes] = deque()
+        self._chunks: deque[bytes] = deque()
 
     def put(self, data: bytes) -> None:
         """Append bytes."""
-        self._parts.append(data)
+        self._chunks.append(data)
         self.size += len(data)
 
     @property
@@ -40,19 +40,19 @@
 
     def peek(self) -> bytes:
         """Return the next bytes to write, empty if nothing waits."""
-        if len(self._parts) > 1:
+        if len(self._chunks) > 1:
             parts, size = [], 0
-            while self._parts and size < MAX_WRITE_BYTES:
-                parts.append(self._parts.popleft())
+            while self._chunks and size < MAX_WRITE_BYTES:
+                parts.append(self._chunks.popleft())
                 size += len(parts[-1])
-            self._parts.appendleft(b"".join(parts))
-        return self._parts[0] if self._parts else b""
+            self._chunks.appendleft(b"".join(parts))
+        return self._chunks[0] if self._chunks else b""
 
     def took(self, size: int) -> None:
         """Remove `size` bytes, which the peer accepted, of those that peek returned."""
         if size:
-            head = self._parts.popleft()
+            head = self._chunks.popleft()
             if size < len(head):
-                self._parts.appendleft(head[size:])
+                self._chunks.appendleft(head[size:])
             self.size -= size
             self.bytes_taken += size
--- a/copperyard/control/plays.py
+++ b/copperyard/control/plays.py
@@ -64,7 +64,7 @@
 from .feed import Feed
 from .hosts import HostBook
 from .memory import STORE_WAIT, Journal, NullJournal
-from .orders import Ask, Flush, Follow, Line, Order, Settle, Start, Stop
+from .orders import Ask, Flush, Follow, IoAction, Line, Settle, Start, Stop
 from .redemption import CodeState, Redemptions, Verdict
 from .rules import FrontRules
 from .settling import Answer, Settler, parse_settled
@@ -182,7 +182,7 @@
     """
 
     def __init__(
-        self, rules: FrontRules, seed: int, name: str, orders: list[Order], controller: Controller | None = None
+        self, rules: FrontRules, seed: int, name: str, orders: list[IoAction], controller: Controller | None = None
     ) -> None:
         s = rules.settings
         self.rules, self.name, self.orders = rules, name, orders
--- a/copperyard/control/scheduler.py
+++ b/copperyard/control/scheduler.py
@@ -48,7 +48,7 @@
 
     def __init__(self, share: float = LOOP_SHARE, burst: int = BURST_NS) -> None:
         if not 0 < share <= 1:
-            raise ValueError(f"a share of {share} is not above 0 and at most 1")
+            raise ValueError(f"share {share} is not above 0 and at most 1")
         self.share, self.burst = share, burst
         self._jobs: dict[str, Job] = {}
         self._credit = float(burst)
--- a/copperyard/control/splice.py
+++ b/copperyard/control/splice.py
@@ -51,12 +51,12 @@
 
     def packet(self, now: int, data: bytes) -> bytes | None:
         """Return a host's RTP packet as the viewer gets it, None if it is not RTP."""
-        head = parse(data)
-        if head is None:
+        header = parse(data)
+        if header is None:
             return None
-        if head.ssrc != self.source:
-            self.switch_source(now, head.ssrc, head.seq, head.ts)
-        return self._rewrite(now, head, data)
+        if header.ssrc != self.source:
+            self.switch_source(now, header.ssrc, header.seq, header.ts)
+        return self._rewrite(now, header, data)
 
     def switch_source(self, now: int, source: int, seq: int, ts: int) -> None:
         """Handle a packet with a new SSRC. A change that was not announced is numbered to follow what was sent."""
@@ -64,9 +64,9 @@
             self._rebase(now, seq, ts)
         self.source = source
 
-    def _rewrite(self, now: int, head: Packet, data: bytes) -> bytes:
-        seq = head.seq + self.seq_offset & 0xFFFF
-        ts = head.ts + self.ts_offset & 0xFFFFFFFF
+    def _rewrite(self, now: int, header: Packet, data: bytes) -> bytes:
+        seq = header.seq + self.seq_offset & 0xFFFF
+        ts = header.ts + self.ts_offset & 0xFFFFFFFF
         if (seq - self.seq) & 0xFFFF < 0x8000:  # ignore reordered packets
             self.seq = seq + 1 & 0xFFFF
             self.ts, self.last_packet_at = ts, now
--- a/copperyard/control/visits.py
+++ b/copperyard/control/visits.py
@@ -36,7 +36,7 @@
 from .admission import Admission, Denial, admit, highest_rung
 from .attempt import ForwardedReply, MediaData
 from .catalogue import Catalogue, Title, describe
-from .orders import Hangup, Line, Order, Wrote
+from .orders import Hangup, IoAction, Line, Wrote
 from .outbox import Outbox
 from .plays import Plays, SessionRequest
 from .rules import FrontRules
@@ -133,9 +133,9 @@
 
     def _answer_pending(self, now: int, response: Response) -> None:
         """Answer all requests that wait for this outcome: the PLAY and its repetitions."""
-        slots, self.slots = self.slots, []
+        waiting, self.slots = self.slots, []
         with_id = Response(response.status, (("Session", self.id), *response.headers), b"", response.reason)
-        for pending in slots:
+        for pending in waiting:
             self.rtsp_server.reply(now, self.visitor, pending, with_id)
 
     def media(self, now: int, media: MediaData) -> None:
@@ -180,11 +180,11 @@
         return self.visitor.outbox.full
 
     def _play_headers(self, infos: tuple[tuple[int, int] | None, ...]) -> Headers:
-        end = self.title.length / SECOND if self.title.length is not None else None
+        end_s = self.title.length / SECOND if self.title.length is not None else None
         urls = [f"{self.base_url}{quote_path(self.title.path)}/track{n}" for n in sorted(self.splices)]
-        told = [RtpInfo(url, *info).encode() for url, info in zip(urls, infos, strict=True) if info]
-        headers: Headers = (("Range", Range(self.start_s, end).encode()),)
-        return headers + ((("RTP-Info", ",".join(told)),) if told else ())
+        rtp_infos = [RtpInfo(url, *info).encode() for url, info in zip(urls, infos, strict=True) if info]
+        headers: Headers = (("Range", Range(self.start_s, end_s).encode()),)
+        return headers + ((("RTP-Info", ",".join(rtp_infos)),) if rtp_infos else ())
 
 
 class Visits:
@@ -196,11 +196,11 @@
         catalogue: Catalogue,
         session_table: Plays,
         rng: random.Random,
-        io_actions: list[Order],
+        io_actions: list[IoAction],
         name: str,
     ) -> None:
         self.rules, self.catalogue, self.session_table = rules, catalogue, session_table
-        self.random, self.io_actions, self.server_header = rng, io_actions, ("Server", name)
+        self.rng, self.io_actions, self.server_header = rng, io_actions, ("Server", name)
         self.visitors: dict[int, Visitor] = {}
         self._next = 0
         self.sessions: dict[str, Session] = {}
@@ -451,9 +451,9 @@
         session.last_heard = now
         splice = Splice(
             title.tracks[track - 1].clock,
-            self.random.getrandbits(32),
-            self.random.getrandbits(16),
-            self.random.getrandbits(32),
+            self.rng.getrandbits(32),
+            self.rng.getrandbits(16),
+            self.rng.getrandbits(32),
             channels,
         )
         session.splices[track] = splice
@@ -470,7 +470,7 @@
     ) -> Session:
         top = highest_rung(self.rules, admission.entry.cls, parse_bandwidth(request.header("Bandwidth")))
         session = Session(
-            self, connection, f"{self.random.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
+            self, connection, f"{self.rng.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
         )
         connection.sessions[session.id] = self.sessions[session.id] = session
         self.session_table.timers.set(("idle", session.id), now + self.rules.bounds.idle)
