--- a/copperyard/control/attempt.py
+++ b/copperyard/control/attempt.py
@@ -25,7 +25,7 @@
 
 
 class Stage(Enum):
-    """Stages of an attempt, in order; ASK is the check of the host before the set-up."""
+    """Stages of an attempt, in order. The second one is the check of the host, which may be skipped."""
 
     CONNECT = 0
     ASK = 1
@@ -160,9 +160,7 @@
     intent: int = 0
     receipt_sequence: int = 0
     hold: bool = False
-    last_exchange_ns: int = (
-        0  # duration of the last exchange with the host: the connect, or the check before the set-up
-    )
+    last_exchange_ns: int = 0  # duration of the connect, or of the check before the set-up
     check_sent_at: int = 0
     _play_ready: bool = False
     _wire: Connection = field(init=False)
--- a/copperyard/control/memory.py
+++ b/copperyard/control/memory.py
@@ -18,7 +18,7 @@
 
     @property
     def state(self) -> State:
-        """All that is known."""
+        """The state that the facts written so far add up to."""
 
     @property
     def well(self) -> bool:
--- a/tests/control/test_plays.py
+++ b/tests/control/test_plays.py
@@ -146,9 +146,8 @@
     expire(core, attempt)
     assert viewer.answer(play).status == 504
     other, again, second = request_session(core, "?code=X1", 5 * SECOND)
-    assert (
-        second is None and other.answer(again).status == 500
-    )  # not a refusal, which would promise that a retry is safe
+    # not a refusal, which would promise that a retry is safe
+    assert second is None and other.answer(again).status == 500
 
 
 def test_a_code_in_use_is_denied_on_another_connection():
