--- a/copperyard/cli/state.py
+++ b/copperyard/cli/state.py
@@ -1,4 +1,4 @@
-"""`copperyard state`: look at what a gateway keeps on disk, also at the files of a dead one. Only `compact` writes."""
+"""`copperyard state`: inspect a gateway's state on disk, also while it is stopped. Only `compact` writes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 Folder = Annotated[Path, typer.Argument(help="The gateway's own folder of state.", metavar="FOLDER")]
 
 
-def _recovered(folder: Path) -> Recovery:
+def _recover(folder: Path) -> Recovery:
     if not folder.is_dir():
         typer.echo(f"{folder}: no folder", err=True)
         raise typer.Exit(2)
@@ -31,45 +31,45 @@
         raise typer.Exit(2) from None
 
 
-def _summary(found: Recovery) -> dict[str, Any]:
-    kept = found.state
-    body = json.loads(kept.body) if kept.body else {}
+def _summary(recovery: Recovery) -> dict[str, Any]:
+    stored = recovery.state
+    body = json.loads(stored.body) if stored.body else {}
     return {
-        "codes": len(kept.codes),
-        "unclear": len(kept.unclear()),
-        "lives": kept.lives,
-        "label": kept.label,
-        "settings": kept.generation,
-        "planned_end": kept.ended,
-        "service_s": round(kept.reached / 1e9, 3),
+        "codes": len(stored.codes),
+        "unclear": len(stored.unclear()),
+        "lives": stored.lives,
+        "label": stored.label,
+        "settings": stored.generation,
+        "planned_end": stored.ended,
+        "service_s": round(stored.service_time / 1e9, 3),
         "list_generation": body.get("generation"),
         "hosts": len(body.get("hosts", [])),
-        "snapshot": found.snapshot or None,
-        "replayed": found.replayed,
-        "sequence": found.sequence,
-        "files": [name for name in found.files if name != "lock"],
+        "snapshot": recovery.snapshot or None,
+        "replayed": recovery.replayed,
+        "sequence": recovery.sequence,
+        "files": [name for name in recovery.files if name != "lock"],
     }
 
 
 @state.command()
 def show(folder: Folder) -> None:
     """Print what the state comes to, as JSON."""
-    found = _recovered(folder)
-    typer.echo(json.dumps(_summary(found), indent=2))
-    if found.newer:
+    recovery = _recover(folder)
+    typer.echo(json.dumps(_summary(recovery), indent=2))
+    if recovery.newer:
         raise typer.Exit(1)
 
 
 @state.command()
 def verify(folder: Folder) -> None:
     """Read all of it; a line for whatever was not used. Exit 1 where a gateway would not start on it."""
-    found = _recovered(folder)
-    for one in found.dropped:
+    recovery = _recover(folder)
+    for one in recovery.dropped:
         typer.echo(f"{one.name}: {one.text}{' (facts may be missing)' if one.harm else ' (no harm)'}")
-    refusal = found.refusal(False)
+    refusal = recovery.refusal(False)
     typer.echo(
-        f"{folder}: {found.replayed} records over {found.snapshot or 'no snapshot'}, "
-        f"{len(found.state.codes)} codes: {'good' if refusal is None else 'not to be started on'}"
+        f"{folder}: {recovery.replayed} records over {recovery.snapshot or 'no snapshot'}, "
+        f"{len(recovery.state.codes)} codes: {'good' if refusal is None else 'not to be started on'}"
     )
     if refusal is not None:
         raise typer.Exit(1)
@@ -88,13 +88,13 @@
         typer.echo(str(error), err=True)
         raise typer.Exit(1) from None
     try:
-        found = _recovered(folder)
-        refusal = found.refusal(False)
+        recovery = _recover(folder)
+        refusal = recovery.refusal(False)
         if refusal is not None:
             typer.echo(f"{folder}: {refusal}", err=True)
             raise typer.Exit(1)
         before = _size(folder)
-        trio.run(_compact, found, disk)
+        trio.run(_compact, recovery, disk)
         typer.echo(f"{folder}: {before} bytes before, {_size(folder)} now")
     except OSError as error:
         typer.echo(f"{folder}: {error}", err=True)
@@ -107,22 +107,22 @@
     return sum(path.stat().st_size for path in folder.iterdir() if path.is_file())
 
 
-async def _compact(found: Recovery, disk: FolderDisk) -> None:
-    """Carry out the steps of a snapshot."""
-    book = Book(found, found.state.label, found.state.generation, 0, 0, begins=False)
-    book.compact()
-    for lane, step in _steps(book):
+async def _compact(recovery: Recovery, disk: FolderDisk) -> None:
+    """Write a snapshot and remove the files that it replaces."""
+    writer = Book(recovery, recovery.state.label, recovery.state.generation, 0, 0, begins=False)
+    writer.compact()
+    for queue, step in _steps(writer):
         await disk.do(step)
-        book.done(lane, 0)
+        writer.done(queue, 0)
 
 
-def _steps(book: Book) -> Iterator[tuple[str, Any]]:
+def _steps(writer: Book) -> Iterator[tuple[str, Any]]:
     while True:
-        step = book.commit(0)
+        step = writer.commit(0)
         if step is not None:
             yield "commit", step
             continue
-        step = book.chore(0)
+        step = writer.chore(0)
         if step is None:
             return
         yield "chore", step
@@ -136,7 +136,7 @@
     if out.suffix not in (".jsonl", ".parquet"):
         typer.echo(f"{out}: neither .jsonl nor .parquet", err=True)
         raise typer.Exit(2)
-    rows = _rows(_recovered(folder).state)
+    rows = _rows(_recover(folder).state)
     try:
         if out.suffix == ".jsonl":
             with open(out, "x", encoding="utf-8") as target:
@@ -149,16 +149,16 @@
     typer.echo(f"{out}: {count} codes")
 
 
-def _rows(kept: State) -> Iterator[dict[str, Any]]:
-    for code, one in kept.codes.items():
-        fate = "unclear" if one.receipt is None else "redeemed"
+def _rows(stored: State) -> Iterator[dict[str, Any]]:
+    for code, record in stored.codes.items():
+        fate = "unclear" if record.receipt is None else "redeemed"
         yield {
             "code": code.hex(),
             "fate": fate,
-            "receipt": one.receipt,
-            "request": one.request,
-            "host": one.host,
-            "service_s": one.at / 1e9,
+            "receipt": record.receipt,
+            "request": record.request,
+            "host": record.host,
+            "service_s": record.at / 1e9,
         }
 
 
@@ -182,13 +182,13 @@
             ("service_s", pyarrow.float64()),
         ]
     )
-    count, most = 0, 50_000
+    count, batch_size = 0, 50_000
     with pyarrow.parquet.ParquetWriter(out, schema) as writer:
         batch: list[dict[str, Any]] = []
         for row in rows:
             batch.append(row)
             count += 1
-            if len(batch) == most:
+            if len(batch) == batch_size:
                 writer.write_table(pyarrow.Table.from_pylist(batch, schema))
                 batch.clear()
         writer.write_table(pyarrow.Table.from_pylist(batch, schema))
--- a/copperyard/gateway/disk.py
+++ b/copperyard/gateway/disk.py
@@ -1,4 +1,4 @@
-"""A folder on a disk: the steps of the journal carried out in threads, so that no session waits for a slow one."""
+"""The folder of a gateway's state. Steps of the journal run in threads, so that no session waits for a slow disk."""
 
 from __future__ import annotations
 
@@ -14,45 +14,49 @@
 
 
 class Disk(Protocol):
-    """Where a gateway keeps its state. All raise OSError."""
+    """Storage of a gateway's state. All methods may raise OSError."""
 
     def names(self) -> list[str]:
         """The names of all files."""
 
     def read(self, name: str) -> bytes:
-        """A file's bytes."""
+        """The contents of a file."""
 
     async def do(self, step: Step) -> None:
-        """Carry a step out; it is on disk, as the step says, when this returns."""
+        """Carry out a step; it is durable, as far as the step demands it, when this returns."""
 
     def lock(self, owner: str) -> None:
-        """Take the folder for this process. LockedError where a living one has it."""
+        """Lock the folder for this process. LockedError if another live process holds it."""
 
     def close(self) -> None:
-        """Let go of the lock and of open files."""
+        """Release the lock and close all files."""
 
     def wall(self) -> int:
-        """The machine's date in ns."""
+        """The wall clock in ns."""
 
     def touched(self) -> int | None:
-        """When (that date) something was last written here, None where nothing was."""
+        """When (wall clock, ns) a file was last modified; None if there is none."""
 
 
 class LockedError(OSError):
-    """Another living process holds the folder."""
+    """Another live process holds the folder."""
 
 
 class FolderDisk:
-    """A real folder. The lock is the kernel's (flock): it goes with the process that holds it, however that ends, so a
-    lock file that is left behind is no lock."""
+    """A real folder.
+
+    The lock is the kernel's (flock): it ends with the process that holds it, however that ends, so a left-over lock
+    file locks nothing.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._files: dict[str, int] = {}
-        self._lock: int | None = None
-        self._limiter = trio.CapacityLimiter(2)  # a thread for each lane of steps
+        self._handles: dict[str, int] = {}
+        self._lock_handle: int | None = None
+        self._limiter = trio.CapacityLimiter(2)  # one thread per queue of steps
 
     def lock(self, owner: str) -> None:
+        """Create the folder if needed and lock it; the lock file names `owner` and the process."""
         self.folder.mkdir(parents=True, exist_ok=True)
         handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -63,45 +67,50 @@
             raise LockedError(f"{self.folder} is held by {holder or 'another process'}") from None
         os.ftruncate(handle, 0)
         os.write(handle, f"{owner}, process {os.getpid()}".encode())
-        self._lock = handle
+        self._lock_handle = handle
 
     def names(self) -> list[str]:
+        """The names of all files; empty without a folder."""
         return [entry.name for entry in os.scandir(self.folder) if entry.is_file()] if self.folder.is_dir() else []
 
     def read(self, name: str) -> bytes:
+        """The contents of a file."""
         return (self.folder / name).read_bytes()
 
     def wall(self) -> int:
+        """The wall clock in ns."""
         return time.time_ns()
 
     def touched(self) -> int | None:
+        """The latest modification time (ns) of the files, except the lock file; None if there are none."""
         times = [(self.folder / name).stat().st_mtime_ns for name in self.names() if name != "lock"]
         return max(times, default=None)
 
     async def do(self, step: Step) -> None:
-        # a step that was begun is waited for also where the gateway is cancelled: its file must not be written by two
+        """Carry out a step in a thread."""
+        # cancellation does not abandon a step that has begun: two threads must never write the same file
         await trio.to_thread.run_sync(self._do, step, abandon_on_cancel=False, limiter=self._limiter)
 
     def _do(self, step: Step) -> None:
         if isinstance(step, Create):
             flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
             handle = os.open(self.folder / step.name, flags, 0o600)
-            self._files[step.name] = handle
+            self._handles[step.name] = handle
             self._write(handle, step.data)
             os.fsync(handle)
             self._sync_folder()
         elif isinstance(step, Append):
-            handle = self._files[step.name]
+            handle = self._handles[step.name]
             self._write(handle, step.data)
             if step.sync:
                 os.fdatasync(handle)
         elif isinstance(step, Rename):
-            self._drop(step.name)
+            self._close_file(step.name)
             os.rename(self.folder / step.name, self.folder / step.to)
             self._sync_folder()
         else:
             assert isinstance(step, Remove)
-            self._drop(step.name)
+            self._close_file(step.name)
             (self.folder / step.name).unlink(missing_ok=True)
 
     def _write(self, handle: int, data: bytes) -> None:
@@ -109,8 +118,8 @@
         while rest:
             rest = rest[os.write(handle, rest) :]
 
-    def _drop(self, name: str) -> None:
-        handle = self._files.pop(name, None)
+    def _close_file(self, name: str) -> None:
+        handle = self._handles.pop(name, None)
         if handle is not None:
             os.close(handle)
 
@@ -122,8 +131,9 @@
             os.close(handle)
 
     def close(self) -> None:
-        for name in list(self._files):
-            self._drop(name)
-        if self._lock is not None:
-            os.close(self._lock)
-            self._lock = None
+        """Close all files and release the lock."""
+        for name in list(self._handles):
+            self._close_file(name)
+        if self._lock_handle is not None:
+            os.close(self._lock_handle)
+            self._lock_handle = None
--- a/copperyard/gateway/store.py
+++ b/copperyard/gateway/store.py
@@ -1,4 +1,4 @@
-"""Carries the journal's steps out on a disk: one task for each of its two lanes."""
+"""Carries out the steps of the journal writer on a disk, in one task for each of its two queues."""
 
 from __future__ import annotations
 
@@ -14,54 +14,57 @@
 
 
 class Store:
-    """The tasks of one gateway's journal. `stored` is called whenever more is durable, or something failed."""
+    """The tasks of one gateway's journal. `stored` is called when more facts are durable and when a step failed."""
 
     def __init__(self, book: Book, disk: Disk, background: Background, stored: Callable[[], Awaitable[None]]) -> None:
         self.book, self.disk, self.background, self.stored = book, disk, background, stored
-        self._made: list[Step | None] = []
-        self._making = Signal()
+        self._made_steps: list[Step | None] = []
+        self._step_made = Signal()
         self._wake = {"commit": Signal(), "chore": Signal()}
 
     def look(self) -> None:
-        """Facts may have been written."""
+        """Wake both tasks; call it after facts were written."""
         for signal in self._wake.values():
             signal.set()
 
     async def run(self) -> None:
-        """Carry steps out until cancelled."""
+        """Carry out steps until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._lane, "commit")
-            nursery.start_soon(self._lane, "chore")
+            nursery.start_soon(self._run_queue, "commit")
+            nursery.start_soon(self._run_queue, "chore")
 
-    async def _chore(self) -> Step | None:
-        """The next step of the second lane. Facts become bytes for it, which is work for the loop: it is made as a
-        background job, at once only where the journal waits for it to be well again."""
-        if not self.book.wants_chore(now()):
+    async def _background_step(self) -> Step | None:
+        """The next step of the background queue.
+
+        Encoding its facts takes time on the event loop, so the step is made by a background job. The job has a raised
+        priority only while the journal is degraded and needs the step to recover.
+        """
+        if not self.book.wants_background(now()):
             return None
 
-        def piece(when: int) -> None:
-            self._made.append(self.book.chore(when))
-            self._making.set()
+        def make_step(when: int) -> None:
+            self._made_steps.append(self.book.chore(when))
+            self._step_made.set()
 
-        self.background.add("snapshot", Priority.SOON if self.book.ailing else Priority.USUAL, piece)
-        while not self._made:
-            await self._making.wait()
-        return self._made.pop()
+        self.background.add("snapshot", Priority.SOON if self.book.ailing else Priority.USUAL, make_step)
+        while not self._made_steps:
+            await self._step_made.wait()
+        return self._made_steps.pop()
 
-    async def _lane(self, lane: str) -> None:
-        book = self.book
+    async def _run_queue(self, queue: str) -> None:
+        writer = self.book
         while True:
-            step = book.commit(now()) if lane == "commit" else await self._chore()
+            step = writer.commit(now()) if queue == "commit" else await self._background_step()
             if step is None:
-                with trio.move_on_after(max(0.001, (book.wake_at(now()) - now()) / 1e9)):
-                    await self._wake[lane].wait()
+                with trio.move_on_after(max(0.001, (writer.wake_at(now()) - now()) / 1e9)):
+                    await self._wake[queue].wait()
                 continue
             try:
                 await self.disk.do(step)
             except OSError as error:
-                book.failed(lane, f"{type(step).__name__} {step.name}: {error.strerror or error}", now())
+                writer.failed(queue, f"{type(step).__name__} {step.name}: {error.strerror or error}", now())
                 await self.stored()
             else:
-                if book.done(lane, now()):
+                if writer.done(queue, now()):
                     await self.stored()
-            self._wake["chore" if lane == "commit" else "commit"].set()
+            self._wake["chore" if queue == "commit" else "commit"].set()
--- a/copperyard/state/__init__.py
+++ b/copperyard/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway must not forget when it dies: facts, their journal, snapshots, recovery. No I/O in here."""
+"""What a gateway must remember across restarts: facts, their journal, snapshots and recovery. No I/O here."""
--- a/copperyard/state/agreement/__init__.py
+++ b/copperyard/state/agreement/__init__.py
@@ -1,5 +1,6 @@
-"""What gateways agree on: one history of decisions, by a few voters, followed by all.
+"""A replicated log: a few voters agree on its entries, and all gateways learn them. No I/O in this package.
 
-`council.py` is a voter (a replicated log after Raft, with its recovery), `follow.py` everybody else, `messages.py` what
-they say, `records.py` what a voter keeps on its shelf. No I/O.
+A voter is a Raft replica with its own recovery after a restart; a learner is a gateway that does not vote. Further
+modules hold the messages between them, the hints about newly committed entries, and the interface to the log store in
+which a voter keeps its records.
 """
--- a/copperyard/state/agreement/council.py
+++ b/copperyard/state/agreement/council.py
@@ -1,16 +1,16 @@
-"""A voter of the council: one replicated log, so that every gateway follows the same history of decisions.
+"""A voter: one replica of the log that gives every gateway the same history of decisions.
 
-After Raft (Ongaro, Ousterhout 2014; Ongaro 2014 for changes of voters, pre-vote, check of quorum and leases). What is
-done otherwise, and why:
+After Raft (Ongaro, Ousterhout 2014; Ongaro 2014 for membership changes, pre-vote, check-quorum and leases), with two
+differences:
 
-- A voter that starts does not trust its folder. It may be an older copy, or gone, and then the voter could vote twice
-  in a term or help to forget what was committed; an older copy looks from within like the newest. So each start
-  recovers as in Viewstamped Replication (Liskov, Cowling 2012): it votes and acknowledges only after others told what
-  it may have promised. See `_on_recalled`.
-- Nothing here is durable when it returns. `take` gives orders in a row; a message after a Keep may leave only once the
-  Keep is on disk. That includes what is applied.
+- A voter that starts does not trust its log store. The store may be an older copy or empty; the voter could then vote
+  twice in a term or help to lose committed entries, and an older copy cannot be told from the newest by its contents.
+  So each start runs a recovery as in Viewstamped Replication (Liskov, Cowling 2012): the voter votes and acknowledges
+  entries only after other voters have told it what it may have promised. See `_on_recovery_reply`.
+- Nothing in this module is durable when a method returns. `take` returns actions in order; an action that follows a
+  write of records (a message, but also an applied entry) may be carried out only once these records are on disk.
 
-Time is ns of this process's clock, which may run faster or slower than others' by at most `drift`.
+Times are in ns of this process's clock. Its rate may differ from that of other clocks by at most the configured drift.
 """
 
 from __future__ import annotations
@@ -20,41 +20,40 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .listeners import Listeners
+from .listeners import Subscribers
 from .messages import (
     Append,
     Ballot,
     Entry,
-    Floor,
+    EntryRecord,
     Install,
     Kind,
     Message,
     Newer,
     News,
     Poll,
+    Promise,
     Recall,
     Recalled,
     Record,
     Since,
     Snapshot,
     Taken,
-    Vow,
-    Written,
+    VoteFloor,
 )
 
 MS = 1_000_000
-MOST_VOTERS = 9  # four of them may die, or any of five zones; with more each decision waits for more
-BATCH = 64  # entries in one message
-BATCH_BYTES = 256 * 1024
-LOG_MOST = 256  # entries after which a snapshot is made
-QUEUE_MOST = 64  # entries that may wait for their commit
-STOOD = 500 * MS
+MOST_VOTERS = 9  # tolerates four dead voters, or the loss of any one of five zones; more voters slow each decision down
+MAX_BATCH_ENTRIES = 64  # entries per message
+MAX_BATCH_BYTES = 256 * 1024  # per message
+SNAPSHOT_THRESHOLD = 256  # applied entries after which a snapshot is made
+MAX_UNCOMMITTED = 64  # entries proposed but not yet committed
+CLOCK_STALL_THRESHOLD = 500 * MS  # a timer this late means that the process was suspended
 
 
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """Times in ns: a leader's signs of life, the least and most time without one after which a voter asks for votes,
-    and the most by which a clock gains or loses in a second."""
+    """The heartbeat interval and the bounds of the election timeout (ns), and the greatest clock drift (a ratio)."""
 
     heart: int = 250 * MS
     least: int = 1500 * MS
@@ -63,8 +62,10 @@
 
 
 class Role(Enum):
+    """Raft roles. The values are logged: they stay as they are."""
+
     FOLLOWER = "follower"
-    ASKING = "asking"  # would it be elected?
+    PRE_CANDIDATE = "asking"  # asks whether it would be elected, without starting a term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Keep:
-    """Write these records durably before anything that follows is done. `anew`: they replace all."""
+    """Make these records durable before any later action is carried out. `replace_all`: instead of all stored ones."""
 
     records: tuple[Record, ...]
     anew: bool = False
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """This entry is committed."""
+    """Apply this committed entry."""
 
     index: int
     entry: Entry
@@ -95,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """All up to the snapshot's index is what it says."""
+    """Replace the applied state with this snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A line for the log."""
+    """Write a log event."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
@@ -113,243 +114,258 @@
 
 @dataclass(slots=True)
 class Kept:
-    """What a shelf held at the start."""
+    """The persistent state of a voter, as its log store held it at the start."""
 
-    vow: Vow = Vow(0, "", 0)
+    promise: Promise = Promise(0, "", 0)
     snapshot: Snapshot = Snapshot(0, 0, (), b"")
     log: list[Entry] = field(default_factory=list)
-    floor: Floor = Floor(0, 0)
+    floor: VoteFloor = VoteFloor(0, 0)
 
     @classmethod
     def read(cls, records: Iterable[Record]) -> Kept:
-        """Put records together. ValueError where they do not follow on each other: a shelf that lost some."""
-        kept = cls()
-        for one in records:
-            if isinstance(one, Vow):
-                kept.vow = one
-            elif isinstance(one, Floor):
-                kept.floor = one
-            elif isinstance(one, Snapshot):
-                after = one.index - kept.snapshot.index
-                kept.log = kept.log[after:] if 0 <= after <= len(kept.log) else []
-                kept.snapshot = one
+        """Replay records. ValueError where an entry leaves a gap: the store has lost records."""
+        state = cls()
+        for record in records:
+            if isinstance(record, Promise):
+                state.promise = record
+            elif isinstance(record, VoteFloor):
+                state.floor = record
+            elif isinstance(record, Snapshot):
+                dropped = record.index - state.snapshot.index
+                state.log = state.log[dropped:] if 0 <= dropped <= len(state.log) else []
+                state.snapshot = record
             else:
-                at = one.index - kept.snapshot.index - 1
-                if not 0 <= at <= len(kept.log):
-                    raise ValueError(f"entry {one.index} follows on {kept.snapshot.index + len(kept.log)}")
-                del kept.log[at:]
-                kept.log.append(one.entry)
-        return kept
+                position = record.index - state.snapshot.index - 1
+                if not 0 <= position <= len(state.log):
+                    raise ValueError(f"entry {record.index} follows on {state.snapshot.index + len(state.log)}")
+                del state.log[position:]
+                state.log.append(record.entry)
+        return state
 
 
 @dataclass(slots=True)
-class Peer:
-    """What a leader knows of another voter."""
+class PeerProgress:
+    """A leader's view of another voter."""
 
-    next: int
-    match: int = 0
-    round: int = 0  # the newest round that it has answered
-    sent: int = -1  # when something was last sent
+    next_index: int
+    match_index: int = 0
+    acked_round: int = 0  # newest broadcast round that it has answered
+    sent_at: int = -1  # time of the last message to it
 
 
 class Council:
-    """One voter. `voters` are those of the settings, in force until the log says otherwise. `state` gives what is to
-    stand in a snapshot: all that was applied so far. `trusted`: an operator vouches for the folder."""
+    """One voter.
+
+    `voters` come from the settings and are in force until an entry of the log changes them. `trusted`: an operator
+    vouches that the log store is the newest, so recovery is skipped.
+    """
 
     def __init__(
-        self, me: str, voters: Iterable[str], kept: Kept, beat: Beat, seed: int, now: int, trusted: bool = False
+        self, name: str, voters: Iterable[str], stored: Kept, timing: Beat, seed: int, now: int, trusted: bool = False
     ) -> None:
-        self.me, self.beat = me, beat
-        self.random = random.Random(seed)
-        self.first_voters = tuple(sorted(voters))
-        self.term, self.vote = kept.vow.term, kept.vow.vote
-        self.life = kept.vow.life + 1
-        self.snapshot, self.log, self.floor = kept.snapshot, list(kept.log), kept.floor
+        self.name, self.timing = name, timing
+        self.rng = random.Random(seed)
+        self.initial_voters = tuple(sorted(voters))
+        self.term, self.voted_for = stored.promise.term, stored.promise.voted_for
+        self.incarnation = stored.promise.incarnation + 1
+        self.snapshot, self.log, self.floor = stored.snapshot, list(stored.log), stored.floor
         self.role, self.leader = Role.FOLLOWER, ""
-        self.commit = self.applied = kept.snapshot.index
-        self.peers: dict[str, Peer] = {}
+        self.commit = self.applied = stored.snapshot.index
+        self.peers: dict[str, PeerProgress] = {}
         self.votes: set[str] = set()
-        self.asked = 0
-        self.rounds: dict[int, int] = {}  # when each round that may still be answered was sent
+        self.vote_nonce = 0
+        self.round_sent_at: dict[int, int] = {}  # send time of each round that may still be answered
         self.round = 0
-        self.began = 0  # index of this leader's first entry
-        self.lives: dict[str, tuple[int, int, int]] = {}  # life, start, the highest life before it
+        self.term_start_index = 0  # index of the first entry of this leader's term
+        self.peer_incarnations: dict[str, tuple[int, int, int]] = {}  # incarnation, its nonce, highest earlier one
         self.dates = Dates()
-        self.listeners = Listeners()
-        self._now = now  # of the last call
-        self._pending: dict[int, int] = {}  # when this leader proposed what is not committed yet
+        self.subscribers = Subscribers()
+        self._now = now  # time of the latest call
+        self._proposed_at: dict[int, int] = {}  # when this leader proposed each uncommitted entry
         self.recovering = True
-        self.recalled: dict[str, Recalled] = {}
-        self.recall_at = now
-        self.heard = now - 2 * beat.most  # when a leader was last heard
-        self.start = self.random.getrandbits(62)
-        self.elect_at = now + self._patience()
-        self.heart_at = now
-        self._out: list[Order] = []
-        self._keep(Vow(self.term, self.vote, self.life))
+        self.recovery_replies: dict[str, Recalled] = {}
+        self.recovery_retry_at = now
+        self.leader_heard_at = now - 2 * timing.most
+        self.recovery_nonce = self.rng.getrandbits(62)
+        self.election_at = now + self._draw_election_timeout()
+        self.heartbeat_at = now
+        self._actions: list[Order] = []
+        self._persist(Promise(self.term, self.voted_for, self.incarnation))
         if self.snapshot.index:
-            self._out.append(Restore(self.snapshot))
-        if trusted or not self._others():
-            self._recovered(now)
+            self._actions.append(Restore(self.snapshot))
+        if trusted or not self._other_voters():
+            self._finish_recovery(now)
 
-    # ---- what others ask of this object
+    # ---- interface
 
     def take(self) -> list[Order]:
-        """Orders since the last call; what follows a Keep waits for it. Followers that asked of late are told where
-        more is committed; voters hear of that by what they are sent as voters."""
-        for name in self.listeners.due(self._now, self.commit, self.dates.index):
-            self._say(name, Newer(self.listeners.index))
-        out, self._out = self._out, []
-        return out
+        """Actions since the last call, in order; those after a write of records wait until it is durable.
+
+        Adds hints for learners that fetched lately and lack committed entries. Voters need none: replication tells
+        them the commit index.
+        """
+        for name in self.subscribers.hints_due(self._now, self.commit, self.dates.index):
+            self._send_message(name, Newer(self.subscribers.hinted_index))
+        actions, self._actions = self._actions, []
+        return actions
 
     @property
     def last(self) -> int:
+        """Index of the last entry of the log, committed or not."""
         return self.snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where this log does not hold it."""
+        """The term of the entry at `index`; None if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.snapshot.index - 1
-        return self.log[at].term if 0 <= at < len(self.log) else None
+        position = index - self.snapshot.index - 1
+        return self.log[position].term if 0 <= position < len(self.log) else None
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Those of the newest entry that names them, committed or not."""
+        """The voters named by the newest configuration entry, committed or not."""
         for entry in reversed(self.log):
             if entry.kind is Kind.VOTERS:
-                return names(entry.data)
-        return self.snapshot.voters or self.first_voters
+                return decode_voters(entry.data)
+        return self.snapshot.voters or self.initial_voters
 
     @property
     def quorum(self) -> int:
+        """The size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
     def lease(self, now: int) -> bool:
-        """Whether this voter leads and nobody else can: a quorum heard it so lately that none of them votes yet,
-        even if all clocks are as far apart as they may be."""
-        if self.role is not Role.LEADER or self.commit < self.began:
+        """Whether this voter is the leader and no other can be elected yet.
+
+        True while a quorum has heard it within the minimum election timeout, less twice the clock drift: until that
+        ends none of them votes for another.
+        """
+        if self.role is not Role.LEADER or self.commit < self.term_start_index:
             return False
-        heard = sorted(
-            [self.rounds.get(p.round, -1) for name, p in self.peers.items() if name in self.voters]
-            + ([now] if self.me in self.voters else []),
+        confirmed = sorted(
+            [self.round_sent_at.get(peer.acked_round, -1) for name, peer in self.peers.items() if name in self.voters]
+            + ([now] if self.name in self.voters else []),
             reverse=True,
         )
-        if len(heard) < self.quorum or heard[self.quorum - 1] < 0:
+        if len(confirmed) < self.quorum or confirmed[self.quorum - 1] < 0:
             return False
-        return now - heard[self.quorum - 1] < self.beat.least * (1 - 2 * self.beat.drift)
+        return now - confirmed[self.quorum - 1] < self.timing.least * (1 - 2 * self.timing.drift)
 
     def propose(self, now: int, data: bytes) -> int | None:
-        """Put an entry into the log; its index, or None where this voter may not: it does not lead, or too much
-        waits."""
+        """Append an entry to the log. Its index; None if this voter does not lead or too many entries wait."""
         return self._propose(now, Entry(self.term, Kind.DATA, data))
 
     def propose_voters(self, now: int, voters: Iterable[str]) -> int | None:
-        """Change the voters by one. None where that cannot be now; ValueError for a change of more."""
+        """Propose voters that differ by one from the present ones. ValueError for a greater change.
+
+        None if this voter does not lead, another change is uncommitted, or this term has no committed entry yet.
+        """
         new = tuple(sorted(set(voters)))
         if len(set(new) ^ set(self.voters)) > 1 or not new:
             raise ValueError(f"voters change one at a time: {', '.join(self.voters)} to {', '.join(new)}")
-        waits = any(e.kind is Kind.VOTERS for e in self.log[self.commit - self.snapshot.index :])
-        # before a leader's first entry is committed another one may still change the voters (Ongaro, 2015)
-        if waits or self.commit < self.began:
+        change_pending = any(e.kind is Kind.VOTERS for e in self.log[self.commit - self.snapshot.index :])
+        # until an entry of its own term is committed, another leader could still change the voters (Ongaro, 2015)
+        if change_pending or self.commit < self.term_start_index:
             return None
         return self._propose(now, Entry(self.term, Kind.VOTERS, "\n".join(new).encode()))
 
     def _propose(self, now: int, entry: Entry) -> int | None:
-        if self.role is not Role.LEADER or self.last - self.commit >= QUEUE_MOST:
+        if self.role is not Role.LEADER or self.last - self.commit >= MAX_UNCOMMITTED:
             return None
         self._now = now
-        self._write([(self.last + 1, entry)])
+        self._write_entries([(self.last + 1, entry)])
         index = self.last
-        self._pending[index] = now
-        self._send_all(now)
-        self._advance(now)
+        self._proposed_at[index] = now
+        self._broadcast(now)
+        self._advance_commit(now)
         return index
 
     def next_wake(self) -> int:
+        """When to call `wake` next."""
         if self.recovering:
-            return self.recall_at
+            return self.recovery_retry_at
         if self.role is Role.LEADER:
-            return min(self.heart_at, self.elect_at)
-        return self.elect_at
+            return min(self.heartbeat_at, self.election_at)
+        return self.election_at
 
     def compact(self, data: bytes) -> None:
-        """All that was applied is in `data`: the log before it may go. Called where `wants_snapshot` says so."""
+        """Replace the log up to the last applied entry by a snapshot with `data`; call it if `wants_snapshot`."""
         term = self.term_at(self.applied)
         assert term is not None
         voters = self._voters_at(self.applied)
         self.log = self.log[self.applied - self.snapshot.index :]
         self.snapshot = Snapshot(self.applied, term, voters, data)
-        self._keep_anew()
+        self._persist_all()
 
     @property
     def wants_snapshot(self) -> bool:
-        return self.applied - self.snapshot.index >= LOG_MOST
+        """Whether enough entries were applied since the last snapshot."""
+        return self.applied - self.snapshot.index >= SNAPSHOT_THRESHOLD
 
     def _voters_at(self, index: int) -> tuple[str, ...]:
         for entry in reversed(self.log[: index - self.snapshot.index]):
             if entry.kind is Kind.VOTERS:
-                return names(entry.data)
-        return self.snapshot.voters or self.first_voters
+                return decode_voters(entry.data)
+        return self.snapshot.voters or self.initial_voters
 
-    def news(self, now: int, since: Since) -> News:
-        """What a follower that asks so lacks."""
-        dated, age = self.dates.told(now)
-        return news(since, self.snapshot, self.log, self.commit, self.leader, dated, age)
+    def fetch_reply(self, now: int, request: Since) -> News:
+        """The committed entries that a learner lacks."""
+        dated_index, age = self.dates.told(now)
+        return fetch_reply(request, self.snapshot, self.log, self.commit, self.leader, dated_index, age)
 
-    # ---- what is durable
+    # ---- persistence
 
-    def _keep(self, *records: Record) -> None:
-        last = self._out[-1] if self._out else None
+    def _persist(self, *records: Record) -> None:
+        last = self._actions[-1] if self._actions else None
         if isinstance(last, Keep):
-            self._out[-1] = Keep(last.records + records, last.anew)
+            self._actions[-1] = Keep(last.records + records, last.anew)
         else:
-            self._out.append(Keep(records))
+            self._actions.append(Keep(records))
 
-    def _keep_anew(self) -> None:
-        self._out.append(
+    def _persist_all(self) -> None:
+        self._actions.append(
             Keep(
                 (
-                    Vow(self.term, self.vote, self.life),
+                    Promise(self.term, self.voted_for, self.incarnation),
                     self.floor,
                     self.snapshot,
-                    *(Written(self.snapshot.index + 1 + n, e) for n, e in enumerate(self.log)),
+                    *(EntryRecord(self.snapshot.index + 1 + n, e) for n, e in enumerate(self.log)),
                 ),
                 True,
             )
         )
 
-    def _vow(self, term: int, vote: str) -> None:
-        if (term, vote) != (self.term, self.vote):
-            self.term, self.vote = term, vote
-            self._keep(Vow(term, vote, self.life))
+    def _vow(self, term: int, voted_for: str) -> None:
+        if (term, voted_for) != (self.term, self.voted_for):
+            self.term, self.voted_for = term, voted_for
+            self._persist(Promise(term, voted_for, self.incarnation))
 
-    def _write(self, entries: list[tuple[int, Entry]]) -> None:
+    def _write_entries(self, entries: list[tuple[int, Entry]]) -> None:
         for index, entry in entries:
             del self.log[index - self.snapshot.index - 1 :]
             self.log.append(entry)
-        self._keep(*(Written(index, entry) for index, entry in entries))
+        self._persist(*(EntryRecord(index, entry) for index, entry in entries))
 
-    # ---- starting
+    # ---- recovery
 
-    def _others(self) -> list[str]:
-        return [name for name in self.voters if name != self.me]
+    def _other_voters(self) -> list[str]:
+        return [name for name in self.voters if name != self.name]
 
-    def _recall(self, now: int) -> None:
-        self.recall_at = now + self.beat.heart * 2
-        for name in self._others():
-            self._say(name, Recall(self.life, self.start))
+    def _request_recovery(self, now: int) -> None:
+        self.recovery_retry_at = now + self.timing.heart * 2
+        for name in self._other_voters():
+            self._send_message(name, Recall(self.incarnation, self.recovery_nonce))
 
-    def _on_recall(self, now: int, sender: str, message: Recall) -> None:
-        life, start, known = self.lives.get(sender, (0, -1, 0))
-        if message.start != start:
-            known = max(known, life)
-            self.lives[sender] = (message.life, message.start, known)
-        # an answer tells what is on the disk: it comes after all that was kept before
-        self._say(
+    def _on_recovery_request(self, now: int, sender: str, message: Recall) -> None:
+        incarnation, nonce, known = self.peer_incarnations.get(sender, (0, -1, 0))
+        if message.nonce != nonce:
+            known = max(known, incarnation)
+            self.peer_incarnations[sender] = (message.incarnation, message.nonce, known)
+        # sent only after earlier writes are durable, so the reply states what is on disk
+        self._send_message(
             sender,
             Recalled(
-                message.life,
+                message.incarnation,
                 known,
                 self.term,
                 self.last,
@@ -359,404 +375,436 @@
             ),
         )
 
-    def _on_recalled(self, now: int, sender: str, message: Recalled) -> None:
-        if message.life != self.life or sender not in self._others():
+    def _on_recovery_reply(self, now: int, sender: str, message: Recalled) -> None:
+        if message.incarnation != self.incarnation or sender not in self._other_voters():
             return
-        self.recalled[sender] = message
-        answers, others = self.recalled, self._others()
+        self.recovery_replies[sender] = message
+        replies, others = self.recovery_replies, self._other_voters()
         if not self.recovering:
             return self._lower_floor()
-        # A quorum that this voter was part of has quorum - 1 others in it; so many sure answers meet each such quorum.
-        # Whoever leads the highest term must be among them: what this voter acknowledged and nobody else has yet, it
-        # has. Where all others answered, whatever any of them knows is known.
-        sure = [one for one in answers.values() if one.sure]
-        term = max(one.term for one in answers.values())
-        met = len(sure) >= len(self.voters) - self.quorum + 1 and any(a.leads and a.term == term for a in sure)
-        if met or all(name in answers for name in others):
-            self._recovered(now)
+        # Any quorum with this voter has quorum - 1 other members, so this many replies from recovered voters intersect
+        # each such quorum. The leader of the highest term must be among them: it holds every entry that this voter
+        # acknowledged and no other voter has yet. If all others replied, nothing more can be learned.
+        recovered = [reply for reply in replies.values() if reply.recovered]
+        term = max(one.term for one in replies.values())
+        enough = len(recovered) >= len(self.voters) - self.quorum + 1 and any(
+            reply.is_leader and reply.term == term for reply in recovered
+        )
+        if enough or all(name in replies for name in others):
+            self._finish_recovery(now)
 
     def _lower_floor(self) -> None:
-        """A floor may come from an entry that was never committed and that its only holder has lost since. Where all
-        voters were asked and none holds as much, none ever will, and a floor would keep the council from electing."""
-        if not all(name in self.recalled for name in self._others()):
+        """Lower the floor to the longest log that any voter still holds, once all other voters replied.
+
+        The floor may stem from an uncommitted entry whose only holder has lost it since. No log will then ever reach
+        the floor, and it would block every election.
+        """
+        if not all(name in self.recovery_replies for name in self._other_voters()):
             return
-        most = max(
+        newest = max(
             (self.term_at(self.last) or 0, self.last),
-            *((one.last_term, one.last_index) for one in self.recalled.values()),
+            *((reply.last_term, reply.last_index) for reply in self.recovery_replies.values()),
         )
-        if self._under_floor(*most):
-            self.floor = Floor(most[1], most[0])
-            self._keep(self.floor)
-            self._tell("floor lowered", ("index", most[1]), ("term", most[0]))
+        if self._below_floor(*newest):
+            self.floor = VoteFloor(newest[1], newest[0])
+            self._persist(self.floor)
+            self._log_event("floor lowered", ("index", newest[1]), ("term", newest[0]))
 
-    def _recovered(self, now: int) -> None:
+    def _finish_recovery(self, now: int) -> None:
         self.recovering = False
-        term = max((one.term for one in self.recalled.values()), default=0)
-        known = max((one.known for one in self.recalled.values()), default=0)
-        floor = max(((one.last_term, one.last_index) for one in self.recalled.values()), default=(0, 0))
+        term = max((reply.term for reply in self.recovery_replies.values()), default=0)
+        known = max((one.known_incarnation for one in self.recovery_replies.values()), default=0)
+        floor = max(((one.last_term, one.last_index) for one in self.recovery_replies.values()), default=(0, 0))
         own = (self.term_at(self.last) or 0, self.last)
-        # in any term heard of, this voter's vote may be given already
+        # this voter may already have voted in any term that a reply names
         if term > self.term:
             self._vow(term, "?")
-        elif term == self.term and not self.vote and self.recalled:
+        elif term == self.term and not self.voted_for and self.recovery_replies:
             self._vow(term, "?")
         if floor > (self.floor.term, self.floor.index):
-            self.floor = Floor(floor[1], floor[0])
-            self._keep(self.floor)
-        what = "as it was left"
-        if known >= self.life:
-            what = "an older copy, or none"
-            self.life = known + 1
-            self._keep(Vow(self.term, self.vote, self.life))
+            self.floor = VoteFloor(floor[1], floor[0])
+            self._persist(self.floor)
+        condition = "as it was left"
+        if known >= self.incarnation:
+            condition = "an older copy, or none"
+            self.incarnation = known + 1
+            self._persist(Promise(self.term, self.voted_for, self.incarnation))
         elif floor > own:
-            what = "behind the others"
-        self._tell(
+            condition = "behind the others"
+        self._log_event(
             "voter recovered",
-            ("folder", what),
+            ("folder", condition),
             ("term", self.term),
-            ("life", self.life),
+            ("life", self.incarnation),
             ("floor", self.floor.index),
             ("last", self.last),
         )
-        # the promise not to vote for a while after hearing a leader may have been given just before the end
-        self.heard = now
-        self.elect_at = now + self._patience()
+        # a leader may have been heard just before the crash, which forbids voting for the minimum election timeout
+        self.leader_heard_at = now
+        self.election_at = now + self._draw_election_timeout()
 
-    # ---- time
+    # ---- timers
 
-    def _patience(self) -> int:
-        return self.random.randint(self.beat.least, self.beat.most)
+    def _draw_election_timeout(self) -> int:
+        return self.rng.randint(self.timing.least, self.timing.most)
 
     def wake(self, now: int) -> None:
-        """Time has passed."""
+        """Run the timers that are due."""
         self._now = now
         due = self.next_wake()
-        if now - due > STOOD:
-            # this process stood still: it has not heard what lies unread, and is no judge of a leader's silence
-            self.elect_at = max(self.elect_at, now + self.beat.heart)
+        if now - due > CLOCK_STALL_THRESHOLD:
+            # the process was suspended: unread messages may include heartbeats, so do not call an election yet
+            self.election_at = max(self.election_at, now + self.timing.heart)
         if self.recovering:
-            if now >= self.recall_at:
-                self._recall(now)
+            if now >= self.recovery_retry_at:
+                self._request_recovery(now)
             return
         if self.role is Role.LEADER:
-            if now >= self.heart_at:
-                self._send_all(now)
-            if now >= self.elect_at:
+            if now >= self.heartbeat_at:
+                self._broadcast(now)
+            if now >= self.election_at:
                 self._check_quorum(now)
-        elif now >= self.elect_at:
-            self._ask(now, True)
+        elif now >= self.election_at:
+            self._start_election(now, True)
 
     def _check_quorum(self, now: int) -> None:
-        """A leader that a quorum does not answer stops being one: its followers elect another, and whoever asks it
-        must not believe that it still leads."""
-        lately = [
-            p
-            for name, p in self.peers.items()
-            if name in self.voters and now - self.rounds.get(p.round, -self.beat.most * 9) < self.beat.most
+        """Step down if no quorum has answered within the maximum election timeout.
+
+        The others then elect another leader, and this one must no longer report itself as the leader.
+        """
+        responsive = [
+            peer
+            for name, peer in self.peers.items()
+            if name in self.voters
+            and now - self.round_sent_at.get(peer.acked_round, -self.timing.most * 9) < self.timing.most
         ]
-        if len(lately) + (self.me in self.voters) < self.quorum:
-            self._tell("leader steps down", ("term", self.term), ("why", "no quorum answers"))
-            self._follow(now, "")
+        if len(responsive) + (self.name in self.voters) < self.quorum:
+            self._log_event("leader steps down", ("term", self.term), ("why", "no quorum answers"))
+            self._become_follower(now, "")
         else:
-            self.elect_at = now + self.beat.most
+            self.election_at = now + self.timing.most
 
     # ---- elections
 
-    def _ask(self, now: int, pre: bool) -> None:
-        self.elect_at = now + self._patience()
+    def _start_election(self, now: int, pre_vote: bool) -> None:
+        self.election_at = now + self._draw_election_timeout()
         self.leader = ""
-        if self._under_floor(self.term_at(self.last) or 0, self.last):
-            # perhaps nobody has any more what the floor stands for: asked again, all of them
-            self.recalled.clear()
-            self._recall(now)
+        if self._below_floor(self.term_at(self.last) or 0, self.last):
+            # perhaps no voter holds the entry behind the floor any more: ask all of them again
+            self.recovery_replies.clear()
+            self._request_recovery(now)
             return
-        if self.me not in self.voters:
+        if self.name not in self.voters:
             return
-        if pre:
-            self.role, self.votes = Role.ASKING, {self.me}
+        if pre_vote:
+            self.role, self.votes = Role.PRE_CANDIDATE, {self.name}
         else:
-            self._vow(self.term + 1, self.me)
-            self.role, self.votes = Role.CANDIDATE, {self.me}
-        term, self.asked = self.term + 1 if pre else self.term, self.random.getrandbits(62)
-        for name in self._others():
-            self._say(name, Poll(term, self.last, self.term_at(self.last) or 0, pre, self.asked))
-        self._count(now)
-
-    def _under_floor(self, last_term: int, last_index: int) -> bool:
+            self._vow(self.term + 1, self.name)
+            self.role, self.votes = Role.CANDIDATE, {self.name}
+        term, self.vote_nonce = self.term + 1 if pre_vote else self.term, self.rng.getrandbits(62)
+        for name in self._other_voters():
+            self._send_message(name, Poll(term, self.last, self.term_at(self.last) or 0, pre_vote, self.vote_nonce))
+        self._count_votes(now)
+
+    def _below_floor(self, last_term: int, last_index: int) -> bool:
         return (last_term, last_index) < (self.floor.term, self.floor.index)
 
-    def _on_poll(self, now: int, sender: str, message: Poll) -> None:
-        # whoever hears a leader does not depose it; that is also what a leader's lease rests on
+    def _on_request_vote(self, now: int, sender: str, message: Poll) -> None:
+        # no votes while a leader is heard; the leader's lease relies on this
         if (
             self.recovering
             or sender not in self.voters
             or self.role is Role.LEADER
             and self.lease(now)
             or self.role is not Role.LEADER
-            and now - self.heard < self.beat.least
+            and now - self.leader_heard_at < self.timing.least
         ):
             return
-        theirs = (message.last_term, message.last_index)
-        good = theirs >= (self.term_at(self.last) or 0, self.last) and not self._under_floor(*theirs)
-        if message.pre:
-            granted = good and message.term > self.term
-            self._say(sender, Ballot(message.term if granted else self.term, True, granted, message.ask))
+        candidate_last = (message.last_term, message.last_index)
+        up_to_date = candidate_last >= (self.term_at(self.last) or 0, self.last) and not self._below_floor(
+            *candidate_last
+        )
+        if message.pre_vote:
+            granted = up_to_date and message.term > self.term
+            self._send_message(sender, Ballot(message.term if granted else self.term, True, granted, message.nonce))
             return
         if message.term > self.term:
-            self._new_term(now, message.term)
-        granted = message.term == self.term and good and self.vote in ("", sender)
+            self._enter_term(now, message.term)
+        granted = message.term == self.term and up_to_date and self.voted_for in ("", sender)
         if granted:
             self._vow(self.term, sender)
-            self.elect_at = now + self._patience()
-        self._say(sender, Ballot(self.term, False, granted, message.ask))
+            self.election_at = now + self._draw_election_timeout()
+        self._send_message(sender, Ballot(self.term, False, granted, message.nonce))
 
-    def _on_ballot(self, now: int, sender: str, message: Ballot) -> None:
-        if message.term > self.term + (1 if message.pre and message.granted else 0):
-            self._new_term(now, message.term)
+    def _on_vote_reply(self, now: int, sender: str, message: Ballot) -> None:
+        if message.term > self.term + (1 if message.pre_vote and message.granted else 0):
+            self._enter_term(now, message.term)
             return
-        asked = (
-            self.role is Role.ASKING
-            and message.pre
+        expected = (
+            self.role is Role.PRE_CANDIDATE
+            and message.pre_vote
             and message.term == self.term + 1
             or self.role is Role.CANDIDATE
-            and not message.pre
+            and not message.pre_vote
             and message.term == self.term
         )
-        if asked and message.granted and message.ask == self.asked and sender in self.voters:
+        if expected and message.granted and message.nonce == self.vote_nonce and sender in self.voters:
             self.votes.add(sender)
-            self._count(now)
+            self._count_votes(now)
 
-    def _count(self, now: int) -> None:
+    def _count_votes(self, now: int) -> None:
         if len(self.votes & set(self.voters)) < self.quorum:
             return
-        if self.role is Role.ASKING:
-            self._ask(now, False)
+        if self.role is Role.PRE_CANDIDATE:
+            self._start_election(now, False)
         elif self.role is Role.CANDIDATE:
-            self._lead(now)
+            self._become_leader(now)
 
-    def _new_term(self, now: int, term: int) -> None:
-        """A higher term is heard of: whatever this voter was, it follows."""
+    def _enter_term(self, now: int, term: int) -> None:
+        """Adopt a higher term as a follower."""
         self._vow(term, "")
-        self._follow(now, "")
+        self._become_follower(now, "")
 
-    def _follow(self, now: int, leader: str) -> None:
+    def _become_follower(self, now: int, leader: str) -> None:
         if self.role is Role.LEADER:
             self.peers.clear()
-            self.rounds.clear()
-            self._pending.clear()
-            self.elect_at = now + self._patience()
+            self.round_sent_at.clear()
+            self._proposed_at.clear()
+            self.election_at = now + self._draw_election_timeout()
         self.role, self.leader = Role.FOLLOWER, leader
 
-    def _lead(self, now: int) -> None:
-        self.role, self.leader = Role.LEADER, self.me
-        self.peers = {name: Peer(self.last + 1) for name in self._others()}
-        self.rounds.clear()
-        self.elect_at = now + self.beat.most
-        self._tell("leads", ("term", self.term), ("last", self.last))
-        self.began = self.last + 1
-        self._write([(self.began, Entry(self.term, Kind.BEGIN, b""))])
-        self._send_all(now)
-        self._advance(now)
+    def _become_leader(self, now: int) -> None:
+        self.role, self.leader = Role.LEADER, self.name
+        self.peers = {name: PeerProgress(self.last + 1) for name in self._other_voters()}
+        self.round_sent_at.clear()
+        self.election_at = now + self.timing.most
+        self._log_event("leads", ("term", self.term), ("last", self.last))
+        self.term_start_index = self.last + 1
+        self._write_entries([(self.term_start_index, Entry(self.term, Kind.BEGIN, b""))])
+        self._broadcast(now)
+        self._advance_commit(now)
 
     # ---- the log
 
-    def _send_all(self, now: int) -> None:
-        self.heart_at = now + self.beat.heart
+    def _broadcast(self, now: int) -> None:
+        self.heartbeat_at = now + self.timing.heart
         self.round += 1
-        self.rounds[self.round] = now
-        for old in [n for n, at in self.rounds.items() if now - at > 4 * self.beat.most]:
-            del self.rounds[old]
-        for name in self._others():
-            self._send(now, name)
-
-    def _send(self, now: int, name: str) -> None:
-        peer = self.peers.setdefault(name, Peer(self.last + 1))
-        peer.sent = now
-        prev = peer.next - 1
+        self.round_sent_at[self.round] = now
+        for round_ in [n for n, at in self.round_sent_at.items() if now - at > 4 * self.timing.most]:
+            del self.round_sent_at[round_]
+        for name in self._other_voters():
+            self._replicate_to(now, name)
+
+    def _replicate_to(self, now: int, name: str) -> None:
+        peer = self.peers.setdefault(name, PeerProgress(self.last + 1))
+        peer.sent_at = now
+        prev = peer.next_index - 1
         term = self.term_at(prev)
         if term is None:
-            self._say(name, Install(self.term, self.snapshot, self.round))
+            self._send_message(name, Install(self.term, self.snapshot, self.round))
             return
-        self._say(
+        self._send_message(
             name, Append(self.term, prev, term, batch(self.log, prev - self.snapshot.index), self.commit, self.round)
         )
 
-    def _on_append(self, now: int, sender: str, message: Append) -> None:
-        if not self._leads(now, sender, message.term, message.round):
+    def _on_append_entries(self, now: int, sender: str, message: Append) -> None:
+        if not self._accept_leader(now, sender, message.term, message.round):
             return
-        prev, known = message.prev_index, self.term_at(message.prev_index)
+        prev, own_term = message.prev_index, self.term_at(message.prev_index)
         if prev < self.snapshot.index:
-            # all up to the snapshot is committed, so it is the leader's as well
-            known, prev = self.snapshot.term, self.snapshot.index
+            # entries up to the snapshot are committed, so the leader has the same ones
+            own_term, prev = self.snapshot.term, self.snapshot.index
             message = Append(
-                message.term, prev, known, message.entries[prev - message.prev_index :], message.commit, message.round
+                message.term,
+                prev,
+                own_term,
+                message.entries[prev - message.prev_index :],
+                message.commit,
+                message.round,
             )
-        if known != message.prev_term:
+        if own_term != message.prev_term:
             hint = min(self.last, prev - 1)
-            while hint > self.commit and self.term_at(hint) == known and known is not None:
+            while hint > self.commit and self.term_at(hint) == own_term and own_term is not None:
                 hint -= 1
-            self._say(sender, Taken(self.term, False, max(hint, self.commit), message.round))
+            self._send_message(sender, Taken(self.term, False, max(hint, self.commit), message.round))
             return
         new = [(prev + 1 + n, e) for n, e in enumerate(message.entries)]
-        fresh = next((k for k, (index, e) in enumerate(new) if self.term_at(index) != e.term), len(new))
-        if new[fresh:]:
-            if new[fresh][0] <= self.commit:
-                raise AssertionError(f"entry {new[fresh][0]} is committed here and differs at {sender}")
-            self._write(new[fresh:])
+        first_new = next((k for k, (index, e) in enumerate(new) if self.term_at(index) != e.term), len(new))
+        if new[first_new:]:
+            if new[first_new][0] <= self.commit:
+                raise AssertionError(f"entry {new[first_new][0]} is committed here and differs at {sender}")
+            self._write_entries(new[first_new:])
         last = prev + len(message.entries)
         self._commit_to(min(message.commit, last))
-        self._say(sender, Taken(self.term, True, last, message.round))
+        self._send_message(sender, Taken(self.term, True, last, message.round))
 
-    def _on_install(self, now: int, sender: str, message: Install) -> None:
-        if not self._leads(now, sender, message.term, message.round):
+    def _on_install_snapshot(self, now: int, sender: str, message: Install) -> None:
+        if not self._accept_leader(now, sender, message.term, message.round):
             return
         snapshot = message.snapshot
         if snapshot.index > self.commit:
-            same = self.term_at(snapshot.index) == snapshot.term
-            self.log = self.log[snapshot.index - self.snapshot.index :] if same else []
+            matches = self.term_at(snapshot.index) == snapshot.term
+            self.log = self.log[snapshot.index - self.snapshot.index :] if matches else []
             self.snapshot = snapshot
             self.commit = self.applied = snapshot.index
-            self._keep_anew()
-            self._out.append(Restore(snapshot))
-        self._say(sender, Taken(self.term, True, snapshot.index, message.round))
+            self._persist_all()
+            self._actions.append(Restore(snapshot))
+        self._send_message(sender, Taken(self.term, True, snapshot.index, message.round))
 
-    def _leads(self, now: int, sender: str, term: int, number: int) -> bool:
-        """Whether to take what a leader says."""
+    def _accept_leader(self, now: int, sender: str, term: int, round_: int) -> bool:
+        """Whether to accept a message from the leader of `term`; adopts that leader and restarts the election timer."""
         if term < self.term:
             if not self.recovering:
-                self._say(sender, Taken(self.term, False, self.commit, number))
+                self._send_message(sender, Taken(self.term, False, self.commit, round_))
             return False
         if self.recovering:
-            return False  # an acknowledgement might stand against a promise that was forgotten
+            return False  # an acknowledgement could break a promise that was lost with the store
         if term > self.term:
             self._vow(term, "")
-        self._follow(now, sender)
-        self.heard = now
-        self.elect_at = now + self._patience()
+        self._become_follower(now, sender)
+        self.leader_heard_at = now
+        self.election_at = now + self._draw_election_timeout()
         return True
 
-    def _on_taken(self, now: int, sender: str, message: Taken) -> None:
+    def _on_append_reply(self, now: int, sender: str, message: Taken) -> None:
         if message.term > self.term:
-            self._new_term(now, message.term)
+            self._enter_term(now, message.term)
             return
         peer = self.peers.get(sender)
         if self.role is not Role.LEADER or message.term != self.term or peer is None:
             return
-        peer.round = max(peer.round, message.round)
-        if message.ok:
-            peer.match = max(peer.match, message.index)
-            peer.next = max(peer.next, peer.match + 1)
-            self._advance(now)
+        peer.acked_round = max(peer.acked_round, message.round)
+        if message.success:
+            peer.match_index = max(peer.match_index, message.index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            self._advance_commit(now)
         else:
-            # one that lost its folder has less than it once said it had
-            peer.match = min(peer.match, message.index)
-            peer.next = max(peer.match + 1, min(message.index + 1, peer.next - 1))
-        if self.role is Role.LEADER and peer.next <= self.last and (not message.ok or message.index < self.last):
-            self._send(now, sender)
-
-    def _advance(self, now: int) -> None:
-        """Commit what a quorum holds, if the newest of it is of this term (Raft, section 5.4.2)."""
+            # a voter that lost its log store has fewer entries than it acknowledged before
+            peer.match_index = min(peer.match_index, message.index)
+            peer.next_index = max(peer.match_index + 1, min(message.index + 1, peer.next_index - 1))
+        if (
+            self.role is Role.LEADER
+            and peer.next_index <= self.last
+            and (not message.success or message.index < self.last)
+        ):
+            self._replicate_to(now, sender)
+
+    def _advance_commit(self, now: int) -> None:
+        """Commit up to the newest entry that a quorum holds, if it is of this term (Raft, section 5.4.2)."""
         while True:
             voters = self.voters
-            held = sorted(
+            match_indices = sorted(
                 [
-                    self.last if name == self.me else self.peers[name].match if name in self.peers else 0
+                    self.last if name == self.name else self.peers[name].match_index if name in self.peers else 0
                     for name in voters
                 ],
                 reverse=True,
             )
-            index = held[self.quorum - 1]
+            index = match_indices[self.quorum - 1]
             if index <= self.commit or self.term_at(index) != self.term:
                 return
             self._commit_to(index)
-            if self.me not in self.voters:
-                self._tell("leader steps down", ("term", self.term), ("why", "no voter any more"))
-                self._follow(now, "")
+            if self.name not in self.voters:
+                self._log_event("leader steps down", ("term", self.term), ("why", "no voter any more"))
+                self._become_follower(now, "")
                 return
 
     def _commit_to(self, index: int) -> None:
         self.commit = max(self.commit, index)
         while self.applied < self.commit:
             self.applied += 1
-            proposed = self._pending.pop(self.applied, None)
-            if proposed is not None:
-                self.dates.know(self.applied, proposed)
-            self._out.append(Apply(self.applied, self.log[self.applied - self.snapshot.index - 1]))
+            proposed_at = self._proposed_at.pop(self.applied, None)
+            if proposed_at is not None:
+                self.dates.know(self.applied, proposed_at)
+            self._actions.append(Apply(self.applied, self.log[self.applied - self.snapshot.index - 1]))
 
-    # ---- hearing
+    # ---- messages
 
     def hear(self, now: int, sender: str, message: Message) -> None:
-        """A message of another gateway."""
+        """Handle a message from another gateway."""
         self._now = now
         if isinstance(message, Since):
-            self._say(sender, self.news(now, message))
+            self._send_message(sender, self.fetch_reply(now, message))
             if sender not in self.voters:
-                self.listeners.asked(now, sender, min(self.commit, self.dates.index))
+                self.subscribers.subscribe(now, sender, min(self.commit, self.dates.index))
         elif isinstance(message, Recall):
-            self._on_recall(now, sender, message)
+            self._on_recovery_request(now, sender, message)
         elif isinstance(message, Recalled):
-            self._on_recalled(now, sender, message)
+            self._on_recovery_reply(now, sender, message)
         elif isinstance(message, Append):
-            self._on_append(now, sender, message)
+            self._on_append_entries(now, sender, message)
         elif isinstance(message, Install):
-            self._on_install(now, sender, message)
+            self._on_install_snapshot(now, sender, message)
         elif self.recovering:
             return
         elif isinstance(message, Poll):
-            self._on_poll(now, sender, message)
+            self._on_request_vote(now, sender, message)
         elif isinstance(message, Ballot):
-            self._on_ballot(now, sender, message)
+            self._on_vote_reply(now, sender, message)
         elif isinstance(message, Taken):
-            self._on_taken(now, sender, message)
+            self._on_append_reply(now, sender, message)
 
-    def _say(self, to: str, message: Message) -> None:
-        self._out.append(Say(to, message))
+    def _send_message(self, to: str, message: Message) -> None:
+        self._actions.append(Say(to, message))
 
-    def _tell(self, event: str, *fields: tuple[str, str | int]) -> None:
-        self._out.append(Tell(event, fields))
+    def _log_event(self, event: str, *fields: tuple[str, str | int]) -> None:
+        self._actions.append(Tell(event, fields))
 
 
-def names(data: bytes) -> tuple[str, ...]:
+def decode_voters(data: bytes) -> tuple[str, ...]:
+    """The names in the data of a configuration entry."""
     return tuple(data.decode().split("\n"))
 
 
-def batch(log: list[Entry], start: int, most: int = BATCH) -> tuple[Entry, ...]:
-    """Entries from a place of a log on, as many as one message takes."""
-    found: list[Entry] = []
+def batch(log: list[Entry], start: int, max_entries: int = MAX_BATCH_ENTRIES) -> tuple[Entry, ...]:
+    """Entries of `log` from position `start` on, as many as fit into one message."""
+    entries: list[Entry] = []
     size = 0
-    for entry in log[start : start + most]:
+    for entry in log[start : start + max_entries]:
         size += len(entry.data) + 16
-        if found and size > BATCH_BYTES:
+        if entries and size > MAX_BATCH_BYTES:
             break
-        found.append(entry)
-    return tuple(found)
-
-
-def news(since: Since, snapshot: Snapshot, log: list[Entry], commit: int, leader: str, dated: int, age: int) -> News:
-    """What one that asks so lacks of what is committed."""
-    done = log[: max(0, commit - snapshot.index)]
-    if since.index < snapshot.index:
-        return News(snapshot, snapshot.index, batch(done, 0), commit, leader, dated, age, since.ask)
-    return News(None, since.index, batch(done, since.index - snapshot.index), commit, leader, dated, age, since.ask)
+        entries.append(entry)
+    return tuple(entries)
+
+
+def fetch_reply(
+    request: Since, snapshot: Snapshot, log: list[Entry], commit: int, leader: str, dated_index: int, age: int
+) -> News:
+    """The committed entries after the requested index; preceded by the snapshot if the log starts later."""
+    committed = log[: max(0, commit - snapshot.index)]
+    if request.index < snapshot.index:
+        return News(snapshot, snapshot.index, batch(committed, 0), commit, leader, dated_index, age, request.ask)
+    return News(
+        None,
+        request.index,
+        batch(committed, request.index - snapshot.index),
+        commit,
+        leader,
+        dated_index,
+        age,
+        request.ask,
+    )
 
 
 class Dates:
-    """When entries were proposed, as far as this gateway can be sure, on its own clock.
+    """The earliest possible proposal time, on this gateway's clock, of the newest entry for which one is known.
 
-    Clocks of gateways tell nothing to each other; a message may lie in a socket for long. But who asks knows when it
-    asked: an answer's entry is no younger than the age in the answer, counted from the question. So an entry's age is
-    never taken for less than it is. The leader that proposed an entry knows its time; of entries of former leaders
-    nobody does."""
+    Gateways' clocks are not comparable, and a message may wait in a socket for long. But a gateway knows when it sent
+    a fetch request, and an entry is at least as old as the age in the reply, counted from the request. So the age of an
+    entry is never underestimated. Only the leader that proposed an entry knows its proposal time; for entries of former
+    leaders nobody does.
+    """
 
     def __init__(self) -> None:
         self.index = 0
         self.at = 0
 
     def know(self, index: int, at: int) -> None:
-        """The entry `index` was proposed at `at` or later."""
+        """Note that the entry `index` was proposed at `at` or later."""
         if index > self.index or index == self.index and at > self.at:
             self.index, self.at = index, at
 
     def told(self, now: int) -> tuple[int, int]:
-        """The newest entry whose age is known, and that age."""
+        """The index of the newest entry whose age is known, and its greatest possible age (ns); (0, 0) if none."""
         return self.index, max(0, now - self.at) if self.index else 0
--- a/copperyard/state/agreement/follow.py
+++ b/copperyard/state/agreement/follow.py
@@ -1,14 +1,14 @@
-"""A gateway that does not vote: it asks others for what was committed, and passes it on.
+"""A learner: a gateway that does not vote. It fetches committed entries from other gateways and passes them on.
 
-Committed entries never change, so any gateway may tell them; voters are not asked by the whole fleet at once. Whom it
-asks is drawn: mostly the best source, at times one anywhere. Who was asked of late tells of something newer (`Newer`),
-and is asked at once. What keeps a bad source from holding a gateway back:
+Committed entries never change, so any gateway may serve them, and the voters are not asked by the whole fleet at once.
+The source of each request is drawn: mostly one of the first in order, sometimes any. A gateway that fetched lately is
+sent a hint (`CommitHint`) about newer entries, and fetches them from the sender of the hint at once. Bad sources:
 
-- one that does not answer within ASK is passed over for AVOID, and the next in order is asked;
-- one that lacks what was held here for SETTLED already is passed over as well;
-- where nothing has grown for STALE, though a plan is renewed more often, every other question goes to the first in
-  order that was not asked since. Of two sources of which one is cut off from all news, the other is so asked within
-  STALE, a quiet pause and two ASK: 3 + 2.5 + 1.25 s, and a plan holds 10 s.
+- A source that does not reply within REQUEST_INTERVAL is avoided for AVOID_PERIOD, and the next in order is asked.
+- A source that lacks an entry which was held here for SETTLED_PERIOD is avoided as well.
+- If nothing new came for STALL_THRESHOLD, although plans are renewed more often, every other request goes to the first
+  source in order that was not asked since. Of two sources one of which is cut off from all news, the other is thus
+  asked within STALL_THRESHOLD, an idle interval and two request intervals: 3 + 2.5 + 1.25 s. A plan holds for 10 s.
 """
 
 from __future__ import annotations
@@ -16,225 +16,255 @@
 import random
 from collections.abc import Callable
 
-from .council import BATCH, Apply, Dates, Order, Restore, Say, news
-from .listeners import Listeners
+from .council import MAX_BATCH_ENTRIES, Apply, Dates, Order, Restore, Say, fetch_reply
+from .listeners import Subscribers
 from .messages import Entry, Message, Newer, News, Since, Snapshot
 
 MS = 1_000_000
-ASK = 500 * MS  # after it a question counts as unanswered; between questions of one that knows nothing or looks on
-QUIET = 2000 * MS  # between questions else, and up to a quarter more: a plan is renewed as often, so that a renewal's
-# hint comes before the next question, and it holds for five times that; one hint in a hundred is lost
-STALE = 3000 * MS  # without anything new: longer than between two renewals
-SETTLED = 1000 * MS  # what was held here for so long, a source that is not cut off has as well
-AVOID = 5000 * MS  # a bad source is passed over for so long
-OUT_MOST = 4  # questions out and younger than ASK, where hints ask for more
-KNOWN_MOST = 64  # sources of which something is remembered
-ANSWER = 10_000 * MS  # an answer that took longer dates nothing that would still hold
-KEPT = BATCH  # entries kept to be passed on: one that restarts gets a snapshot and all of them in one answer
+REQUEST_INTERVAL = 500 * MS  # reply timeout, and interval of requests while something is missing
+# Interval of requests otherwise, plus up to a quarter. Plans are renewed as often, so that the hint at a renewal comes
+# before the next request; a plan holds for five times that. One hint in a hundred is lost.
+IDLE_INTERVAL = 2000 * MS
+STALL_THRESHOLD = 3000 * MS  # time without new entries: longer than the interval of plan renewals
+SETTLED_PERIOD = 1000 * MS  # a source that is not cut off holds an entry that was held here for so long
+AVOID_PERIOD = 5000 * MS  # a bad source is not asked for so long
+MAX_HINTED_REQUESTS = 4  # requests pending for less than REQUEST_INTERVAL, above which a hint causes no further one
+MAX_TRACKED = 64  # sources of which times are kept
+REPLY_TIMEOUT = 10_000 * MS  # the age in a slower reply would be of no use: the plan has expired
+KEPT = MAX_BATCH_ENTRIES  # log entries kept before a snapshot is made: one reply brings a restarted learner both
 
 
 class Questions:
-    """Questions that are out. Each has a number of its own, which its answer brings back: of two to the same source the
-    first may be answered last, or late, and an age counted from the second would be too small."""
+    """Fetch requests without a reply yet.
+
+    Each has its own number, which the reply repeats: of two requests to the same source the first may be answered last,
+    and an age counted from the second request would be too small.
+    """
 
     def __init__(self, first: int) -> None:
         self.number = first
-        self._out: dict[int, tuple[str, int]] = {}
+        self._pending: dict[int, tuple[str, int]] = {}
 
     def ask(self, now: int, name: str) -> int:
-        """The number of a new question."""
+        """Note a request to `name` that is sent now; its number."""
         self.number += 1
-        self._out[self.number] = (name, now)
-        for old in [n for n, (_, at) in self._out.items() if now - at > ANSWER or n <= self.number - KNOWN_MOST]:
-            del self._out[old]
+        self._pending[self.number] = (name, now)
+        for expired in [
+            n
+            for n, (_, sent_at) in self._pending.items()
+            if now - sent_at > REPLY_TIMEOUT or n <= self.number - MAX_TRACKED
+        ]:
+            del self._pending[expired]
         return self.number
 
     def answered(self, name: str, number: int) -> int | None:
-        """When the question was asked that `name` answers; None where there is no such, or not any more."""
-        if self._out.get(number, ("", 0))[0] != name:
+        """When the request that `name` replies to was sent; None if it is unknown or was forgotten."""
+        if self._pending.get(number, ("", 0))[0] != name:
             return None
-        return self._out.pop(number)[1]
+        return self._pending.pop(number)[1]
 
-    def waits(self, number: int) -> bool:
-        return number in self._out
+    def is_pending(self, number: int) -> bool:
+        """Whether the request still waits for its reply."""
+        return number in self._pending
 
-    def young(self, now: int) -> list[str]:
-        """Who may still be about to answer."""
-        return [name for name, at in self._out.values() if now - at < ASK]
+    def recent(self, now: int) -> list[str]:
+        """The sources of requests that have not timed out."""
+        return [name for name, sent_at in self._pending.values() if now - sent_at < REQUEST_INTERVAL]
 
 
 class Follower:
-    """Follows the council's log. `sources` gives those to ask, the best first."""
+    """Learns the committed entries of the log. `sources` gives the gateways to fetch from, the best first."""
 
     def __init__(self, sources: Callable[[], list[str]], seed: int, now: int) -> None:
         self.sources = sources
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.snapshot = Snapshot(0, 0, (), b"")
         self.log: list[Entry] = []
         self.leader = ""
         self.dates = Dates()
-        self.listeners = Listeners()
-        self.questions = Questions(self.random.getrandbits(31))
-        self.ask_at = now + int(self.random.random() * ASK)  # a thousand that start at once are spread
-        self.grown_at = now  # when something new came last
-        self._now = now  # of the last call
-        self._last = ("", 0)  # the newest question: to whom, its number
-        self._wanted, self._wanted_at = 0, now  # the newest that a hint was heard for
-        self._turn = False  # whose turn it is where nothing grows: the draw's, or the next in order's
-        self._asked: dict[str, int] = {}
-        self._answered: dict[str, int] = {}
-        self._avoid: dict[str, int] = {}  # since when a source is passed over
-        self._vain: dict[str, int] = {}  # when a source was asked for its hint, which has brought nothing yet
-        self._out: list[Order] = []
+        self.subscribers = Subscribers()
+        self.questions = Questions(self.rng.getrandbits(31))
+        self.request_at = now + int(self.rng.random() * REQUEST_INTERVAL)  # spreads gateways that start at once
+        self.progress_at = now  # when something new came
+        self._now = now  # time of the latest call
+        self._last_request = ("", 0)  # source and number of the newest request
+        self._hinted_index, self._hinted_at = 0, now  # newest index that a hint named, and when
+        self._round_robin = False  # while nothing new comes, requests alternate between round robin and draws
+        self._requested_at: dict[str, int] = {}
+        self._replied_at: dict[str, int] = {}
+        self._avoided_since: dict[str, int] = {}  # since when each source is avoided
+        self._hint_requested_at: dict[str, int] = {}  # latest request after a hint that has brought nothing yet
+        self._actions: list[Order] = []
 
     @property
     def applied(self) -> int:
+        """Index of the newest entry held."""
         return self.snapshot.index + len(self.log)
 
     def take(self) -> list[Order]:
-        """Orders since the last call. Who asked of late is told where there is more."""
-        for name in self.listeners.due(self._now, self.applied, self.dates.index):
-            self._out.append(Say(name, Newer(self.listeners.index)))
-        out, self._out = self._out, []
-        return out
+        """Actions since the last call, with hints for learners that fetched lately and lack entries."""
+        for name in self.subscribers.hints_due(self._now, self.applied, self.dates.index):
+            self._actions.append(Say(name, Newer(self.subscribers.hinted_index)))
+        actions, self._actions = self._actions, []
+        return actions
 
     def next_wake(self) -> int:
-        return self.ask_at
+        """When to call `wake` next."""
+        return self.request_at
 
-    def last_answer(self, name: str) -> int | None:
-        """When a source last answered; None where it never did, or so long ago that it is forgotten."""
-        return self._answered.get(name)
+    def last_reply_at(self, name: str) -> int | None:
+        """When a source last replied; None if it never did or that was forgotten."""
+        return self._replied_at.get(name)
 
-    # ---- asking
+    # ---- requests
 
     def wake(self, now: int) -> None:
-        """Ask somebody, where it is time."""
+        """Send a request if one is due."""
         self._now = now
-        if now < self.ask_at:
+        if now < self.request_at:
             return
-        self.ask_at = now + self._about(ASK)
-        name, number = self._last
-        unanswered = self.questions.waits(number)
+        self.request_at = now + self._jitter(REQUEST_INTERVAL)
+        name, number = self._last_request
+        unanswered = self.questions.is_pending(number)
         if unanswered:
-            _note(self._avoid, name, now)
-        found = self.sources()
-        if found:
-            self._ask(now, self._choose(now, found, unanswered))
-
-    def _choose(self, now: int, found: list[str], unanswered: bool) -> str:
-        """Whom to ask. Those that are passed over come last, the one that waited longest first."""
-        bad = [name for name in found if self._avoided(now, name)]
-        order = [name for name in found if name not in bad] + sorted(bad, key=lambda name: self._avoid[name])
+            _record_time(self._avoided_since, name, now)
+        sources = self.sources()
+        if sources:
+            self._request(now, self._choose_source(now, sources, unanswered))
+
+    def _choose_source(self, now: int, sources: list[str], unanswered: bool) -> str:
+        """The source to ask. Avoided sources come last, the one avoided longest first."""
+        avoided = [name for name in sources if self._is_avoided(now, name)]
+        order = [name for name in sources if name not in avoided] + sorted(
+            avoided, key=lambda name: self._avoided_since[name]
+        )
         if unanswered:
             return order[0]
-        self._turn = self._stale(now) and not self._turn
-        if self._turn:
-            return min(order, key=lambda name: max(0, self._asked.get(name, 0) - self.grown_at))
-        # the near ones share the first part of the draws with geometric weights; the rest is anybody's
-        near = self.random.random() < 0.75
-        return order[
-            min(int(self.random.expovariate(1.0)), len(order) - 1) if near else self.random.randrange(len(order))
-        ]
+        self._round_robin = self._is_stalled(now) and not self._round_robin
+        if self._round_robin:
+            return min(order, key=lambda name: max(0, self._requested_at.get(name, 0) - self.progress_at))
+        # three of four draws favour the first sources, with geometric weights; the rest is uniform
+        near = self.rng.random() < 0.75
+        return order[min(int(self.rng.expovariate(1.0)), len(order) - 1) if near else self.rng.randrange(len(order))]
 
-    def _avoided(self, now: int, name: str) -> bool:
-        return now - self._avoid.get(name, now - AVOID) < AVOID
+    def _is_avoided(self, now: int, name: str) -> bool:
+        return now - self._avoided_since.get(name, now - AVOID_PERIOD) < AVOID_PERIOD
 
-    def _stale(self, now: int) -> bool:
-        return now - self.grown_at >= STALE
+    def _is_stalled(self, now: int) -> bool:
+        return now - self.progress_at >= STALL_THRESHOLD
 
-    def _about(self, time: int) -> int:
-        return time * 3 // 4 + int(self.random.random() * time / 2)
+    def _jitter(self, interval: int) -> int:
+        return interval * 3 // 4 + int(self.rng.random() * interval / 2)
 
-    def _ask(self, now: int, name: str) -> None:
-        _note(self._asked, name, now)
-        self._last = (name, self.questions.ask(now, name))
-        self._out.append(Say(name, Since(self.applied, self._last[1])))
-        self.ask_at = now + self._about(ASK)
+    def _request(self, now: int, name: str) -> None:
+        _record_time(self._requested_at, name, now)
+        self._last_request = (name, self.questions.ask(now, name))
+        self._actions.append(Say(name, Since(self.applied, self._last_request[1])))
+        self.request_at = now + self._jitter(REQUEST_INTERVAL)
 
-    # ---- hearing
+    # ---- messages
 
     def hear(self, now: int, sender: str, message: Message) -> None:
-        """A question of another gateway, a hint, or an answer to a question of ours."""
+        """Handle a fetch request, a hint, or the reply to one of our requests."""
         self._now = now
         if isinstance(message, Since):
-            dated, age = self.dates.told(now)
-            self._out.append(Say(sender, news(message, self.snapshot, self.log, self.applied, self.leader, dated, age)))
-            self.listeners.asked(now, sender, min(self.applied, dated))
+            dated_index, age = self.dates.told(now)
+            self._actions.append(
+                Say(sender, fetch_reply(message, self.snapshot, self.log, self.applied, self.leader, dated_index, age))
+            )
+            self.subscribers.subscribe(now, sender, min(self.applied, dated_index))
         elif isinstance(message, Newer):
-            self._on_newer(now, sender, message.index)
+            self._on_commit_hint(now, sender, message.index)
         elif isinstance(message, News):
-            asked = self.questions.answered(sender, message.ask)
-            if asked is not None:
-                _note(self._answered, sender, now)
-                self._on_news(now, sender, message, asked)
+            requested_at = self.questions.answered(sender, message.ask)
+            if requested_at is not None:
+                _record_time(self._replied_at, sender, now)
+                self._on_fetch_reply(now, sender, message, requested_at)
 
-    def _lacks(self, index: int) -> bool:
+    def _is_missing(self, index: int) -> bool:
         return index > self.applied or index > self.dates.index
 
-    def _on_newer(self, now: int, sender: str, index: int) -> None:
-        """Ask who hints, unless somebody may be about to tell as much. Whose hints brought nothing is not asked by them
-        again within ASK; who did not answer is passed over."""
-        self.listeners.holds(sender, index)
-        if not self._lacks(index) or self._avoided(now, sender):
+    def _on_commit_hint(self, now: int, sender: str, index: int) -> None:
+        """Fetch from the sender of a hint, unless a pending request may bring as much.
+
+        A sender whose hint brought nothing is not asked again because of a hint within REQUEST_INTERVAL; an avoided
+        sender is ignored.
+        """
+        self.subscribers.acknowledge(sender, index)
+        if not self._is_missing(index) or self._is_avoided(now, sender):
             return
-        young = self.questions.young(now)
-        if index <= self._wanted and now - self._wanted_at < ASK and young:
+        recent = self.questions.recent(now)
+        if index <= self._hinted_index and now - self._hinted_at < REQUEST_INTERVAL and recent:
             return
-        self._wanted, self._wanted_at = max(index, self._wanted), now
-        if sender in young or len(young) >= OUT_MOST or now - self._vain.get(sender, now - ASK) < ASK:
-            self.ask_at = min(self.ask_at, now + self._about(ASK))
+        self._hinted_index, self._hinted_at = max(index, self._hinted_index), now
+        if (
+            sender in recent
+            or len(recent) >= MAX_HINTED_REQUESTS
+            or now - self._hint_requested_at.get(sender, now - REQUEST_INTERVAL) < REQUEST_INTERVAL
+        ):
+            self.request_at = min(self.request_at, now + self._jitter(REQUEST_INTERVAL))
             return
-        _note(self._vain, sender, now)
-        self._ask(now, sender)
+        _record_time(self._hint_requested_at, sender, now)
+        self._request(now, sender)
 
-    def _on_news(self, now: int, sender: str, message: News, asked: int) -> None:
-        before, dated = self.applied, self.dates.index
+    def _on_fetch_reply(self, now: int, sender: str, message: News, requested_at: int) -> None:
+        applied_before, dated_before = self.applied, self.dates.index
         snapshot = message.snapshot
         if snapshot is not None and snapshot.index > self.applied:
             self.snapshot, self.log = snapshot, []
-            self._out.append(Restore(snapshot))
+            self._actions.append(Restore(snapshot))
         if message.index <= self.applied:
             for entry in message.entries[self.applied - message.index :]:
                 self.log.append(entry)
-                self._out.append(Apply(self.applied, entry))
+                self._actions.append(Apply(self.applied, entry))
         if message.commit >= self.applied and message.leader:
             self.leader = message.leader
         if message.dated and message.dated <= self.applied:
-            self.dates.know(message.dated, asked - message.age)
-        self.listeners.holds(sender, min(message.commit, message.dated))
-        if asked - self.grown_at >= SETTLED and (message.commit < before or message.dated < dated):
-            _note(self._avoid, sender, now)
+            self.dates.know(message.dated, requested_at - message.age)
+        self.subscribers.acknowledge(sender, min(message.commit, message.dated))
+        if requested_at - self.progress_at >= SETTLED_PERIOD and (
+            message.commit < applied_before or message.dated < dated_before
+        ):
+            _record_time(self._avoided_since, sender, now)
         else:
-            self._avoid.pop(sender, None)
-        if self.applied > before or self.dates.index > dated:
-            self.grown_at = now
-            self._vain.pop(sender, None)
-        if self.applied > before and message.commit > self.applied:
-            self._ask(now, sender)  # a batch was not all
+            self._avoided_since.pop(sender, None)
+        if self.applied > applied_before or self.dates.index > dated_before:
+            self.progress_at = now
+            self._hint_requested_at.pop(sender, None)
+        if self.applied > applied_before and message.commit > self.applied:
+            self._request(now, sender)  # more than one batch is missing
             return
-        looks = not self.applied or self._stale(now) or self._lacks(self._wanted) and now - self._wanted_at < QUIET
-        self.ask_at = now + (self._about(ASK) if looks else QUIET + int(self.random.random() * QUIET / 4))
-        self._last = ("", 0)
+        searching = (
+            not self.applied
+            or self._is_stalled(now)
+            or self._is_missing(self._hinted_index)
+            and now - self._hinted_at < IDLE_INTERVAL
+        )
+        self.request_at = now + (
+            self._jitter(REQUEST_INTERVAL) if searching else IDLE_INTERVAL + int(self.rng.random() * IDLE_INTERVAL / 4)
+        )
+        self._last_request = ("", 0)
 
     @property
     def wants_snapshot(self) -> bool:
+        """Whether the log has grown enough for a snapshot."""
         return len(self.log) > KEPT
 
     def compact(self, data: bytes) -> None:
-        """All that was applied is in `data`: it is passed on in place of the entries."""
+        """Replace all entries by a snapshot with `data`, which is passed on in their place."""
         self.snapshot = Snapshot(self.applied, self.log[-1].term, self.snapshot.voters, data)
         self.log = []
 
 
-def _note(times: dict[str, int], name: str, now: int) -> None:
-    """Remember a time for a name, of KNOWN_MOST names the newest."""
+def _record_time(times: dict[str, int], name: str, now: int) -> None:
+    """Set the time of a name; only the latest MAX_TRACKED names are kept."""
     times.pop(name, None)
     times[name] = now
-    if len(times) > KNOWN_MOST:
+    if len(times) > MAX_TRACKED:
         del times[next(iter(times))]
 
 
-def date_from(dates: Dates, asked: int, applied: int, message: News) -> None:
-    """What a voter that does not lead takes from an answer: its log comes by other ways, ages only by this one."""
+def date_from(dates: Dates, requested_at: int, applied: int, message: News) -> None:
+    """Take the age from a fetch reply. A voter gets entries by replication, but unless it leads no ages."""
     if message.dated and message.dated <= applied:
-        dates.know(message.dated, asked - message.age)
+        dates.know(message.dated, requested_at - message.age)
--- a/copperyard/state/agreement/listeners.py
+++ b/copperyard/state/agreement/listeners.py
@@ -1,62 +1,66 @@
-"""Who asked of late, and is told when there is more.
+"""Gateways that fetched lately, which get a hint when more is committed.
 
-A hint (`Newer`) spares questions and is nothing to rely on: it may be lost, late, or come twice. Who gets none asks
-all the same, only later.
+A hint saves periodic requests, but nothing relies on it: it may be lost, late or repeated. A gateway that gets none
+fetches all the same, only later.
 """
 
 from __future__ import annotations
 
 MS = 1_000_000
-MOST = 1024  # the one that asked longest ago falls out; it goes on asking by itself
-FORGET = 6000 * MS  # three questions of a quiet follower: one or two may have gone elsewhere, or been lost
-GRACE = 600 * MS  # a voter asks for ages twice a second: what is committed has its date by then, as a rule
+MAX_SUBSCRIBERS = 1024  # the one with the oldest request is dropped; it goes on fetching by itself
+# three request intervals of an idle learner: one or two requests may have gone elsewhere or been lost
+SUBSCRIPTION_PERIOD = 6000 * MS
+GRACE = 600 * MS  # voters fetch ages twice a second, so an entry's age is usually known by then
 
 
-class Listeners:
-    """Names, the index each was last told, and when each asked."""
+class Subscribers:
+    """The subscribers, the newest index that each is known to hold, and when each fetched."""
 
     def __init__(self) -> None:
-        self.index = 0  # the newest that a hint was given for
-        self._asked: dict[str, tuple[int, int]] = {}  # when, told; who asked longest ago stands first
-        self._held = 0
-        self._since = 0  # when `_held` was first held
+        self.hinted_index = 0  # newest index that hints were sent for
+        self._subscribers: dict[str, tuple[int, int]] = {}  # time of request, known index; oldest request first
+        self._applied = 0
+        self._applied_at = 0  # when `_applied` was reached
 
     def __len__(self) -> int:
-        return len(self._asked)
-
-    def asked(self, now: int, name: str, told: int) -> None:
-        """`name` asked, and was told all up to `told`."""
-        self._asked.pop(name, None)
-        self._asked[name] = (now, told)
-        if len(self._asked) > MOST:
-            del self._asked[next(iter(self._asked))]
-
-    def holds(self, name: str, index: int) -> None:
-        """`name` said that it holds all up to `index`."""
-        if name in self._asked:
-            at, told = self._asked[name]
-            self._asked[name] = (at, max(told, index))
-
-    def grown(self, now: int, index: int) -> list[str]:
-        """What is held reaches up to `index`: those that lack it, each once."""
-        while self._asked:
-            name = next(iter(self._asked))
-            if now - self._asked[name][0] < FORGET:
+        return len(self._subscribers)
+
+    def subscribe(self, now: int, name: str, known_index: int) -> None:
+        """`name` fetched and was sent everything up to `known_index`."""
+        self._subscribers.pop(name, None)
+        self._subscribers[name] = (now, known_index)
+        if len(self._subscribers) > MAX_SUBSCRIBERS:
+            del self._subscribers[next(iter(self._subscribers))]
+
+    def acknowledge(self, name: str, index: int) -> None:
+        """`name` said that it holds everything up to `index`."""
+        if name in self._subscribers:
+            asked_at, known_index = self._subscribers[name]
+            self._subscribers[name] = (asked_at, max(known_index, index))
+
+    def outdated(self, now: int, index: int) -> list[str]:
+        """The subscribers that lack `index`, each once per index; those without recent requests are dropped."""
+        while self._subscribers:
+            name = next(iter(self._subscribers))
+            if now - self._subscribers[name][0] < SUBSCRIPTION_PERIOD:
                 break
-            del self._asked[name]
-        lack = [name for name, (_, told) in self._asked.items() if told < index]
-        for name in lack:
-            self._asked[name] = (self._asked[name][0], index)
-        return lack
-
-    def due(self, now: int, applied: int, dated: int) -> list[str]:
-        """Whom to tell of `self.index`, nobody where that is nothing new. All up to `applied` is held, and of `dated`
-        the age is known. An entry is told of with its date, so that one question brings both; one that nobody dates
-        (its leader is gone) after a while without."""
-        if applied > self._held:
-            self._held, self._since = applied, now
-        index = applied if now - self._since >= GRACE else min(applied, dated)
-        if index <= self.index:
+            del self._subscribers[name]
+        behind = [name for name, (_, known_index) in self._subscribers.items() if known_index < index]
+        for name in behind:
+            self._subscribers[name] = (self._subscribers[name][0], index)
+        return behind
+
+    def hints_due(self, now: int, applied: int, dated_index: int) -> list[str]:
+        """The subscribers to send a hint at `hinted_index` to; empty if there is nothing new.
+
+        Entries up to `applied` are held here, and the age of entry `dated_index` is known. A hint waits until the age
+        of its entry is known, so that one fetch brings both; after GRACE it is sent without, as the age of an entry
+        whose leader is gone never becomes known.
+        """
+        if applied > self._applied:
+            self._applied, self._applied_at = applied, now
+        index = applied if now - self._applied_at >= GRACE else min(applied, dated_index)
+        if index <= self.hinted_index:
             return []
-        self.index = index
-        return self.grown(now, index)
+        self.hinted_index = index
+        return self.outdated(now, index)
--- a/copperyard/state/agreement/messages.py
+++ b/copperyard/state/agreement/messages.py
@@ -1,4 +1,7 @@
-"""What voters and followers say, and what a voter keeps. Types only."""
+"""The messages of the replicated log and the records that a voter stores. Types only.
+
+They are written as arrays of their fields: order and number of fields are the format on the wire and on disk.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,16 @@
 
 
 class Kind(IntEnum):
-    """What an entry of the log is."""
+    """The kind of a log entry."""
 
-    BEGIN = 0  # a leader's first entry: what stands before it is committed with it
+    BEGIN = 0  # no-op, a new leader's first entry: entries before it are committed with it
     DATA = 1
     VOTERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry. For VOTERS `data` is their names, joined by newlines."""
+    """One log entry. For VOTERS `data` holds the voters' names, joined by newlines."""
 
     term: int
     kind: Kind
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All up to `index` in one piece; `voters` are those in force there."""
+    """The state after all entries up to `index`, with the voters in force there."""
 
     index: int
     term: int
@@ -35,30 +38,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Vote for me in `term`. `pre`: would you, if I asked? Nothing is promised by that. `ask` is drawn and comes back:
-    a vote that was asked for by an earlier life, with another log, must not count for this one."""
+    """Raft's RequestVote; with `pre_vote` only a question that promises nothing.
+
+    `nonce` is random and comes back in the reply: a vote that an earlier incarnation asked for, with another log, must
+    not count for this one.
+    """
 
     term: int
     last_index: int
     last_term: int
-    pre: bool
-    ask: int
+    pre_vote: bool
+    nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """The answer to a Poll of that term."""
+    """The reply to a vote request of that term."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
-    ask: int
+    nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Entries that follow on `prev`; without any, a sign of life. `round` comes back in the answer: it says which
-    sending of the leader's the answer proves to have been heard."""
+    """Raft's AppendEntries: entries after `prev_index`; a heartbeat if there are none.
+
+    `round` numbers the leader's broadcasts and comes back in the reply, so it proves which broadcast was received.
+    """
 
     term: int
     prev_index: int
@@ -70,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """A snapshot, for who lacks what the log no longer holds."""
+    """Raft's InstallSnapshot, for a voter that lacks entries before the leader's snapshot."""
 
     term: int
     snapshot: Snapshot
@@ -79,41 +87,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The answer to Append and Install: up to `index` the log is the leader's, or (not ok) may be."""
+    """The reply to appended entries and to a snapshot.
+
+    The log agrees with the leader's up to `index`; without `success` it agrees at most up to there.
+    """
 
     term: int
-    ok: bool
+    success: bool
     index: int
     round: int
 
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """I started. What do you know that I may have promised and forgotten? `start` is drawn once a start: asking again
-    is no other life."""
+    """Sent by a voter that started: asks the others what it may have promised and lost.
+
+    `nonce` is drawn once per start, so a repeated request does not count as another incarnation.
+    """
 
-    life: int
-    start: int
+    incarnation: int
+    nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """The answer. `known`: the highest life of the asker that this voter heard of before this start; `sure`: this
-    voter itself has recovered; `leads`: it leads in `term`."""
+    """The reply to a recovery request, with the replying voter's term and the end of its log.
 
-    life: int
-    known: int
+    `known_incarnation`: the sender's highest incarnation that this voter heard of before this start; `recovered`: this
+    voter has finished its own recovery; `is_leader`: it leads in `term`.
+    """
+
+    incarnation: int
+    known_incarnation: int
     term: int
     last_index: int
     last_term: int
-    sure: bool
-    leads: bool
+    recovered: bool
+    is_leader: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Since:
-    """A follower asks for what was committed after `index`. `ask` is the asker's own and comes back: an answer's age is
-    counted from the question that it answers, and not from a later one to the same."""
+    """A learner asks for the entries committed after `index`.
+
+    `request_id` comes back in the reply: the age in a reply is counted from its own request, not from a later one to
+    the same gateway.
+    """
 
     index: int
     ask: int = 0
@@ -121,8 +140,11 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What was committed: `snapshot` where the log no longer reaches back that far, then entries after `index`.
-    The entry `dated` was proposed at most `age` ns before this was sent; 0: the sender knows no such time."""
+    """Committed entries: `snapshot` if the log no longer reaches back that far, then the entries after `index`.
+
+    The entry `dated_index` was proposed at most `age_ns` before this message was sent; 0 if the sender knows no such
+    entry.
+    """
 
     snapshot: Snapshot | None
     index: int
@@ -136,8 +158,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Newer:
-    """I hold what was committed up to `index`; ask me. It carries no entry and no date, so nothing is taken for younger
-    than it is however long this lay in a socket: who lacks that much asks, and counts from its own question."""
+    """A hint that the sender holds the committed entries up to `index` and can be asked for them.
+
+    It carries neither entries nor ages, so a hint that waited in a socket for long cannot make an entry look younger
+    than it is: the receiver fetches, and counts ages from its own request.
+    """
 
     index: int
 
@@ -145,32 +170,32 @@
 Message = Poll | Ballot | Append | Install | Taken | Recall | Recalled | Since | News | Newer
 
 
-# ---- what a voter keeps
+# ---- records that a voter stores
 
 
 @dataclass(frozen=True, slots=True)
-class Vow:
-    """The term, whom the vote of it went to (empty: nobody), and the number of this voter's life."""
+class Promise:
+    """What the voter must not forget: its term, whom it voted for in it (empty: nobody), and its incarnation number."""
 
     term: int
-    vote: str
-    life: int
+    voted_for: str
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    """The entry at `index`; whatever was there or after it is gone."""
+class EntryRecord:
+    """The entry at `index`; it replaces the stored entries from there on."""
 
     index: int
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class Floor:
-    """After a recovery: no vote for a log that ends before this one did."""
+class VoteFloor:
+    """Set by a recovery: no vote for a candidate whose log ends before this position."""
 
     index: int
     term: int
 
 
-Record = Vow | Written | Floor | Snapshot
+Record = Promise | EntryRecord | VoteFloor | Snapshot
--- a/copperyard/state/agreement/records.py
+++ b/copperyard/state/agreement/records.py
@@ -1,9 +1,13 @@
-"""A voter's records as bytes, and what a shelf that keeps them promises.
-
-The promises, which every shelf has to pass (tests/contracts): what `append` or `renew` returned for is there after any
-end of the process or machine; `renew` replaces all or nothing; records come back whole, in order, once; a write torn by
-an end, and only that, is dropped in silence; anything else that does not read is Damaged, never a shorter history; a
-failed write leaves what was there before, and the next one works; one process holds a shelf at a time.
+"""A voter's records as bytes, and the interface of the log store that holds them.
+
+Every log store must guarantee (tests/contracts checks it):
+- What `append` or `replace_all` returned for survives any end of the process or machine.
+- `replace_all` replaces all records or none.
+- Records come back intact, in order, each once.
+- A torn tail, and only that, is dropped silently. Anything else unreadable raises DamagedStoreError;
+  the store never returns a shorter history instead.
+- A failed write leaves the earlier records in place, and the next write works.
+- One process at a time holds a store.
 """
 
 from __future__ import annotations
@@ -13,39 +17,45 @@
 
 from ...protocol.peers import BadFrame, Codec
 from .council import Kept
-from .messages import Floor, Record, Snapshot, Vow, Written
+from .messages import EntryRecord, Promise, Record, Snapshot, VoteFloor
 
-CODEC = Codec({1: Vow, 2: Written, 3: Floor, 4: Snapshot})
+CODEC = Codec({1: Promise, 2: EntryRecord, 3: VoteFloor, 4: Snapshot})
 
 
 class Damaged(Exception):
-    """A shelf that does not hold what was put on it: where, and how it shows."""
+    """The log store does not hold what was written to it. The message says where and what was found."""
 
 
 class Shelf(Protocol):
-    """Where a voter's records lie."""
+    """Storage of a voter's records."""
 
     def open(self, owner: str) -> list[bytes]:
-        """Take the shelf for this process; all records. OSError (LockedError where a living process has it), Damaged;
-        after Damaged the shelf is held, and `renew` may begin it again."""
+        """Lock the store for this process and return all records.
+
+        Raises OSError (LockedError if another live process holds the store) or DamagedStoreError. After the latter the
+        store stays locked, and `replace_all` may start it afresh.
+        """
 
     async def append(self, records: Sequence[bytes]) -> None:
-        """Durable, all of them in this order, when this returns. OSError: none of them may count as written, all may
-        be found later."""
+        """Append records; all are durable, in this order, when this returns.
+
+        After OSError none of them counts as written, but a later `open` may return any of them.
+        """
 
     async def renew(self, records: Sequence[bytes]) -> None:
-        """These in place of all; durable when this returns. OSError: what was there before still is."""
+        """Replace all records; durable when this returns. After OSError the earlier records are still in place."""
 
     def close(self) -> None:
-        """Let go of it."""
+        """Unlock the store."""
 
 
 def to_bytes(records: Iterable[Record]) -> list[bytes]:
+    """The encoded records, one element each."""
     return [CODEC.body(one) for one in records]
 
 
 def from_bytes(bodies: Iterable[bytes]) -> Kept:
-    """Damaged where a record is none of ours or does not follow."""
+    """The state that encoded records add up to. DamagedStoreError if one is unknown or leaves a gap."""
     try:
         return Kept.read(CODEC.read(body) for body in bodies)
     except (BadFrame, ValueError) as error:
--- a/copperyard/state/book.py
+++ b/copperyard/state/book.py
@@ -1,12 +1,12 @@
-"""The writer of the journal, without I/O: facts in, steps for a disk out, and what is durable by now.
+"""The journal writer, without I/O: it takes facts, yields steps for a disk, and tells which facts are durable.
 
-Two lanes of steps, each with at most one step out: `commit` steps append what has gathered and sync it (one sync
-for all that came while the last one ran); `chore` steps write snapshots and remove what they made needless. A chore
-never holds up a commit.
+There are two queues of steps, each with at most one step in flight. The commit queue ("commit") appends the pending
+records and syncs them: group commit, one sync for all records that came during the last one. The background queue
+("chore") writes snapshots and removes the files that they replace; it never delays a commit.
 
-After a failed write or sync nothing is known of the file any more: the system may have dropped the pages and will say
-that the next sync went well. So that file is not written again. The book is then `ailing`; after a wait, all that it
-knows goes into a new snapshot and a new segment, and only when both are on disk is it well again.
+After a failed write or sync the contents of the file are unknown: the system may have dropped the pages and may report
+the next sync as a success. So that file is never written again. The journal is then degraded; after a wait, the whole
+state goes into a new snapshot. Once that is on disk the journal is healthy again and goes on in a new segment.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from .recovery import Recovery
 
 SECOND = 1_000_000_000
-SEGMENT = 8 << 20  # bytes from which a new segment is begun: recovery reads one at a time
-CHUNK = 1 << 16  # bytes of a snapshot that are made and written at a time
-MOST_WAITING = 16 << 20  # bytes not yet on disk from which the book takes no more paid work
-SNAP_LEAST = 20_000  # records since the last snapshot before another is worth it
-SNAP_PER_CODE = 2  # and that many for each code kept, so that a snapshot's cost is spread over what it saves
-HEAL_FIRST, HEAL_MOST = SECOND, 30 * SECOND  # waits before another try after a failure, doubling
-PASSED_EVERY = 60 * SECOND  # service time is written this often, where nothing else is
-PART = ".part"
+SEGMENT_BYTES = 8 << 20  # size from which a new segment is begun: recovery reads one segment at a time
+CHUNK_BYTES = 1 << 16  # part of a snapshot that one step encodes and writes
+MAX_PENDING_BYTES = 16 << 20  # bytes not yet on disk from which no more paid work is taken
+MIN_SNAPSHOT_RECORDS = 20_000  # records since the last snapshot before the next one
+SNAPSHOT_RECORDS_PER_CODE = 2  # and at least so many per stored code: spreads the cost of a snapshot over what it saves
+MIN_RETRY_WAIT, MAX_RETRY_WAIT = SECOND, 30 * SECOND  # wait after a failure; doubles with each further one
+TIME_RECORD_INTERVAL = 60 * SECOND  # service time is recorded at least so often
+PART_SUFFIX = ".part"
 
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """A new file with these bytes, on disk and in its folder before the step is done. It must not exist."""
+    """Create a file with these bytes; file and folder entry are synced. It must not exist yet."""
 
     name: str
     data: bytes
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Bytes to the end of a file; on disk before the step is done where `sync` says so."""
+    """Append bytes to a file; with `sync` they are on disk when the step is done."""
 
     name: str
     data: bytes
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rename:
-    """Another name for a file, on disk before the step is done. What has that name is replaced."""
+    """Rename a file, replacing any file of the new name; the folder is synced."""
 
     name: str
     to: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """A file is needed no more. One that is not there is no failure."""
+    """Remove a file. It may be missing."""
 
     name: str
 
@@ -66,8 +66,8 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """What the book did since its start."""
+class JournalStats:
+    """Counters since the start."""
 
     facts: int = 0
     commits: int = 0
@@ -77,154 +77,165 @@
 
 
 class Book:
-    """The journal of one life. `now` is the loop's clock in ns, `down` how long the state was out of service by the
-    machine's date. With `begins` a new life begins; without it the files are only put in order."""
-
-    def __init__(self, found: Recovery, label: str, generation: str, now: int, down: int, begins: bool = True) -> None:
-        self.state = found.state
-        self.clock = ServiceClock(found.state.reached, down, now)
-        self.tally = Tally()
+    """Writes the journal during one run of a gateway.
+
+    `now` is the event loop's clock in ns, `downtime` how long the state was out of service by the wall clock. With
+    `begins` the start of the process is recorded; without it the files are only compacted.
+    """
+
+    def __init__(
+        self, recovery: Recovery, label: str, generation: str, now: int, downtime: int, begins: bool = True
+    ) -> None:
+        self.state = recovery.state
+        self.clock = ServiceClock(recovery.state.service_time, downtime, now)
+        self.tally = JournalStats()
         self.ailing = ""
-        self._sequence = self._durable = found.sequence
-        self._waiting = bytearray()
-        self._waiting_to = found.sequence
-        self._out_to = found.sequence
-        self._segment, self._size = found.segment, 0
-        self._name = ""  # the segment that is written; none yet, or none that may be trusted
+        self._sequence = self._durable = recovery.sequence
+        self._pending = bytearray()
+        self._pending_end = recovery.sequence
+        self._in_flight_end = recovery.sequence
+        self._segment_number, self._segment_size = recovery.segment, 0
+        self._segment_file = ""  # the open segment; empty before the first one and after a failure
         self._busy: dict[str, Step | None] = {"commit": None, "chore": None}
-        self._since = found.replayed
-        self._old = [name for name in found.files if name.endswith(PART)]
-        self._files = [name for name in found.files if not name.endswith(PART)]
-        self._chores: Iterator[Step] | None = None
-        self._heal_at: int | None = None
-        self._heal_wait = HEAL_FIRST
-        self._healing = 0  # the sequence that a snapshot must hold for the book to be well again
+        self._records_since_snapshot = recovery.replayed
+        self._leftover_parts = [name for name in recovery.files if name.endswith(PART_SUFFIX)]
+        self._files = [name for name in recovery.files if not name.endswith(PART_SUFFIX)]
+        self._background_steps: Iterator[Step] | None = None
+        self._retry_at: int | None = None
+        self._retry_wait = MIN_RETRY_WAIT
+        self._repair_sequence = 0  # a snapshot up to here ends the degraded state; 0: none in progress
         self._closing = False
-        self._last_passed = now
+        self._time_recorded_at = now
         if begins:
-            self.write(now, Began(self.clock.at(now), label, generation, found.state.lives + 1))
+            self.write(now, Began(self.clock.at(now), label, generation, recovery.state.lives + 1))
 
     # ---- facts
 
     def at(self, now: int) -> int:
-        """Service time, for the facts that are made now."""
+        """Service time (ns) of a moment of the loop's clock."""
         return self.clock.at(now)
 
     def write(self, now: int, fact: Fact) -> int:
-        """Take a fact: it holds at once for whoever asks `state`, and is on disk once `durable` says so of the number
-        that is given."""
+        """Apply a fact to `state` and record it. Its sequence number; pass that to `durable`."""
         self.state.apply(fact)
         self._sequence += 1
-        self._since += 1
+        self._records_since_snapshot += 1
         self.tally.facts += 1
-        if self.ailing and self._heal_at is not None:
-            return self._sequence  # the snapshot with which it gets well again will have it
-        if len(self._waiting) >= MOST_WAITING:
-            # a disk that hangs neither takes nor fails: nothing more is gathered for it, a snapshot will have it all
-            self._ail("too much waits for the disk", now)
+        if self.ailing and self._retry_at is not None:
+            return self._sequence  # the repairing snapshot will contain it
+        if len(self._pending) >= MAX_PENDING_BYTES:
+            # a hanging disk neither completes nor fails: stop collecting for it, a later snapshot contains everything
+            self._degrade("too much waits for the disk", now)
             return self._sequence
-        self._waiting += record(self._sequence, encode(fact))
-        self._waiting_to = self._sequence
+        self._pending += record(self._sequence, encode(fact))
+        self._pending_end = self._sequence
         return self._sequence
 
     def durable(self, sequence: int) -> bool:
-        """Whether a fact, and all before it, is on disk."""
+        """Whether the fact of that sequence number and all before it are on disk."""
         return sequence <= self._durable
 
     @property
     def sequence(self) -> int:
+        """The sequence number of the newest fact."""
         return self._sequence
 
     @property
     def well(self) -> bool:
-        """Whether what is written now can be expected on disk soon."""
-        return not self.ailing and len(self._waiting) < MOST_WAITING
+        """Whether a fact written now can be expected to become durable soon."""
+        return not self.ailing and len(self._pending) < MAX_PENDING_BYTES
 
     def close(self, now: int, spent: tuple[int, ...]) -> int:
-        """A planned end: the last fact. The life ends once it is durable, or without it."""
+        """Record a planned stop with the ages of the last retries; its sequence number."""
         self._closing = True
         return self.write(now, Ended(self.at(now), spent))
 
     # ---- steps
 
     def commit(self, now: int) -> Step | None:
-        """The next step of the first lane, None while there is none or one is out."""
+        """The next step of the commit queue; None if there is none or one is in flight."""
         if self._busy["commit"] is not None or self.ailing:
             return None
-        if self._healing and not self._closing:
+        if self._repair_sequence and not self._closing:
             return None
         step: Step | None = None
-        if not self._name or self._size >= SEGMENT and self._waiting:
-            if self._waiting or not self._name:
-                self._segment += 1
-                name = segment_name(self._segment)
-                step = Create(name, segment_head(self._segment, self._durable + 1))
-        elif self._waiting:
-            step = Append(self._name, bytes(self._waiting))
-            self._out_to = self._waiting_to
-            self._waiting.clear()
-        elif now - self._last_passed > PASSED_EVERY and not self._closing:
-            self._last_passed = now
+        if not self._segment_file or self._segment_size >= SEGMENT_BYTES and self._pending:
+            if self._pending or not self._segment_file:
+                self._segment_number += 1
+                name = segment_name(self._segment_number)
+                step = Create(name, segment_head(self._segment_number, self._durable + 1))
+        elif self._pending:
+            step = Append(self._segment_file, bytes(self._pending))
+            self._in_flight_end = self._pending_end
+            self._pending.clear()
+        elif now - self._time_recorded_at > TIME_RECORD_INTERVAL and not self._closing:
+            self._time_recorded_at = now
             self.write(now, Passed(self.at(now)))
             return self.commit(now)
         self._busy["commit"] = step
         return step
 
-    def wants_chore(self, now: int) -> bool:
-        """Whether the second lane may have a step to give."""
+    def wants_background(self, now: int) -> bool:
+        """Whether the background queue may have a step."""
         if self._busy["chore"] is not None or self.ailing and self._busy["commit"] is not None:
-            return False  # while a commit is still out nobody can say up to where its file reaches
-        if self.ailing and not self._healing and self._heal_at is not None and now < self._heal_at:
+            return False  # the end of the segment is unknown while a commit is in flight
+        if self.ailing and not self._repair_sequence and self._retry_at is not None and now < self._retry_at:
             return False
-        return self._chores is not None or bool(self._old) or self._wants_snapshot()
+        return self._background_steps is not None or bool(self._leftover_parts) or self._wants_snapshot()
 
     def chore(self, now: int) -> Step | None:
-        """The next step of the second lane. Making it may take a millisecond: this is background work."""
-        if not self.wants_chore(now):
+        """The next step of the background queue. Encoding it may take a millisecond."""
+        if not self.wants_background(now):
             return None
-        if self._chores is None and self._wants_snapshot():
-            self._chores = self._snapshot()
-        if self._chores is None and self._old:
-            step: Step | None = Remove(self._old.pop())
+        if self._background_steps is None and self._wants_snapshot():
+            self._background_steps = self._snapshot_steps()
+        if self._background_steps is None and self._leftover_parts:
+            step: Step | None = Remove(self._leftover_parts.pop())
         else:
-            step = next(self._chores, None) if self._chores is not None else None
+            step = next(self._background_steps, None) if self._background_steps is not None else None
             if step is None:
-                self._chores = None
+                self._background_steps = None
         self._busy["chore"] = step
         return step
 
     def wake_at(self, now: int) -> int:
-        """When to look for steps again although nothing came."""
-        if self.ailing and self._heal_at is not None and now < self._heal_at:
-            return self._heal_at
-        return now + PASSED_EVERY
+        """When to ask for steps again even if nothing was written."""
+        if self.ailing and self._retry_at is not None and now < self._retry_at:
+            return self._retry_at
+        return now + TIME_RECORD_INTERVAL
 
     def _wants_snapshot(self) -> bool:
         if self.ailing:
             return True
-        due = self._since >= max(SNAP_LEAST, SNAP_PER_CODE * len(self.state.codes))
-        return due and bool(self._name) and not self._closing
+        due = self._records_since_snapshot >= max(
+            MIN_SNAPSHOT_RECORDS, SNAPSHOT_RECORDS_PER_CODE * len(self.state.codes)
+        )
+        return due and bool(self._segment_file) and not self._closing
 
     def compact(self) -> None:
-        """Write a snapshot at the next chance, whether it is due or not."""
-        self._since = max(self._since, SNAP_LEAST, SNAP_PER_CODE * len(self.state.codes))
+        """Make the next snapshot due now."""
+        self._records_since_snapshot = max(
+            self._records_since_snapshot, MIN_SNAPSHOT_RECORDS, SNAPSHOT_RECORDS_PER_CODE * len(self.state.codes)
+        )
+
+    def _snapshot_steps(self) -> Iterator[Step]:
+        """The steps of a snapshot and of the removal of the files that it replaces.
 
-    def _snapshot(self) -> Iterator[Step]:
-        """All steps of a snapshot, and of the removal of what it makes needless. While it is written facts go on
-        coming; those are replayed over it."""
+        Facts written meanwhile may or may not be in it; recovery replays them over it.
+        """
         if self.ailing:
-            # nothing of what waits is in a file that may be trusted: all of it goes into the snapshot
-            self._sequence += 1  # a snapshot of this number is there in no case
-            self._healing = last = self._sequence
-            self._waiting_to = self._out_to = self._sequence
-            self._heal_at = None  # from here on facts gather again, for the segment that follows on the snapshot
+            # pending records may be in no reliable file: the snapshot has to contain all of them
+            self._sequence += 1  # so that no snapshot of this number exists
+            self._repair_sequence = last = self._sequence
+            self._pending_end = self._in_flight_end = self._sequence
+            self._retry_at = None  # from here on records are collected for the segment after the snapshot
         else:
             last = self._durable
-        since, self._since = self._since, 0
-        old = [name for name in self._files if name != self._name]
-        final, part = snapshot_name(last), snapshot_name(last) + PART
+        records, self._records_since_snapshot = self._records_since_snapshot, 0
+        covered = [name for name in self._files if name != self._segment_file]
+        final, part = snapshot_name(last), snapshot_name(last) + PART_SUFFIX
         if final in self._files:
-            return  # nothing came since
+            return  # nothing was written since the last one
         done = False
         try:
             yield Remove(part)
@@ -232,7 +243,7 @@
             count, chunk = 0, bytearray()
             for count, fact in enumerate(self.state.facts(), 1):
                 chunk += record(count, encode(fact))
-                if len(chunk) >= CHUNK:
+                if len(chunk) >= CHUNK_BYTES:
                     yield Append(part, bytes(chunk), sync=False)
                     chunk.clear()
             chunk += snapshot_tail(count)
@@ -241,52 +252,52 @@
             done = True
         finally:
             if not done:
-                self._since += since
+                self._records_since_snapshot += records
         self.tally.snapshots += 1
         self._files.append(final)
-        # what the snapshot holds is needed no more, but for the segment that is written, and those begun since
-        for name in old:
+        # remove what the snapshot covers, except the open segment and those begun since
+        for name in covered:
             yield Remove(name)
             self._files.remove(name)
 
-    # ---- what became of them
+    # ---- results
 
-    def done(self, lane: str, now: int) -> bool:
-        """The lane's step went well. Whether more is durable than before."""
-        step, self._busy[lane] = self._busy[lane], None
+    def done(self, queue: str, now: int) -> bool:
+        """The queue's step is done. Whether more facts are durable than before."""
+        step, self._busy[queue] = self._busy[queue], None
         assert step is not None
         before = self._durable
-        if lane == "commit":
+        if queue == "commit":
             if isinstance(step, Create):
                 if self.ailing:
-                    return False  # begun before it ailed: its first sequence is not the one that will follow
-                self._name, self._size = step.name, len(step.data)
+                    return False  # begun before the failure: the next record has another sequence number
+                self._segment_file, self._segment_size = step.name, len(step.data)
                 self._files.append(step.name)
             elif isinstance(step, Append):
-                self._size += len(step.data)
-                self._durable = max(self._durable, self._out_to)
+                self._segment_size += len(step.data)
+                self._durable = max(self._durable, self._in_flight_end)
                 self.tally.commits += 1
                 self.tally.bytes += len(step.data)
-        elif isinstance(step, Rename) and self._healing:
-            self._durable, self._healing = max(self._durable, self._healing), 0
-            self.ailing, self._heal_wait = "", HEAL_FIRST
+        elif isinstance(step, Rename) and self._repair_sequence:
+            self._durable, self._repair_sequence = max(self._durable, self._repair_sequence), 0
+            self.ailing, self._retry_wait = "", MIN_RETRY_WAIT
         return self._durable > before
 
-    def failed(self, lane: str, text: str, now: int) -> None:
-        """The lane's step failed. What it was to write counts as lost, and its file as unknown."""
-        self._busy[lane] = None
+    def failed(self, queue: str, reason: str, now: int) -> None:
+        """The queue's step failed: its data counts as lost, the contents of its file as unknown."""
+        self._busy[queue] = None
         self.tally.failures += 1
-        if lane == "chore":
-            self._chores = None
-            if not self._healing:
-                return  # the journal goes on; the snapshot, or the removal, is tried again when one is due
-        self._ail(text or "failed", now)
-
-    def _ail(self, text: str, now: int) -> None:
-        """No file may be written any more until all that is known went into a new snapshot."""
-        self._name, self._healing = "", 0
-        self._waiting.clear()  # `state` has it all, and the snapshot will
-        self.ailing = text
-        self._chores = None
-        self._heal_at = now + self._heal_wait
-        self._heal_wait = min(HEAL_MOST, 2 * self._heal_wait)
+        if queue == "chore":
+            self._background_steps = None
+            if not self._repair_sequence:
+                return  # the journal is unaffected; snapshot or removal is retried when due
+        self._degrade(reason or "failed", now)
+
+    def _degrade(self, reason: str, now: int) -> None:
+        """Stop writing to any file until the whole state is in a new snapshot."""
+        self._segment_file, self._repair_sequence = "", 0
+        self._pending.clear()  # `state` contains all of it, so the snapshot will
+        self.ailing = reason
+        self._background_steps = None
+        self._retry_at = now + self._retry_wait
+        self._retry_wait = min(MAX_RETRY_WAIT, 2 * self._retry_wait)
--- a/copperyard/state/clock.py
+++ b/copperyard/state/clock.py
@@ -1,25 +1,27 @@
-"""Service time: how long this state has been in service, in ns. It never goes back, over restarts neither.
+"""Service time: how long a gateway's state has been in service, in ns. It never goes back, not even over restarts.
 
-The machine's date may step back or jump ahead while a gateway is down, and its monotonic clock starts anew. Both are
-used for one thing only: how long the gateway was down, and of that no more than DOWN_MOST is counted. So service time
-is never ahead of true time by more than the last record's age, and what expires by it (codes) expires late, never
-early.
+While a gateway is down the wall clock may step back or jump ahead, and the monotonic clock may start over. The wall
+clock is used only for the length of the downtime, of which at most MAX_DOWNTIME counts. So service time is never ahead
+of true time by more than the last record's age, and what expires by it (codes) expires late, never early.
 """
 
 from __future__ import annotations
 
-DOWN_MOST = 3600 * 1_000_000_000  # ns of a time out of service that count at most: a date may jump by years
+MAX_DOWNTIME = 3600 * 1_000_000_000  # ns; the wall clock may jump by years
 
 
 class ServiceClock:
-    """`reached` is the service time of the newest fact, `down` how long (ns, by the machine's date, and so perhaps
-    nonsense) the state was out of service since, `now` the loop's clock at this moment."""
+    """Converts the event loop's clock to service time.
 
-    def __init__(self, reached: int, down: int, now: int) -> None:
-        self._offset = reached + max(0, min(down, DOWN_MOST)) - now
-        self._last = reached
+    `service_time` is that of the newest fact, `downtime` the time (ns) since then by the wall clock, which may be far
+    off, `now` the loop's clock at this moment.
+    """
+
+    def __init__(self, service_time: int, downtime: int, now: int) -> None:
+        self._offset = service_time + max(0, min(downtime, MAX_DOWNTIME)) - now
+        self._last = service_time
 
     def at(self, now: int) -> int:
-        """Service time of a moment of the loop's clock; never less than it gave before."""
+        """Service time of a moment of the loop's clock; never less than what was returned before."""
         self._last = max(self._last, now + self._offset)
         return self._last
--- a/copperyard/state/facts.py
+++ b/copperyard/state/facts.py
@@ -1,11 +1,10 @@
-"""The facts that a gateway keeps, and their bytes.
+"""The facts that a gateway stores, and their encoding.
 
-A fact is written before something is done that would break a rule if it were forgotten, or after something came to
-pass that a family counts on. Each is one MessagePack array: its kind, then its fields in order. A newer minor
-schema may add fields at the end and kinds; what this one does not know it passes over. A newer major schema is not
-read at all.
+A fact is written before something is done that would break a rule if the fact were lost, or after something happened
+that a viewer relies on. Each is one MessagePack array: its kind, then its fields in order. A newer minor schema may add
+kinds, and fields at the end; unknown ones are ignored. A newer major schema is not read at all.
 
-Times are the gateway's own service time in ns (clock.py), never the machine's date. Codes are kept as digests: whoever
+Times are the gateway's own service time in ns (clock.py), never the wall clock. Codes are stored as digests: whoever
 reads the files cannot redeem them.
 """
 
@@ -18,19 +17,21 @@
 import msgpack
 
 MAJOR, MINOR = 1, 0
-MOST_TEXT = 4096  # characters of any text but a list body
-MOST_BODY = 16 * 1024 * 1024
-MAX_RECORD = MOST_BODY + 65536  # bytes of one fact
+MAX_TEXT_BYTES = 4096  # of any text
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of a list of hosts
+MAX_RECORD_BYTES = MAX_BODY_BYTES + 65536  # of one encoded fact
 
 
-class BadFact(ValueError):
-    """Bytes that are no fact: their place is in the message, nothing of them is used."""
+class FactError(ValueError):
+    """Bytes that do not decode as a fact; none of them is used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """A process took this state over, as life number `life`. `label` is the front's name in it, `generation` names its
-    settings."""
+    """A process started on this state, for the `life`-th time. `generation` names its settings.
+
+    `label` is the front's name during this run.
+    """
 
     at: int
     label: str
@@ -40,8 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """A set-up that carries a code fresh is about to leave for a host. From here on the code may be redeemed.
-    `request` is its Request-Id, `host` the name of the host that will hear it."""
+    """A set-up with a code is about to be sent to a host; from now on the code may be redeemed.
+
+    `request` is its Request-Id, `host` the name of the host.
+    """
 
     at: int
     code: bytes
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Redeemed:
-    """A host said that it redeemed the code, and gave this receipt."""
+    """A host confirmed that it redeemed the code, with this receipt."""
 
     at: int
     code: bytes
@@ -60,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cleared:
-    """It is proven that the last set-up with the code never ran: the code is as good as new."""
+    """The last set-up with the code is known not to have run: the code is unused."""
 
     at: int
     code: bytes
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """The list of hosts as it is known now, whole, as a body of the list service."""
+    """The complete list of hosts as known now, in the format of the list service."""
 
     at: int
     body: bytes
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The process came to a planned end; `spent` are the ages (ns) of further attempts of the last window."""
+    """The process stopped as planned. `spent`: the ages (ns) of the retries in the last budget window."""
 
     at: int
     spent: tuple[int, ...]
@@ -84,61 +87,77 @@
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """Service time passed: written now and then, so that a kill loses little of it."""
+    """Service time has advanced; written periodically so that a kill loses little of it."""
 
     at: int
 
 
 Fact = Began | Carried | Redeemed | Cleared | Listed | Ended | Passed
 
-_KINDS: dict[int, Callable[..., Fact]] = {1: Began, 2: Carried, 3: Redeemed, 4: Cleared, 5: Listed, 6: Ended, 7: Passed}
+_KINDS: dict[int, Callable[..., Fact]] = {
+    1: Began,
+    2: Carried,
+    3: Redeemed,
+    4: Cleared,
+    5: Listed,
+    6: Ended,
+    7: Passed,
+}
 _NUMBERS: dict[Callable[..., Fact], int] = {kind: number for number, kind in _KINDS.items()}
+# by annotation as it is written in the classes above
 _TYPES: dict[str, type] = {"int": int, "str": str, "bytes": bytes, "tuple[int, ...]": list}
-_SHAPES: dict[int, tuple[Callable[..., Fact], tuple[type, ...]]] = {
+_FIELD_TYPES: dict[int, tuple[Callable[..., Fact], tuple[type, ...]]] = {
     number: (kind, tuple(_TYPES[str(one.type)] for one in fields(kind)))  # type: ignore[arg-type]
     for number, kind in _KINDS.items()
 }
 
 
 def digest(code: str) -> bytes:
-    """What is kept of a code: 16 bytes of BLAKE2b."""
+    """What is stored of a code: 16 bytes of BLAKE2b."""
     return hashlib.blake2b(code.encode(), digest_size=16, person=b"copperyard code").digest()
 
 
 def encode(fact: Fact) -> bytes:
-    """The fact's bytes."""
+    """The fact as bytes."""
     packed: bytes = msgpack.packb([_NUMBERS[type(fact)], *astuple(fact)])
     return packed
 
 
 def decode(data: bytes) -> Fact | None:
-    """The fact, None for a kind that a newer minor schema added. BadFact where the bytes make no sense."""
+    """The fact; None for a kind of a newer minor schema. FactError if the bytes are invalid."""
     try:
         raw = msgpack.unpackb(
-            data, max_str_len=MOST_TEXT, max_bin_len=MOST_BODY, max_array_len=65536, max_map_len=0, max_ext_len=0
+            data,
+            max_str_len=MAX_TEXT_BYTES,
+            max_bin_len=MAX_BODY_BYTES,
+            max_array_len=65536,
+            max_map_len=0,
+            max_ext_len=0,
         )
     except (ValueError, msgpack.UnpackException) as error:
-        raise BadFact(f"not MessagePack: {error}") from None
+        raise FactError(f"not MessagePack: {error}") from None
     if not isinstance(raw, list) or not raw or isinstance(raw[0], bool) or not isinstance(raw[0], int):
-        raise BadFact("no array that begins with a kind")
-    shape = _SHAPES.get(raw[0])
-    if shape is None:
+        raise FactError("no array that begins with a kind")
+    known = _FIELD_TYPES.get(raw[0])
+    if known is None:
         return None
-    kind, types = shape
+    kind, types = known
     values = raw[1 : 1 + len(types)]
     if tuple(map(type, values)) != types:
-        raise BadFact(_why(kind, values, types))
+        raise FactError(_type_error(kind, values, types))
     if kind is Ended:
         if not all(type(x) is int for x in values[-1]):
-            raise BadFact("Ended.spent holds what is no whole number")
+            raise FactError("Ended.spent holds what is no whole number")
         return Ended(values[0], tuple(values[1]))
     return kind(*values)
 
 
-def _why(kind: Callable[..., Fact], values: list[object], types: tuple[type, ...]) -> str:
+def _type_error(kind: Callable[..., Fact], values: list[object], types: tuple[type, ...]) -> str:
     name = kind.__name__
     if len(values) < len(types):
         return f"{name} has {len(values)} fields of {len(types)}"
     names = [one.name for one in fields(kind)]  # type: ignore[arg-type]
-    at = next(n for n, (value, wanted) in enumerate(zip(values, types, strict=True)) if type(value) is not wanted)
-    return f"{name}.{names[at]} is {type(values[at]).__name__}"
+    position = next(
+        n for n, (value, expected) in enumerate(zip(values, types, strict=True)) if type(value) is not expected
+    )
+    return f"{name}.{names[position]} is {type(values[position]).__name__}"
--- a/copperyard/state/ledger.py
+++ b/copperyard/state/ledger.py
@@ -1,8 +1,8 @@
-"""The state itself: what all facts so far come to.
+"""The state that all facts up to now add up to.
 
-Each fact about a code says all that is known of it, whatever was known before. So facts may be applied to a state that
-holds some of them already, and the same comes out: a snapshot may be written while facts go on coming, as long as all
-that came since it began are replayed over it.
+Each fact about a code replaces everything known of that code. So facts may be applied to a state that contains some of
+them already, with the same result. This allows a snapshot to be written while further facts come, as long as all facts
+since its begin are replayed over it.
 """
 
 from __future__ import annotations
@@ -15,8 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Kept:
-    """What is kept of a code. With a receipt it is redeemed; without one a set-up with it left, for `host` as
-    `request`, and nothing is known of what became of that."""
+    """What is stored of one code.
+
+    With a receipt the code is redeemed. Without one, `request` was sent with it to `host`, with unknown outcome.
+    """
 
     at: int
     receipt: str | None
@@ -26,11 +28,15 @@
 
 @dataclass(slots=True)
 class State:
-    """All that a gateway must not forget. `codes` are in the order of their newest fact, oldest first. `ended`: the
-    last life came to a planned end; `spent` are its last further attempts, as ages in ns at that end."""
+    """Everything that a gateway must remember.
+
+    `codes` are in the order of their newest fact, oldest first; `service_time` is that of the newest fact. `body` is
+    the list of hosts as the list service encodes it, `lives` the number of process starts. `ended`: the last process
+    stopped as planned; `spent` are then the ages (ns) of its last retries.
+    """
 
     codes: dict[bytes, Kept] = field(default_factory=dict)
-    reached: int = 0
+    service_time: int = 0
     label: str = ""
     generation: str = ""
     lives: int = 0
@@ -39,12 +45,12 @@
     spent: tuple[int, ...] = ()
 
     def apply(self, fact: Fact) -> None:
-        """Take a fact up."""
-        self.reached = max(self.reached, fact.at)
+        """Update the state by a fact."""
+        self.service_time = max(self.service_time, fact.at)
         if isinstance(fact, Carried):
-            self._keep(fact.code, Kept(fact.at, None, fact.request, fact.host))
+            self._store(fact.code, Kept(fact.at, None, fact.request, fact.host))
         elif isinstance(fact, Redeemed):
-            self._keep(fact.code, Kept(fact.at, fact.receipt))
+            self._store(fact.code, Kept(fact.at, fact.receipt))
         elif isinstance(fact, Cleared):
             self.codes.pop(fact.code, None)
         elif isinstance(fact, Listed):
@@ -57,41 +63,43 @@
         else:
             assert isinstance(fact, Passed)
 
-    def _keep(self, code: bytes, kept: Kept) -> None:
-        # taken out and put in again, so that the order stays that of the newest facts
+    def _store(self, code: bytes, record: Kept) -> None:
+        # removed first, so that the dict stays ordered by newest fact
         self.codes.pop(code, None)
-        self.codes[code] = kept
-
-    def expire(self, before: int, most: int) -> list[bytes]:
-        """Forget up to `most` codes whose newest fact is older than `before`, and say which. Only for a `before` at
-        which no office takes them any more: a resend can do no harm then."""
-        found: list[bytes] = []
-        for code, kept in self.codes.items():
-            if len(found) >= most or kept.at >= before:
+        self.codes[code] = record
+
+    def expire(self, before: int, limit: int) -> list[bytes]:
+        """Remove and return up to `limit` codes whose newest fact is older than `before`.
+
+        `before` must be early enough that these codes are no longer accepted anywhere, so a resend does no harm.
+        """
+        expired: list[bytes] = []
+        for code, record in self.codes.items():
+            if len(expired) >= limit or record.at >= before:
                 break
-            found.append(code)
-        for code in found:
+            expired.append(code)
+        for code in expired:
             del self.codes[code]
-        return found
+        return expired
 
     def facts(self) -> Iterator[Fact]:
-        """Facts that make up this state. Codes may come and go between two of them; see above."""
+        """Facts that add up to this state. Codes may be added and removed while it is iterated; see the module."""
         if self.lives:
             yield Began(0, self.label, self.generation, self.lives)
         if self.body:
             yield Listed(0, self.body)
         for code in list(self.codes):
-            kept = self.codes.get(code)
-            if kept is None:
+            record = self.codes.get(code)
+            if record is None:
                 continue
-            if kept.receipt is not None:
-                yield Redeemed(kept.at, code, kept.receipt)
+            if record.receipt is not None:
+                yield Redeemed(record.at, code, record.receipt)
             else:
-                yield Carried(kept.at, code, kept.request, kept.host)
+                yield Carried(record.at, code, record.request, record.host)
         if self.ended and self.lives:
-            yield Ended(self.reached, self.spent)
-        yield Passed(self.reached)
+            yield Ended(self.service_time, self.spent)
+        yield Passed(self.service_time)
 
     def unclear(self) -> dict[bytes, Kept]:
-        """Codes of which nobody here can say whether they were redeemed."""
+        """The codes that may or may not have been redeemed."""
         return {code: kept for code, kept in self.codes.items() if kept.receipt is None}
--- a/copperyard/state/recovery.py
+++ b/copperyard/state/recovery.py
@@ -1,9 +1,9 @@
-"""From the files of a dead gateway to its state. Pure but for the `read` that is passed in.
+"""Recovers the state from the files of a stopped gateway. Does no I/O but for the `read` that is passed in.
 
-What is kept is the longest prefix of facts that is certain: the newest whole snapshot, and all records after it without
-a gap. What is dropped is said, each with its file and place. Dropping the end of the last write is no loss: nothing was
-done yet that counted on it. Any other loss could break a rule (a code sent twice), and recovery says so; whoever
-starts the gateway then must say that it may.
+Kept is the longest prefix of facts that is certain: the newest complete snapshot, and all records after it without a
+gap. Everything dropped is reported with its file and the reason. A torn tail is no loss: nothing was done yet that
+relied on it. Any other loss could break a rule (a code sent twice); it is reported as such, and the gateway starts only
+if the operator accepts it.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from .facts import BadFact, decode
+from .facts import FactError, decode
 from .frames import (
     END,
     HEAD_SIZE,
-    MAGIC_P,
     MAGIC_S,
     RECORD_SIZE,
+    SNAPSHOT_MAGIC,
     BadFrame,
     Head,
     Record,
-    number_of,
+    parse_file_name,
     read_head,
     records,
-    snapshot_body,
+    snapshot_records,
     whole_after,
 )
 from .ledger import State
 
-Read = Callable[[str], bytes]
+ReadFile = Callable[[str], bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """Something that was not used, and why. `harm`: facts that were on disk may be missing because of it."""
+    """Data that was not used, and why. `harm`: facts that were on disk may be missing because of it."""
 
     name: str
     text: str
@@ -43,8 +43,12 @@
 
 @dataclass(slots=True)
 class Recovery:
-    """What came of it. `sequence` is the last that the state holds, `segment` the highest number of a segment that
-    there is, `newer` a file of a schema that this program cannot read."""
+    """The result of a recovery.
+
+    `sequence` is that of the last fact in the state, `segment` the highest segment number on disk, `replayed` the
+    number of records applied after the snapshot, `unknown` the number of facts of unknown kind, `newer` a file whose
+    schema is too new for this program.
+    """
 
     state: State = field(default_factory=State)
     sequence: int = 0
@@ -58,11 +62,14 @@
 
     @property
     def harm(self) -> list[Dropped]:
+        """The dropped data because of which facts may be missing."""
         return [one for one in self.dropped if one.harm]
 
     def refusal(self, accept_loss: bool) -> str | None:
-        """Why a gateway must not start on this, None where it may. A newer schema is never accepted: what it holds
-        cannot be known."""
+        """Why a gateway must not start on this state; None if it may.
+
+        Data in a newer schema is never accepted, as its contents are unknown.
+        """
         if self.newer:
             return f"{self.newer}: written by a newer program"
         if self.harm and not accept_loss:
@@ -70,54 +77,55 @@
         return None
 
 
-def recover(names: Iterable[str], read: Read) -> Recovery:
-    """Read what there is. Files of other names are passed over. What `read` raises passes through, as a disk that
-    cannot be read is not a damaged file."""
-    found = Recovery(files=tuple(sorted(names)))
-    ours = [(number_of(name), name) for name in found.files]
-    snapshots = sorted(((kind[1], name) for kind, name in ours if kind and kind[0] == "snap"), reverse=True)
-    segments = sorted((kind[1], name) for kind, name in ours if kind and kind[0] == "seg")
-    found.segment = max((number for number, _ in segments), default=0)
-    bad = _base(found, snapshots, read)
-    if not found.newer:
-        _replay(found, segments, read)
-    # a snapshot that does not read is no loss where an older one, or none, and all records after it make up for it:
-    # then the replay came at least as far as the snapshot had
-    for last, drop in bad:
-        found.dropped.append(Dropped(drop.name, drop.text, found.sequence < last))
-    return found
-
-
-def _base(found: Recovery, snapshots: list[tuple[int, str]], read: Read) -> list[tuple[int, Dropped]]:
-    """Begin with the newest whole snapshot; those that are not whole, with the sequence that they claim."""
-    bad: list[tuple[int, Dropped]] = []
+def recover(names: Iterable[str], read: ReadFile) -> Recovery:
+    """Recover from the named files; those with unrelated names are ignored.
+
+    Exceptions of `read` pass through: a disk that cannot be read is not a damaged file.
+    """
+    recovery = Recovery(files=tuple(sorted(names)))
+    parsed = [(parse_file_name(name), name) for name in recovery.files]
+    snapshots = sorted(((kind[1], name) for kind, name in parsed if kind and kind[0] == "snap"), reverse=True)
+    segments = sorted((kind[1], name) for kind, name in parsed if kind and kind[0] == "seg")
+    recovery.segment = max((number for number, _ in segments), default=0)
+    bad_snapshots = _load_snapshot(recovery, snapshots, read)
+    if not recovery.newer:
+        _replay(recovery, segments, read)
+    # an unreadable snapshot is no loss if the replay, from an older one or from the start, got at least as far
+    for last, drop in bad_snapshots:
+        recovery.dropped.append(Dropped(drop.name, drop.text, recovery.sequence < last))
+    return recovery
+
+
+def _load_snapshot(recovery: Recovery, snapshots: list[tuple[int, str]], read: ReadFile) -> list[tuple[int, Dropped]]:
+    """Load the newest complete snapshot. The unreadable newer ones, each with the sequence that its name claims."""
+    bad_snapshots: list[tuple[int, Dropped]] = []
     for last, name in snapshots:
         try:
             data = read(name)
-            if read_head(data, MAGIC_P).first != last:
+            if read_head(data, SNAPSHOT_MAGIC).first != last:
                 raise BadFrame("its name and its header do not agree")
             state = State()
-            for one in snapshot_body(data):
-                _take(found, state, one)
-            found.state, found.sequence, found.snapshot = state, last, name
-            return bad
-        except (BadFrame, BadFact) as error:
+            for record in snapshot_records(data):
+                _apply_record(recovery, state, record)
+            recovery.state, recovery.sequence, recovery.snapshot = state, last, name
+            return bad_snapshots
+        except (BadFrame, FactError) as error:
             if isinstance(error, BadFrame) and error.newer:
-                found.newer = name
-            bad.append((last, Dropped(name, str(error), True)))
-    return bad
+                recovery.newer = name
+            bad_snapshots.append((last, Dropped(name, str(error), True)))
+    return bad_snapshots
 
 
-def _take(found: Recovery, state: State, one: Record) -> None:
-    fact = decode(one.payload)
+def _apply_record(recovery: Recovery, state: State, record: Record) -> None:
+    fact = decode(record.payload)
     if fact is None:
-        found.unknown += 1
+        recovery.unknown += 1
     else:
         state.apply(fact)
 
 
-def _replay(found: Recovery, segments: list[tuple[int, str]], read: Read) -> None:
-    """Apply the records after the snapshot, segment by segment, as long as each follows on the last."""
+def _replay(recovery: Recovery, segments: list[tuple[int, str]], read: ReadFile) -> None:
+    """Apply the records after the snapshot, segment by segment, up to the first gap."""
     for place, (number, name) in enumerate(segments):
         last = place == len(segments) - 1
         data = read(name)
@@ -125,59 +133,63 @@
             head = read_head(data, MAGIC_S)
         except BadFrame as error:
             if error.newer:
-                found.newer = name
+                recovery.newer = name
                 return
-            # a file that a crash left half made: nothing can follow it, or it was begun anew
-            begun = last and not any(data[-64:])
-            found.dropped.append(Dropped(name, str(error), not (last and len(data) < HEAD_SIZE or begun)))
+            # the last file, if cut off within its header or ending in zeros, was being created at the crash
+            zero_filled = last and not any(data[-64:])
+            recovery.dropped.append(Dropped(name, str(error), not (last and len(data) < HEAD_SIZE or zero_filled)))
             continue
         if head.number != number:
-            found.dropped.append(Dropped(name, f"it says that it is segment {head.number}: a copy", False))
+            recovery.dropped.append(Dropped(name, f"it says that it is segment {head.number}: a copy", False))
             continue
-        if head.first > found.sequence + 1:
-            found.dropped.append(
+        if head.first > recovery.sequence + 1:
+            recovery.dropped.append(
                 Dropped(
-                    name, f"it begins at {head.first}, {found.sequence + 1} would follow: a segment is missing", True
+                    name, f"it begins at {head.first}, {recovery.sequence + 1} would follow: a segment is missing", True
                 )
             )
             return
-        if not _segment(found, name, data, head, last):
+        if not _replay_segment(recovery, name, data, head, last):
             return
 
 
-def _segment(found: Recovery, name: str, data: bytes, head: Head, last: bool) -> bool:
-    """Apply one segment; whether the next one may follow."""
+def _replay_segment(recovery: Recovery, name: str, data: bytes, head: Head, last: bool) -> bool:
+    """Apply one segment. Whether to go on with the next one."""
     expected, end = head.first, 0
-    for one in records(data):
-        if isinstance(one, str):
-            _unreadable(found, name, data, end, one, last)
-            return True  # the next segment says itself whether it follows: a new life begins a new segment
-        if one.sequence != expected:
-            found.dropped.append(Dropped(name, f"record {one.sequence} where {expected} would follow", True))
+    for record in records(data):
+        if isinstance(record, str):
+            _drop_unreadable(recovery, name, data, end, record, last)
+            return True  # each process start begins a segment, so the next one may follow; its header tells
+        if record.sequence != expected:
+            recovery.dropped.append(Dropped(name, f"record {record.sequence} where {expected} would follow", True))
             return False
-        expected, end = expected + 1, one.offset + RECORD_SIZE + len(one.payload)
-        if one.sequence <= found.sequence:
-            continue  # the snapshot has it, or a doubled segment had
+        expected, end = expected + 1, record.offset + RECORD_SIZE + len(record.payload)
+        if record.sequence <= recovery.sequence:
+            continue  # in the snapshot, or in a duplicate of this segment
         try:
-            _take(found, found.state, one)
-        except BadFact as error:
-            found.dropped.append(Dropped(name, f"record {one.sequence}: {error}", True))
+            _apply_record(recovery, recovery.state, record)
+        except FactError as error:
+            recovery.dropped.append(Dropped(name, f"record {record.sequence}: {error}", True))
             return False
-        found.sequence = one.sequence
-        found.replayed += 1
+        recovery.sequence = record.sequence
+        recovery.replayed += 1
     return True
 
 
-def _unreadable(found: Recovery, name: str, data: bytes, end: int, text: str, last: bool) -> None:
-    """Bytes that do not read. In the last segment they are the torn end of a write that never was acknowledged, if they
-    look like one: cut off, or without the end that each record has. A whole record behind them, or a record of full
-    length and with its end that fails its check, is damage to what was there."""
+def _drop_unreadable(recovery: Recovery, name: str, data: bytes, end: int, text: str, last: bool) -> None:
+    """Report unreadable bytes of a segment.
+
+    In the last segment they may be the torn tail of an unacknowledged write: cut off, or without the end byte of a
+    record. An intact record behind them, or a complete record that only fails its checksum, means damage instead.
+    """
     if not last:
-        found.dropped.append(Dropped(name, text, False))  # the next segment's first sequence tells whether it matters
+        # the first sequence of the next segment tells whether facts are missing
+        recovery.dropped.append(Dropped(name, text, False))
         return
     end = end or HEAD_SIZE
+    # these words stand in the texts for data that is cut off
     torn = "claims" in text or "less than" in text or not data.endswith(END)
-    behind = whole_after(data, end, found.sequence)
-    if behind is not None:
-        text += f", though record {behind} behind it is whole"
-    found.dropped.append(Dropped(name, text, behind is not None or not torn))
+    intact = whole_after(data, end, recovery.sequence)
+    if intact is not None:
+        text += f", though record {intact} behind it is whole"
+    recovery.dropped.append(Dropped(name, text, intact is not None or not torn))
--- a/tests/agreement/helpers.py
+++ b/tests/agreement/helpers.py
@@ -1,4 +1,4 @@
-"""Voters on a network of events, with shelves that can be lost or be older copies, and what must always hold."""
+"""Voters and learners on a simulated network, with log stores that can be lost or be old copies, and invariants."""
 
 from typing import Any
 
@@ -11,16 +11,16 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 
 
-class Voter:
-    """A Council with a shelf of records; the shelf outlives it. `copies` are older states of the shelf."""
+class ReplicaNode:
+    """A voter with its stored records, which outlive it."""
 
-    def __init__(self, world, name, shelf, make=Council, trusted=False):
-        self.world, self.name, self.shelf = world, name, shelf
+    def __init__(self, world, name, store, make=Council, trusted=False):
+        self.world, self.name, self.store = world, name, store
         world.starts += 1
         self.core = make(
             name,
             world.voters,
-            Kept.read(shelf),
+            Kept.read(store),
             world.beat,
             world.seed * 1009 + world.starts,
             world.time(name),
@@ -43,11 +43,11 @@
             for order in orders:
                 if isinstance(order, council.Keep):
                     if order.anew:
-                        self.shelf.clear()
-                    self.shelf.extend(order.records)
+                        self.store.clear()
+                    self.store.extend(order.records)
                 elif isinstance(order, council.Say):
                     out.append((order.to, order.message))
-                    if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre:
+                    if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre_vote:
                         self.world.voted(self.name, order.message.term, order.to)
                 elif isinstance(order, council.Apply):
                     self.world.applied(self.name, order.index, order.entry)
@@ -59,7 +59,9 @@
         return out
 
 
-class Learner:
+class LearnerNode:
+    """A learner on the simulated network."""
+
     def __init__(self, world, name, sources):
         self.world, self.name = world, name
         self.core = Follower(lambda: sources, world.seed * 17 + len(name), world.time(name))
@@ -86,14 +88,17 @@
 
 
 class World:
-    """A council. What must hold is checked at each step: one vote a term, one leader a term, one history."""
+    """A group of voters. Checked at each step: one vote per voter and term, one leader per term, one history.
+
+    `stores` are the stored records of each voter, `copies` older states of them.
+    """
 
     def __init__(self, seed=1, voters=3, manner=None, beat=None, make=Council):
         self.seed, self.make = seed, make
         self.voters = tuple(f"v{n}" for n in range(voters))
         self.beat = beat or Beat()
         self.net = Events(seed, manner or Manner())
-        self.shelves: dict[str, list[Any]] = {name: [] for name in self.voters}
+        self.stores: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.copies: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.history = {}
         self.votes = {}
@@ -107,7 +112,7 @@
         return self.net.now if name not in self.net.nodes else self.net.time_of(name)
 
     def start(self, name, **more):
-        self.net.add(name, Voter(self, name, self.shelves[name], self.make, **more))
+        self.net.add(name, ReplicaNode(self, name, self.stores[name], self.make, **more))
 
     def core(self, name):
         return self.net.nodes[name].core.core  # type: ignore[attr-defined]
@@ -120,7 +125,7 @@
         return found[0] if found else None
 
     def propose(self, data=None):
-        """Whoever believes that it leads takes it."""
+        """Propose an entry to every voter that believes it leads."""
         for name in self.up():
             core = self.core(name)
             if core.role is council.Role.LEADER:
@@ -130,7 +135,7 @@
 
     def applied(self, name, index, entry):
         known = self.history.setdefault(index, entry)
-        assert known == entry, f"{name} applies {entry} at {index}, where {known} was committed"
+        assert known == entry, f"{name} applies {entry} at {index}, but {known} was committed there"
 
     def voted(self, name, term, vote):
         known = self.votes.setdefault((name, term), vote)
@@ -142,7 +147,7 @@
             core = self.core(name)
             if core.role is council.Role.LEADER:
                 known = self.leaders.setdefault(core.term, name)
-                assert known == name, f"two lead in term {core.term}: {known}, {name}"
+                assert known == name, f"two leaders in term {core.term}: {known}, {name}"
                 self.voted(name, core.term, name)
                 if core.lease(self.time(name)):
                     leases.append(name)
@@ -152,4 +157,16 @@
         return [e.data for _, e in sorted(self.history.items()) if e.kind is Kind.DATA]
 
 
-__all__ = ["MS", "SECOND", "Beat", "Council", "Events", "Learner", "Manner", "Voter", "World", "council", "follow"]
+__all__ = [
+    "MS",
+    "SECOND",
+    "Beat",
+    "Council",
+    "Events",
+    "LearnerNode",
+    "Manner",
+    "ReplicaNode",
+    "World",
+    "council",
+    "follow",
+]
--- a/tests/agreement/model.py
+++ b/tests/agreement/model.py
@@ -1,9 +1,9 @@
-"""All that three voters can do within small bounds, explored one by one over the product's own code.
+"""Explores all behaviours of three voters within small bounds, on the product's own code.
 
-A state is three voters and what is under way on their six links, each in order, as the links' contract has it. What may
-happen next: the first message of a link arrives, is lost, or arrives and stays (a repetition); any voter that may asks
-for votes; whoever leads proposes; one voter dies and is back with its shelf, or with none. Times are such that no
-patience and no lease holds anything back: safety must not rest on them.
+A state is three voters and the messages in flight on their six links, which keep order as links guarantee. Possible
+next steps: the first message of a link arrives, is lost, or arrives and stays (a duplicate); a voter that may do so
+starts an election; a leader proposes; a voter crashes and restarts with its log store or with an empty one. Times are
+chosen so that no timeout and no lease holds anything back, as safety must not depend on them.
 """
 
 import pickle
@@ -19,8 +19,8 @@
 SECOND = 1_000_000_000
 
 
-class Drawn:
-    """In the place of a random source: what is drawn differs by start and by draw, and by nothing else."""
+class FixedDraws:
+    """Replaces the random source: a value depends only on the start and the number of the draw."""
 
     def __init__(self, start):
         self.start, self.count = start, 0
@@ -34,26 +34,28 @@
 
 
 class Broken(Exception):
-    """What must never be."""
+    """An invariant was violated."""
 
 
 @dataclass
 class Bounds:
-    """How often things may happen on one path."""
+    """How often each kind of step may happen on one path."""
 
     asks: int = 2
     proposals: int = 1
     deaths: int = 0
-    lost: bool = False  # a shelf goes with its voter
+    lost: bool = False  # a crashed voter loses its log store
     losses: int = 0
     twice: int = 0
 
 
 class State:
+    """Three voters, their log stores and the messages in flight."""
+
     def __init__(self, make, bounds):
         self.bounds, self.make = bounds, make
         self.now, self.starts = 100 * SECOND, 0
-        self.shelves = {name: [] for name in VOTERS}
+        self.stores = {name: [] for name in VOTERS}
         self.cores = {}
         self.links: Any = {(a, b): () for a in VOTERS for b in VOTERS if a != b}
         self.history, self.leaders, self.votes = {}, {}, {}
@@ -62,9 +64,9 @@
 
     def begin(self, name, trusted):
         self.starts += 1
-        core = self.make(name, VOTERS, Kept.read(self.shelves[name]), Beat(), 1, self.now, trusted)
-        core.random = Drawn(self.starts)
-        core.start = self.starts
+        core = self.make(name, VOTERS, Kept.read(self.stores[name]), Beat(), 1, self.now, trusted)
+        core.rng = FixedDraws(self.starts)
+        core.recovery_nonce = self.starts
         self.cores[name] = core
         self.collect(name)
 
@@ -73,11 +75,11 @@
         for order in core.take():
             if isinstance(order, council.Keep):
                 if order.anew:
-                    self.shelves[name].clear()
-                self.shelves[name].extend(order.records)
+                    self.stores[name].clear()
+                self.stores[name].extend(order.records)
             elif isinstance(order, council.Say):
                 self.links[name, order.to] += (order.message,)
-                if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre:
+                if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre_vote:
                     self.vote(name, order.message.term, order.to)
             elif isinstance(order, council.Apply):
                 known = self.history.setdefault(order.index, order.entry)
@@ -85,7 +87,7 @@
                     raise Broken(f"{order.index} is {known} and {order.entry}")
         if core.role is Role.LEADER:
             if self.leaders.setdefault(core.term, name) != name:
-                raise Broken(f"two lead in term {core.term}")
+                raise Broken(f"two leaders in term {core.term}")
             self.vote(name, core.term, name)
 
     def vote(self, name, term, whom):
@@ -96,17 +98,22 @@
         cores = tuple(
             (
                 c.term,
-                c.vote,
+                c.voted_for,
                 c.role.value,
-                c.life,
+                c.incarnation,
                 tuple(c.log),
                 c.commit,
                 c.floor,
                 c.recovering,
-                c.asked,
+                c.vote_nonce,
                 tuple(sorted(c.votes)),
-                tuple(sorted((n, p.next, p.match) for n, p in c.peers.items())),
-                tuple(sorted((n, r.term, r.last_index, r.last_term, r.sure, r.leads) for n, r in c.recalled.items())),
+                tuple(sorted((n, p.next_index, p.match_index) for n, p in c.peers.items())),
+                tuple(
+                    sorted(
+                        (n, r.term, r.last_index, r.last_term, r.recovered, r.is_leader)
+                        for n, r in c.recovery_replies.items()
+                    )
+                ),
             )
             for c in self.cores.values()
         )
@@ -144,22 +151,22 @@
             return
         if what == "ask":
             b.asks -= 1
-            self.now += 20 * SECOND  # nobody has heard a leader lately
-            self.cores[of]._ask(self.now, False)
+            self.now += 20 * SECOND  # past every election timeout
+            self.cores[of]._start_election(self.now, False)
         elif what == "propose":
             b.proposals -= 1
             self.cores[of].propose(self.now, b"x")
         else:
             b.deaths -= 1
             if b.lost:
-                self.shelves[of].clear()
+                self.stores[of].clear()
             self.begin(of, False)
-            self.cores[of]._recall(self.now)
+            self.cores[of]._request_recovery(self.now)
         self.collect(of)
 
 
 def explore(make=Council, bounds=None, most=200_000, seconds=60.0):
-    """All states within the bounds, or up to `most` of them: (states, whether that was all). Broken with its path."""
+    """Explore up to `most` states within the bounds: (states, whether these were all). Broken names its path."""
     seen = set()
     stack = [(pickle.dumps(State(make, bounds or Bounds())), ())]
     begin = time.monotonic()
--- a/tests/agreement/storm.py
+++ b/tests/agreement/random_faults.py
@@ -1,15 +1,18 @@
-"""A drawn storm over a council: cuts one way and both, pauses, deaths, shelves lost or older, loss, slow links."""
+"""Random faults on a group of voters: one-way and full partitions, pauses, crashes, lost or old log stores, message
+loss and slow links.
+"""
 
 import random
 
 from tests.agreement.helpers import MS, SECOND, Council, Manner, World
 
 
-def storm(seed, make=Council, steps=40, bad_shelves=True):
-    """Play it; the entries that were agreed on. AssertionError where something broke, or nothing works at the end.
+def run_random_faults(seed, make=Council, steps=40, bad_stores=True):
+    """Run it and return the world. AssertionError if an invariant breaks or nothing can be committed at the end.
 
-    A shelf is lost, or an older copy of it put back, only while all other voters hold everything: a council survives
-    the loss of as many shelves at a time as voters may die, and no more."""
+    A log store is lost, or replaced by an older copy, only while all other voters hold everything: the voters survive
+    the loss of as many stores at a time as voters may die, and no more.
+    """
     rng = random.Random(seed)
     world = World(
         seed,
@@ -33,7 +36,7 @@
             revive(world)
         elif (
             what == 5
-            and bad_shelves
+            and bad_stores
             and len(world.up()) == len(world.voters)
             and all(
                 not world.core(x).recovering and world.core(x).last >= max(world.history, default=0)
@@ -42,19 +45,19 @@
         ):
             world.net.kill(name)
             if rng.random() < 0.5:
-                world.shelves[name].clear()
+                world.stores[name].clear()
             elif world.copies[name]:
-                world.shelves[name][:] = world.copies[name]
+                world.stores[name][:] = world.copies[name]
             world.start(name)
         elif what == 6:
-            world.copies[name] = list(world.shelves[name])
+            world.copies[name] = list(world.stores[name])
     world.net.heal()
     revive(world)
     world.net.run(world.net.now + 20 * SECOND)
-    assert world.leader() is not None, "nobody leads after the storm"
+    assert world.leader() is not None, "no leader after the faults"
     world.propose(b"end")
     world.net.run(world.net.now + 5 * SECOND)
-    assert b"end" in world.data(), "nothing is agreed on after the storm"
+    assert b"end" in world.data(), "nothing is committed after the faults"
     return world
 
 
--- a/tests/agreement/test_council.py
+++ b/tests/agreement/test_council.py
@@ -1,15 +1,15 @@
-"""The council: one history, whatever dies, stands still, is cut off, or comes back with less than it promised."""
+"""Voters: one history through crashes, pauses, partitions, and restarts with a lost or old log store."""
 
 import pytest
 
 from copperyard.state.agreement.council import Council, Kept, Role
-from copperyard.state.agreement.messages import Append, Ballot, Entry, Kind, Poll, Snapshot, Vow, Written
-from tests.agreement.helpers import MS, SECOND, Learner, Manner, World, council
-from tests.agreement.storm import storm
+from copperyard.state.agreement.messages import Append, Ballot, Entry, EntryRecord, Kind, Poll, Promise, Snapshot
+from tests.agreement.helpers import MS, SECOND, LearnerNode, Manner, World, council
+from tests.agreement.random_faults import run_random_faults
 
 
 def settled(seed=1, **more):
-    """A council that has a leader and an entry."""
+    """A group of voters with a leader and one committed entry."""
     world = World(seed, **more)
     world.net.run(8 * SECOND)
     assert world.leader()
@@ -23,17 +23,17 @@
     return [name for name in world.voters if name not in names]
 
 
-def test_a_leader_is_elected_and_what_it_proposes_is_agreed_on_everywhere():
+def test_a_leader_is_elected_and_its_entry_is_committed_by_all_voters():
     world = settled()
     assert {world.core(n).applied for n in world.voters} == {world.core(world.leader()).last}
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_one_history_through_a_storm(seed):
-    assert b"end" in storm(seed).data()
+def test_voters_keep_one_history_under_random_faults(seed):
+    assert b"end" in run_random_faults(seed).data()
 
 
-def test_a_dead_leader_is_replaced_and_what_it_agreed_on_stays():
+def test_a_dead_leader_is_replaced_and_its_committed_entries_stay():
     world = settled()
     old = world.leader()
     world.net.kill(old)
@@ -44,8 +44,8 @@
     assert world.data() == [b"first", b"second"]
 
 
-def test_a_leader_on_the_small_side_of_a_cut_loses_its_lease_before_another_is_elected():
-    """World.check fails where two hold a lease at any step."""
+def test_a_leader_on_the_minority_side_loses_its_lease_before_another_is_elected():
+    """World.check fails if two voters hold a lease at any step."""
     world = settled()
     old = world.leader()
     world.net.part([old], others(world, old))
@@ -60,7 +60,7 @@
     assert world.core(old).role is Role.FOLLOWER
 
 
-def test_a_leader_that_is_heard_and_hears_nothing_steps_down():
+def test_a_leader_that_can_send_but_not_receive_steps_down():
     world = settled()
     old = world.leader()
     world.net.part(others(world, old), [old], both=False)
@@ -68,7 +68,7 @@
     assert world.leader() not in (None, old)
 
 
-def test_a_leader_stopped_for_five_seconds_and_woken_agrees_on_nothing_old():
+def test_a_leader_suspended_for_five_seconds_commits_nothing_old():
     world = settled()
     old = world.leader()
     world.net.stop(old, 5 * SECOND)
@@ -80,7 +80,7 @@
     assert world.data() == [b"first", b"while it stood"]
 
 
-def test_clocks_two_seconds_apart_that_drift_by_the_bound_never_let_two_hold_a_lease():
+def test_no_two_leases_with_clocks_two_seconds_apart_at_the_greatest_drift():
     world = World(5)
     for n, name in enumerate(world.voters):
         core = world.net.nodes[name].core
@@ -96,23 +96,23 @@
 
 
 @pytest.mark.parametrize("copy", ["none", "older"])
-def test_a_voter_back_without_its_newest_shelf_neither_votes_twice_nor_forgets(copy):
-    """It acknowledged an entry that only the leader has besides; the leader dies as it comes back."""
+def test_a_voter_restarted_with_a_lost_or_old_store_neither_votes_twice_nor_loses_entries(copy):
+    """It acknowledged an entry that only the leader holds as well; the leader dies as the voter restarts."""
     world = settled()
     leader = world.leader()
-    voter, lame = others(world, leader)
-    older = list(world.shelves[voter])
-    world.net.part([lame], [leader, voter])
+    voter, lagging = others(world, leader)
+    older = list(world.stores[voter])
+    world.net.part([lagging], [leader, voter])
     world.propose(b"held by two")
     world.net.run(world.net.now + SECOND)
     assert world.data()[-1] == b"held by two"
     world.net.kill(voter)
-    world.shelves[voter][:] = older if copy == "older" else []
+    world.stores[voter][:] = older if copy == "older" else []
     world.start(voter)
     world.net.heal()
     world.net.kill(leader)
     world.net.run(world.net.now + 20 * SECOND)
-    # of the two that are there, neither may lead: what the dead one knows may be what was promised
+    # neither of the two live voters may lead: only the dead one may know what was promised
     assert world.leader() is None and world.core(voter).recovering
     world.start(leader)
     world.net.run(world.net.now + 15 * SECOND)
@@ -121,21 +121,21 @@
 
 
 class Trusting(Council):
-    """A defect: a voter takes any folder for its newest."""
+    """Defect: a voter trusts any log store to be its newest."""
 
     def __init__(self, me, voters, kept, beat, seed, now, trusted=False):
         super().__init__(me, voters, kept, beat, seed, now, True)
 
 
-def test_the_same_with_a_voter_that_trusts_its_folder_loses_an_entry():
+def test_a_voter_that_trusts_a_lost_store_loses_an_entry():
     world = settled()
     leader = world.leader()
-    voter, lame = others(world, leader)
-    world.net.part([lame], [leader, voter])
+    voter, lagging = others(world, leader)
+    world.net.part([lagging], [leader, voter])
     world.propose(b"held by two")
     world.net.run(world.net.now + SECOND)
     world.net.kill(voter)
-    world.shelves[voter].clear()
+    world.stores[voter].clear()
     world.make = Trusting
     world.start(voter)
     world.net.heal()
@@ -148,28 +148,28 @@
 
 
 @pytest.mark.parametrize(
-    ("shelf", "word"),
+    ("store", "word"),
     [("same", "as it was left"), ("older", "an older copy, or none"), ("none", "an older copy, or none")],
 )
-def test_which_shelf_a_voter_came_back_with_is_said(shelf, word):
+def test_the_condition_of_the_store_is_logged_after_recovery(store, word):
     world = settled()
     voter = others(world, world.leader())[0]
-    first = list(world.shelves[voter])
+    first = list(world.stores[voter])
     for _ in range(2):
         world.net.kill(voter)
         world.start(voter)
         world.net.run(world.net.now + 3 * SECOND)
     world.net.kill(voter)
-    world.shelves[voter][:] = {"same": world.shelves[voter], "older": first, "none": []}[shelf]
+    world.stores[voter][:] = {"same": world.stores[voter], "older": first, "none": []}[store]
     said = []
     world.start(voter)
     core = world.core(voter)
-    core._tell = lambda event, *fields: said.append((event, dict(fields)))
+    core._log_event = lambda event, *fields: said.append((event, dict(fields)))
     world.net.run(world.net.now + 3 * SECOND)
     assert [f["folder"] for e, f in said if e == "voter recovered"] == [word]
 
 
-def test_an_operators_word_lets_a_voter_in_where_another_is_dead():
+def test_a_trusted_voter_joins_without_recovery_while_another_is_dead():
     world = settled()
     leader = world.leader()
     voter, dead = others(world, leader)
@@ -182,7 +182,7 @@
     assert world.data()[-1] == b"two of three"
 
 
-def test_all_voters_started_again_at_once_go_on_from_their_shelves():
+def test_all_voters_restarted_at_once_go_on_from_their_stores():
     world = settled()
     for name in world.voters:
         world.net.kill(name)
@@ -194,21 +194,21 @@
     assert world.data() == [b"first", b"after"]
 
 
-def test_voters_change_one_at_a_time_and_a_leader_that_is_none_any_more_goes():
+def test_voters_change_one_at_a_time_and_a_removed_leader_steps_down():
     world = settled()
     leader = world.leader()
     core = world.core(leader)
     with pytest.raises(ValueError, match="one at a time"):
         core.propose_voters(world.net.now, ["v0"])
     assert core.propose_voters(world.net.now, others(world, leader)) is not None
-    assert core.propose_voters(world.net.now, world.voters) is None  # the first change waits
+    assert core.propose_voters(world.net.now, world.voters) is None  # the first change is not committed yet
     world.net._turn(leader)
     world.net.run(world.net.now + 8 * SECOND)
     assert world.leader() not in (None, leader)
     assert world.core(world.leader()).voters == tuple(others(world, leader))
 
 
-def test_a_learner_follows_also_from_a_snapshot_and_never_dates_an_entry_too_late():
+def test_a_learner_follows_from_a_snapshot_and_never_underestimates_an_age():
     world = settled()
     for _ in range(300):
         world.propose()
@@ -218,7 +218,7 @@
     late = Manner(delay=(0, 900 * MS))
     for name in world.voters:
         world.net.manners[name, "l"] = world.net.manners["l", name] = late
-    world.net.add("l", Learner(world, "l", list(world.voters)))
+    world.net.add("l", LearnerNode(world, "l", list(world.voters)))
     for _ in range(40):
         proposed = world.net.now
         world.propose()
@@ -230,49 +230,49 @@
 
 
 def one(name="v0", records=(), voters=("v0", "v1", "v2")):
-    """A voter alone, recovered."""
+    """One recovered voter without a network."""
     core = Council(name, voters, Kept.read(records), council.Beat(), 1, 0, trusted=True)
     core.take()
     return core
 
 
-def test_what_promises_something_leaves_after_the_promise_is_kept():
+def test_a_reply_that_promises_something_follows_the_write_of_the_promise():
     core = one()
     core.hear(9 * SECOND, "v1", Poll(5, 0, 0, False, 77))
     keep, say = core.take()
-    assert isinstance(keep, council.Keep) and keep.records[-1] == Vow(5, "v1", 1)
+    assert isinstance(keep, council.Keep) and keep.records[-1] == Promise(5, "v1", 1)
     assert say == council.Say("v1", Ballot(5, False, True, 77))
     core.hear(9 * SECOND, "v1", Append(5, 0, 0, (Entry(5, Kind.BEGIN, b""),), 0, 1))
     keep, say = core.take()
-    assert keep == council.Keep((Written(1, Entry(5, Kind.BEGIN, b"")),))
+    assert keep == council.Keep((EntryRecord(1, Entry(5, Kind.BEGIN, b"")),))
     assert isinstance(say, council.Say)
 
 
-def test_one_vote_a_term_also_after_a_restart_with_the_same_shelf():
-    core = one(records=[Vow(5, "v1", 1)])
+def test_one_vote_per_term_also_after_a_restart_with_the_same_store():
+    core = one(records=[Promise(5, "v1", 1)])
     core.hear(9 * SECOND, "v2", Poll(5, 9, 9, False, 1))
     assert core.take() == [council.Say("v2", Ballot(5, False, False, 1))]
 
 
-def test_a_ballot_for_another_asking_does_not_count():
+def test_a_vote_reply_with_another_nonce_does_not_count():
     core = one()
     core.wake(core.next_wake())
     poll = next(o.message for o in core.take() if isinstance(o, council.Say))
-    assert poll.pre
-    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.ask + 1))
-    assert core.role is Role.ASKING
-    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.ask))
+    assert poll.pre_vote
+    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.nonce + 1))
+    assert core.role is Role.PRE_CANDIDATE
+    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.nonce))
     assert core.role is Role.CANDIDATE
 
 
-def test_records_that_do_not_follow_are_refused():
+def test_records_with_a_gap_are_refused():
     with pytest.raises(ValueError, match="entry 5 follows on 0"):
-        Kept.read([Written(5, Entry(1, Kind.DATA, b""))])
+        Kept.read([EntryRecord(5, Entry(1, Kind.DATA, b""))])
     kept = Kept.read(
         [
-            Written(1, Entry(1, Kind.DATA, b"a")),
-            Written(2, Entry(1, Kind.DATA, b"b")),
-            Written(2, Entry(2, Kind.DATA, b"c")),
+            EntryRecord(1, Entry(1, Kind.DATA, b"a")),
+            EntryRecord(2, Entry(1, Kind.DATA, b"b")),
+            EntryRecord(2, Entry(2, Kind.DATA, b"c")),
             Snapshot(1, 1, (), b"s"),
         ]
     )
@@ -280,23 +280,23 @@
 
 
 class Forgets(Council):
-    """A defect: a vote is not kept."""
+    """Defect: a vote is not stored."""
 
     def _vow(self, term, vote):
-        self.term, self.vote = term, vote
+        self.term, self.voted_for = term, vote
 
 
 class Twice(Council):
-    """A defect: a vote is given to whoever asks."""
+    """Defect: a vote is given to every candidate of the term."""
 
-    def _on_poll(self, now, sender, message):
-        if not message.pre and message.term == self.term:
-            self.vote = ""
-        super()._on_poll(now, sender, message)
+    def _on_request_vote(self, now, sender, message):
+        if not message.pre_vote and message.term == self.term:
+            self.voted_for = ""
+        super()._on_request_vote(now, sender, message)
 
 
 class Eager(Council):
-    """A defect: what one voter holds is committed."""
+    """Defect: an entry that one voter holds is committed."""
 
     @property
     def quorum(self):
@@ -304,17 +304,17 @@
 
 
 class Old(Council):
-    """A defect: a log that is behind gets the vote as well."""
+    """Defect: a candidate whose log is behind gets the vote as well."""
 
-    def _on_poll(self, now, sender, message):
-        super()._on_poll(now, sender, Poll(message.term, 1 << 40, 1 << 40, message.pre, message.ask))
+    def _on_request_vote(self, now, sender, message):
+        super()._on_request_vote(now, sender, Poll(message.term, 1 << 40, 1 << 40, message.pre_vote, message.nonce))
 
 
 @pytest.mark.parametrize("defect", [Forgets, Twice, Eager, Old])
-def test_a_planted_defect_is_found_by_the_storm(defect):
+def test_a_planted_defect_is_found_by_random_faults(defect):
     def broke(seed):
         try:
-            storm(seed, make=defect)
+            run_random_faults(seed, make=defect)
         except AssertionError:
             return True
         return False
