--- a/copperyard/control/common.py
+++ b/copperyard/control/common.py
@@ -1,8 +1,8 @@
-"""One gateway's part in what gateways decide in common, without its sockets and disk.
+"""Coordination of one gateway with the others, without its sockets and disk.
 
-Holds together who lives (membership.gateways), what was agreed (state.agreement) and what follows for this front
-(control.zones). The I/O calls a method for each thing that happens and carries out `take`: at once what is Send, Line
-and Act, in order and one after the other what is Durable. No session ever waits for any of it.
+Combines membership (membership.gateways), consensus (state.agreement) and the zone plan of this front (control.zones).
+The I/O calls a method for each event and carries out the pending actions: immediate ones at once, durable ones in
+order, each after the one before is complete. No session waits for any of this.
 """
 
 from __future__ import annotations
@@ -17,29 +17,32 @@
 from ..membership.gateways.cells import CellMap, CellPlace
 from ..membership.gateways.members import Changed, Members, Pace, Stood
 from ..membership.gateways.members import Say as SwimSay
-from ..membership.gateways.sight import Standing as Seen
+from ..membership.gateways.reachability import ZoneReachability as Seen
 from ..protocol.peers import BadFrame, Codec
 from ..state.agreement import messages as agreed
 from ..state.agreement.council import Apply, Beat, Council, Dates, Keep, Kept, Order, Restore, Say, Tell
 from ..state.agreement.follow import Follower, Questions, date_from
 from ..state.agreement.messages import Kind, Record
-from .cells import REPORT, CellDuty, Heard, MemberReport, Resign, collectors
+from .cells import REPORT_INTERVAL_NS, DelegateRole, Heard, MemberReport, Resign, rank_collectors
 from .neighbours import WAITING
-from .zones.check import wrong
-from .zones.facts import MOST_COUNT, Gauge
-from .zones.follow import PlanBook
+from .zones.check import plan_error
+from .zones.facts import MAX_COUNT, Gauge
+from .zones.follow import ActivePlan
 from .zones.plan import CellReport, Gathered, Plan, Renewed, Terms
-from .zones.planner import Planner, View
-from .zones.rollup import CellFacts
+from .zones.planner import Planner, PlannerInput
+from .zones.rollup import CellReportTable
 
 SECOND = 1_000_000_000
-GATHER = SECOND // 4  # ns between what a voter passes on of cells' reports to whoever leads
-WATCH = 4  # periods of which a member tells whom it asked: after a loss all that it reached is out of them
-QUIET = 6  # periods (of a second at least) in which no cell of a zone was heard before it may count as lost: a cut that
-# heals sooner costs less than closing the zone and bringing it back in steps, which takes some ten
-STALE = 6 * SECOND  # ns without a date after which a gateway asks the voters itself: a plan is renewed in a third of it
-RENEW = 5  # a plan is renewed so many times while it holds: an election's time has to fit into what is left
-ENTRIES = Codec({1: Plan, 2: Renewed})  # what an entry of the log holds
+FORWARD_INTERVAL_NS = SECOND // 4  # between batches of cell reports that a voter forwards to the leader
+# probe periods that a member reports counts of: short, so that answers from before a loss drop out soon
+REACHABILITY_PERIODS = 4
+# periods (of at least a second) without a report of a zone's cells before it may count as lost: a partition that heals
+# sooner costs less than closing the zone and reopening it in steps, which takes some ten periods
+ZONE_SILENT_PERIODS = 6
+# without a dated entry a gateway asks the voters itself; a plan is renewed in a third of it
+MAX_DATE_AGE_NS = 6 * SECOND
+RENEWALS_PER_PLAN = 5  # renewals within the validity of a plan: an election has to fit into the remaining time
+ENTRY_CODEC = Codec({1: Plan, 2: Renewed})  # content of log entries
 MESSAGES = Codec(
     {
         1: swim.Ping,
@@ -62,13 +65,14 @@
         34: Heard,
         35: Resign,
     }
-)  # 30 was a front's report to the leader
+)  # 30 was a front's report to the leader; do not reuse it
 
 
 @dataclass(frozen=True, slots=True)
 class CommonPlace:
-    """What a gateway has to know of the others: its cell, contacts, watchers, and the voters with their zones' numbers.
-    Of the rest of the site it holds no names."""
+    """What a gateway knows of the others: its cell, contacts, watchers, and the voters with the numbers of their zones.
+    It knows no other names of the site.
+    """
 
     name: str
     cells: CellPlace
@@ -89,21 +93,20 @@
         pace: Pace = Pace(),  # noqa: B008 - frozen
         beat: Beat = Beat(),  # noqa: B008 - frozen
     ) -> CommonPlace:
-        """The place of the gateway of that name in a site of these cells. KeyError for a name that is not of the
-        site."""
+        """Build it for the gateway of that name. KeyError for a name that is not of the site."""
         votes = name in voters
         return cls(
             name, cells.place(name, votes), zones, {voter: cells.roster[voter] for voter in voters}, terms, pace, beat
         )
 
     def peers(self) -> set[str]:
-        """Everybody who may speak to this gateway, or be spoken to."""
+        """Return all gateways that this one may exchange messages with."""
         return {*self.cells.cell.names, *self.cells.contacts, *self.cells.watchers, *self.voters} - {self.name}
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a gateway; it may be lost."""
+    """Action: send a message to a gateway; it may be lost."""
 
     to: str
     message: object
@@ -111,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Keep these records, all in place of what was there where `anew`; what follows waits."""
+    """Action: make these records durable before any later action; with `anew` they replace all earlier records."""
 
     records: tuple[Record, ...]
     anew: bool
@@ -119,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Call `common.applied` with this."""
+    """Action: call `applied` with this."""
 
     order: Apply | Restore
 
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the log."""
+    """Action: write a log event."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
@@ -134,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Act:
-    """What this front may do from now on."""
+    """Action: these ways apply to this front from now on."""
 
     ways: Ways
 
@@ -144,8 +147,11 @@
 
 
 class Common:
-    """One gateway's part. `kept` is what its shelf held, None for a gateway that does not vote. `unix_ms`, the date,
-    makes this life's numbers greater than those of lives before; nothing depends on its being right."""
+    """Coordination of one gateway with the others.
+
+    `kept` is the content of a voter's log store, None for a gateway that is no voter. `unix_ms`, the date, makes the
+    numbers of this life greater than those of earlier lives; nothing else depends on its being right.
+    """
 
     def __init__(
         self,
@@ -171,17 +177,17 @@
             unix_ms,
             place.cells.watchers,
         )
-        self.collectors = collectors(
+        self.collectors = rank_collectors(
             place.name, self.zone, place.cells.cell.key, place.voters, place.terms.prices[self.zone]
         )
-        self.duty = CellDuty(
+        self.duty = DelegateRole(
             place.name,
             place.cells,
             place.terms,
             self.collectors,
             unix_ms,
             self._alive,
-            now + int(self.random.random() * REPORT),
+            now + int(self.random.random() * REPORT_INTERVAL_NS),
         )
         self._now = now
         self.council: Council | None = None
@@ -191,238 +197,251 @@
                 place.name, tuple(place.voters), kept, place.beat, self.random.getrandbits(62), now, trusted
             )
         else:
-            self.follower = Follower(self._sources, self.random.getrandbits(62), now)
-        self.facts = CellFacts(place.cells.sizes, place.terms)  # a voter's
+            self.follower = Follower(self._news_sources, self.random.getrandbits(62), now)
+        self.facts = CellReportTable(place.cells.sizes, place.terms)  # used at a voter
         self.planner: Planner | None = None
-        self.book = PlanBook(place.terms, self.zone)
+        self.book = ActivePlan(place.terms, self.zone)
         self.plan: Plan | None = None
         self.plan_index = 0
         self.renewed_at = now
-        self.report_at = now + int(self.random.random() * REPORT)
-        self.gather_at = now + int(self.random.random() * GATHER)
+        self.report_at = now + int(self.random.random() * REPORT_INTERVAL_NS)
+        self.forward_at = now + int(self.random.random() * FORWARD_INTERVAL_NS)
         self.plan_at = now
-        self.spread_at = now
-        self.date_at = now  # a voter's next question for ages
+        self.next_broadcast_at = now
+        self.next_age_query_at = now  # when a voter next asks the leader for the age of its entries
         self._questions = Questions(self.random.getrandbits(31))
         self.ways: Ways | None = None
-        self._followed: tuple[int, float] | None = None  # what `ways` was made of: epoch and strength
-        self.ways_at: int | None = now
+        self._ways_basis: tuple[int, float] | None = None  # (epoch, strength) that `ways` was derived from
+        self.ways_change_at: int | None = now
         self.epochs = 0
-        self.histories: list[tuple[int, int]] = []  # (index, epoch) of the last plans taken up
-        self._out: list[Immediate] = []
-        self._durable: list[Durable] = []
-        self._standings: tuple[Seen, ...] = ()
-        self._waits = 0  # committed entries that wait for the disk before they are taken up
+        self.histories: list[tuple[int, int]] = []  # (index, epoch) of the last plans adopted
+        self._actions: list[Immediate] = []
+        self._durable_actions: list[Durable] = []
+        self._zone_states: tuple[Seen, ...] = ()
+        self._pending_entries = 0  # committed entries that wait for the disk before they are applied
 
-    # ---- orders
+    # ---- actions
 
     def take(self) -> list[Immediate]:
-        """What is to be done at once."""
-        out, self._out = self._out, []
+        """Return the pending actions to carry out at once."""
+        out, self._actions = self._actions, []
         return out
 
     def take_durable(self) -> list[Durable]:
-        """What is to be done one after another, each when the one before is."""
-        out, self._durable = self._durable, []
+        """Return the pending actions to carry out in order, each after the one before is complete."""
+        out, self._durable_actions = self._durable_actions, []
         return out
 
     @property
-    def stuck(self) -> bool:
-        """Whether the disk takes so little that the voter has to count as dead: it hears no other voter and says
-        nothing of its own, so that what waits stays bounded."""
-        return len(self._durable) >= WAITING
+    def disk_behind(self) -> bool:
+        """Whether the disk is so far behind that this voter has to count as dead: it ignores other voters and sends
+        them nothing, so that the pending actions stay bounded.
+        """
+        return len(self._durable_actions) >= WAITING
 
-    def _gather(self, now: int) -> None:
+    def _collect_actions(self, now: int) -> None:
         while actions := self.members.take():
-            self._take_swim(now, actions)
+            self._add_swim_actions(now, actions)
         core = self.council or self.follower
         assert core is not None
         for order in core.take():
-            self._order(order)
+            self._add_durable_action(order)
 
-    def _take_swim(self, now: int, actions: Sequence[SwimSay | Changed | Stood]) -> None:
+    def _add_swim_actions(self, now: int, actions: Sequence[SwimSay | Changed | Stood]) -> None:
         for action in actions:
             if isinstance(action, SwimSay):
-                self._out.append(Send(action.to, action.message))
+                self._actions.append(Send(action.to, action.message))
             elif isinstance(action, Changed):
-                self._out.append(
+                self._actions.append(
                     Note(
                         "gateway " + action.life.name.lower(),
-                        (("gateway", action.name), ("seen", "first-hand" if action.first else "told")),
+                        (("gateway", action.name), ("seen", "first-hand" if action.first_hand else "told")),
                     )
                 )
-                if action.life is swim.Life.DEAD or action.first and action.life is swim.Life.SUSPECT:
-                    self._spread(now, action.name)
+                if action.life is swim.Life.DEAD or action.first_hand and action.life is swim.Life.SUSPECT:
+                    self._broadcast_suspicion(now, action.name)
             else:
                 assert isinstance(action, Stood)
-                self._out.append(Note("stood still", (("ms", action.ns // 1_000_000),)))
-
-    def _spread(self, now: int, name: str) -> None:
-        """A delegate that suspects a member of its cell, or learns of its death, tells all of the cell: by turns it
-        took some seconds more until enough shared the suspicion, and three until the last knew of the death. However
-        many die, not more than once a second."""
-        if name in self.place.cells.cell.names and now >= self.spread_at and self.duty.serves(now):
-            self.spread_at = now + SECOND
-            self.members.tell(now, [other for other in self.place.cells.cell.names if self._alive(other)], name)
+                self._actions.append(Note("stood still", (("ms", action.ns // 1_000_000),)))
+
+    def _broadcast_suspicion(self, now: int, name: str) -> None:
+        """Tell the whole cell, if this delegate suspects a member or learns of its death.
+
+        With periodic probes alone it took some seconds more until enough members confirmed a suspicion, and three
+        until the last one knew of a death. At most once a second, however many members die.
+        """
+        if name in self.place.cells.cell.names and now >= self.next_broadcast_at and self.duty.is_delegate(now):
+            self.next_broadcast_at = now + SECOND
+            self.members.disseminate_now(
+                now, [other for other in self.place.cells.cell.names if self._alive(other)], name
+            )
 
-    def _order(self, order: Order) -> None:
+    def _add_durable_action(self, order: Order) -> None:
         if isinstance(order, Say):
-            self._durable.append(Send(order.to, order.message))
+            self._durable_actions.append(Send(order.to, order.message))
         elif isinstance(order, Keep):
-            self._durable.append(Write(order.records, order.anew))
+            self._durable_actions.append(Write(order.records, order.anew))
         elif isinstance(order, Tell):
-            self._durable.append(Note(order.event, order.fields))
+            self._durable_actions.append(Note(order.event, order.fields))
         else:
-            self._waits += 1
-            self._durable.append(Done(order))
+            self._pending_entries += 1
+            self._durable_actions.append(Done(order))
 
-    # ---- hearing
+    # ---- messages
 
     def hear(self, now: int, sender: str, message: object) -> None:
-        """A message of a gateway of the roster. Numbers that no life could have counted to are passed over: one more
-        than them would fit into no frame, and who took them over would be understood by nobody from then on."""
-        if getattr(message, "term", 0) >= MOST_COUNT or getattr(message, "incarnation", 0) >= MOST_COUNT:
+        """Handle a message of a gateway of the roster.
+
+        Absurdly great terms and incarnations are ignored: the next number would not fit into a frame, and a gateway
+        that adopted one could send no valid message any more.
+        """
+        if getattr(message, "term", 0) >= MAX_COUNT or getattr(message, "incarnation", 0) >= MAX_COUNT:
             return
         self._now = now
         if isinstance(message, swim.Ping | swim.Ack | swim.Look | swim.Nothing):
             self.members.hear(now, sender, message)
         elif isinstance(message, MemberReport):
-            self.duty.reported(now, sender, message)
+            self.duty.member_reported(now, sender, message)
         elif isinstance(message, CellReport):
-            self._collect(now, sender, message)
+            self._cell_report_received(now, sender, message)
         elif isinstance(message, Gathered):
             if sender in self.place.voters:
                 for report, lay in message.reports:
-                    self.facts.learn(now, report, lay)
+                    self.facts.update(now, report, lay)
         elif isinstance(message, Heard):
-            self.duty.heard(now, sender, message)
+            self.duty.report_acked(now, sender, message)
         elif isinstance(message, Resign):
-            self.duty.resigned(now, sender, message)
+            self.duty.delegate_resigned(now, sender, message)
         elif isinstance(message, agreed.Message):
             if self.council is not None and isinstance(message, agreed.News):
                 asked = self._questions.answered(sender, message.ask)
                 if asked is not None:
                     date_from(self.council.dates, asked, self.council.applied, message)
             elif self.council is not None:
-                if not self.stuck:
+                if not self.disk_behind:
                     self.council.hear(now, sender, message)
             else:
                 assert self.follower is not None
                 self.follower.hear(now, sender, message)
-        self._after(now)
+        self._update(now)
 
     # ---- time
 
     def next_wake(self) -> int:
+        """Return when `wake` is due."""
         core = self.council or self.follower
         assert core is not None
         times = [
             self.members.next_wake(),
             self.report_at,
             self.duty.report_at,
-            *([] if self.stuck else [core.next_wake()]),
+            *([] if self.disk_behind else [core.next_wake()]),
         ]
         if self.council is not None:
-            times.append(self.gather_at)
-        if self.ways_at is not None:
-            times.append(self.ways_at)
+            times.append(self.forward_at)
+        if self.ways_change_at is not None:
+            times.append(self.ways_change_at)
         return min(times)
 
     def wake(self, now: int) -> None:
-        """Time has passed."""
+        """Handle all timers that are due."""
         self._now = now
         if now >= self.members.next_wake():
             self.members.wake(now)
         core = self.council or self.follower
         assert core is not None
-        if now >= core.next_wake() and not self.stuck:
+        if now >= core.next_wake() and not self.disk_behind:
             core.wake(now)
         if now >= self.report_at:
-            self.report_at = now + REPORT * 3 // 4 + int(self.random.random() * REPORT / 2)
+            self.report_at = now + REPORT_INTERVAL_NS * 3 // 4 + int(self.random.random() * REPORT_INTERVAL_NS / 2)
             self._report(now)
-            self._look(now)
+            self._log_zone_states(now)
         if now >= self.duty.report_at:
             self._report_cell(now)
-        for name in self.duty.missed(now):
-            self.members.doubt(name)
-        if self.council is not None and now >= self.gather_at:
-            self.gather_at = now + GATHER
-            self._gather_cells(now)
+        for name in self.duty.overdue_members(now):
+            self.members.probe_soon(name)
+        if self.council is not None and now >= self.forward_at:
+            self.forward_at = now + FORWARD_INTERVAL_NS
+            self._forward_cell_reports(now)
         if self.council is not None:
-            self._dates(now)
+            self._ask_for_age(now)
             self._lead(now)
-        self._after(now)
+        self._update(now)
 
     def _alive(self, name: str) -> bool:
         member = self.members.members.get(name)
         return member is not None and member.life is swim.Life.ALIVE
 
-    def _sources(self) -> list[str]:
-        """Whom to ask for news, best first: a delegate asks its collectors, the cell's other delegate, then the rest of
-        the voters; everybody else the delegates and others of the cell, and the voters where nothing was dated of
-        late."""
+    def _news_sources(self) -> list[str]:
+        """Return whom to ask for new log entries, best first.
+
+        A delegate asks two collectors, the cell's other delegate, then the other voters. Any other member asks the
+        delegates and the rest of its cell, and the voters if nothing was dated recently.
+        """
         me, delegates = self.place.name, self.duty.delegates(self._now)
         others = [name for name in delegates if name != me]
         voters = [name for name in self.collectors if name != me]
         if me in delegates:
             return voters[:2] + others + voters[2:]
         others += [name for name in self.duty.ranks if name != me and name not in others and self._alive(name)]
-        stale = self._now - self._dated().at > STALE
+        stale = self._now - self._entry_dates().at > MAX_DATE_AGE_NS
         return others + voters if stale or not others else others
 
     def _leader(self) -> str:
         return self.council.leader if self.council is not None else self.follower.leader if self.follower else ""
 
-    # ---- reports: from members to delegates, from these to voters, from these to whoever leads
+    # ---- reports: from members to delegates, on to voters, on to the leader
 
     def _report(self, now: int) -> None:
         summary = self.gauge.summary(now, self.controller(), self.plan.epoch if self.plan is not None else 0)
         period = self.place.pace.period
-        report = MemberReport(summary, tuple(self.members.sight.lately(now, now - WATCH * period, period)))
-        self.duty.reported(now, self.place.name, report)
+        report = MemberReport(
+            summary, tuple(self.members.reachability.counts_since(now, now - REACHABILITY_PERIODS * period, period))
+        )
+        self.duty.member_reported(now, self.place.name, report)
         for name in self.duty.delegates(now):
             if name != self.place.name:
-                self._out.append(Send(name, report))
+                self._actions.append(Send(name, report))
 
     def _report_cell(self, now: int) -> None:
-        found = self.duty.report(now, {name: int(member.life) for name, member in self.members.members.items()})
+        found = self.duty.make_report(now, {name: int(member.life) for name, member in self.members.members.items()})
         if found is None:
             return
         to, report = found
         if to == self.place.name:
-            self.facts.learn(now, report)
+            self.facts.update(now, report)
         else:
-            self._out.append(Send(to, report))
-        resign = self.duty.resigns(now)
+            self._actions.append(Send(to, report))
+        resign = self.duty.resign_if_unheard(now)
         if resign is not None:
-            self._out.append(Note("delegate resigns", (("cell", self.place.cells.cell.key),)))
-            self._out.extend(Send(name, resign) for name in self.place.cells.cell.names if name != self.place.name)
+            self._actions.append(Note("delegate resigns", (("cell", self.place.cells.cell.key),)))
+            self._actions.extend(Send(name, resign) for name in self.place.cells.cell.names if name != self.place.name)
 
-    def _collect(self, now: int, sender: str, report: CellReport) -> None:
-        """A cell's report by one of its delegates, where this gateway votes."""
-        # one of another cell would push out what this cell's own delegates say: of these only a few are kept
+    def _cell_report_received(self, now: int, sender: str, report: CellReport) -> None:
+        """Handle a cell's report from one of its delegates, if this gateway is a voter."""
+        # only a few reporters are kept for each cell: those of other cells would displace its own delegates
         cell = self.place.cells.numbers.get(sender)
         if self.council is None or report.by != sender or cell != (report.zone, report.cell):
             return
-        if self.facts.learn(now, report):
-            self._out.append(Send(sender, Heard(report.number)))
+        if self.facts.update(now, report):
+            self._actions.append(Send(sender, Heard(report.number)))
 
-    def _gather_cells(self, now: int) -> None:
-        """Pass on to whoever leads what cells told since the last time."""
+    def _forward_cell_reports(self, now: int) -> None:
+        """Forward the cell reports that arrived since the last time to the leader."""
         leader = self._leader()
-        for gathered in self.facts.gather(now):
+        for batch in self.facts.take_new(now):
             if leader in self.place.voters and leader != self.place.name:
-                self._out.append(Send(leader, gathered))
+                self._actions.append(Send(leader, batch))
 
-    def _dates(self, now: int) -> None:
-        """A voter that does not lead asks who does for the age of what it has: its log may have lain in a socket."""
+    def _ask_for_age(self, now: int) -> None:
+        """Ask the leader for the age of this voter's entries: they may have been delayed in a socket buffer."""
         council = self.council
         assert council is not None
-        if council.leader in ("", self.place.name) or now < self.date_at:
+        if council.leader in ("", self.place.name) or now < self.next_age_query_at:
             return
-        self.date_at = now + SECOND // 2
+        self.next_age_query_at = now + SECOND // 2
         ask = self._questions.ask(now, council.leader)
-        self._out.append(Send(council.leader, agreed.Since(council.applied, ask)))
+        self._actions.append(Send(council.leader, agreed.Since(council.applied, ask)))
 
     # ---- leading
 
@@ -437,43 +456,49 @@
             self.planner = Planner(self.place.terms, now)
             if self.plan is not None:
                 self.planner.committed(now, self.plan)
-                self.renewed_at = now - self.plan.holds  # the time without a leader was taken from it
-        if council.commit < council.last or self._waits:
-            return  # what was proposed last decides what is next
-        if self.plan is not None and now - self.renewed_at >= self.plan.holds // RENEW:
-            if council.propose(now, ENTRIES.body(Renewed(self.plan.epoch))) is not None:
+                self.renewed_at = now - self.plan.holds  # the time without a leader counts: renew at once
+        if council.commit < council.last or self._pending_entries:
+            return  # the next proposal depends on the last one
+        if self.plan is not None and now - self.renewed_at >= self.plan.holds // RENEWALS_PER_PLAN:
+            if council.propose(now, ENTRY_CODEC.body(Renewed(self.plan.epoch))) is not None:
                 self.renewed_at = now
             return
-        if now - self.planner.begun < 2 * REPORT or now < self.plan_at:
-            return  # reports have to come in first; and what they say together is not read with each message
-        self.plan_at = now + GATHER
-        plan = self.planner.next(now, self.plan, self.view(now), self.facts.epochs(now))
+        if now - self.planner.started_at < 2 * REPORT_INTERVAL_NS or now < self.plan_at:
+            return  # reports have to arrive first, and they are not evaluated with each message
+        self.plan_at = now + FORWARD_INTERVAL_NS
+        plan = self.planner.next_plan(now, self.plan, self.planner_input(now), self.facts.oldest_epochs(now))
         if plan is not None:
-            reason = wrong(self.place.terms, self.plan, plan)
+            reason = plan_error(self.place.terms, self.plan, plan)
             if reason is not None:
-                self._out.append(Note("plan not proposed", (("why", reason),)))
-            elif council.propose(now, ENTRIES.body(plan)) is not None:
+                self._actions.append(Note("plan not proposed", (("why", reason),)))
+            elif council.propose(now, ENTRY_CODEC.body(plan)) is not None:
                 self.renewed_at = now
 
-    def view(self, now: int) -> View:
-        """What is known of the zones, for a plan. A zone is lost when its cells are silent to the council and to
-        others: by this gateway's own contacts there, or by the questions of all other zones' cells. One bad delegate,
-        voter or link leaves other ways to be heard by. Nor is it while this process may only not have listened."""
-        standings = self.members.sight.standings(now)
-        quiet = QUIET * max(REPORT, self.place.pace.period)
-        unreached = self.facts.unreached(now)
+    def planner_input(self, now: int) -> PlannerInput:
+        """Return the planner's view of the zones.
+
+        A zone counts as lost if no report of its cells arrives and other gateways do not reach it either: by this
+        gateway's own contacts there, or by the probes of all other zones' cells. With one faulty delegate, voter or
+        link the zone is still heard by another route. A zone does not count as lost soon after a stall of this
+        process, which may just not have received anything.
+        """
+        standings = self.members.reachability.zone_states(now)
+        silence_limit = ZONE_SILENT_PERIODS * max(REPORT_INTERVAL_NS, self.place.pace.period)
+        unreached = self.facts.unreachable(now)
         silent = [
             zone != self.zone
-            and now - self.members.stood > quiet
-            and self.facts.silent(now, zone) > quiet
-            and (seen is Seen.SILENT or unreached[zone] or self._gone(zone))
+            and now - self.members.stalled_at > silence_limit
+            and self.facts.silence(now, zone) > silence_limit
+            and (seen is Seen.SILENT or unreached[zone] or self._zone_dead(zone))
             for zone, seen in enumerate(standings)
         ]
-        return View(self.facts.demand(now), self.facts.rooms(now), self.facts.ways(now), silent)
+        return PlannerInput(self.facts.demand(now), self.facts.rooms(now), self.facts.path_healths(now), silent)
 
-    def _gone(self, zone: int) -> bool:
-        """Whether a zone is lost by what is held of its gateways: nobody there is well, and half of them are dead. (To
-        wait for the last suspicion of fifty to end took twice as long; a zone that lives refutes the first ones.)"""
+    def _zone_dead(self, zone: int) -> bool:
+        """Whether a zone is lost by the member states: none of its known gateways is alive and half of them are dead.
+        (To wait until the last of fifty suspicions ended took twice as long; a zone that lives refutes the first
+        ones.)
+        """
         lives = [member.life for member in self.members.members.values() if member.zone == zone]
         return (
             bool(lives)
@@ -481,11 +506,11 @@
             and 2 * sum(life >= swim.Life.DEAD for life in lives) >= len(lives)
         )
 
-    # ---- what was agreed
+    # ---- committed entries
 
     def applied(self, now: int, order: Apply | Restore) -> None:
-        """An entry is committed, and all before it is done."""
-        self._waits -= 1
+        """Apply a committed entry or snapshot; all earlier actions are complete."""
+        self._pending_entries -= 1
         if isinstance(order, Restore):
             data, index = order.snapshot.data, order.snapshot.index
             kind = Kind.DATA
@@ -493,81 +518,83 @@
             data, index, kind = order.entry.data, order.index, order.entry.kind
         if kind is Kind.DATA and data:
             try:
-                self._take(now, index, ENTRIES.read(data), isinstance(order, Restore))
+                self._adopt_entry(now, index, ENTRY_CODEC.read(data), isinstance(order, Restore))
             except BadFrame as error:
-                self._out.append(Note("entry not read", (("index", index), ("text", str(error)))))
+                self._actions.append(Note("entry not read", (("index", index), ("text", str(error)))))
         core = self.council or self.follower
         assert core is not None
-        if core.wants_snapshot and not self._waits:
-            # the core counts as applied what it handed out: a snapshot made while some of that still waits would say
-            # of an older plan that it stands at a newer index, and whoever took it over would follow that
-            core.compact(ENTRIES.body(self.plan) if self.plan is not None else b"")
-        self._after(now)
-
-    def _take(self, now: int, index: int, found: object, whole: bool) -> None:
-        if isinstance(found, Renewed):
-            if self.plan is not None and found.epoch == self.plan.epoch:
+        if core.wants_snapshot and not self._pending_entries:
+            # the core counts entries as applied once it has handed them out: a snapshot made while some still wait
+            # would pair an older plan with a newer index, and its receiver would follow that plan
+            core.compact(ENTRY_CODEC.body(self.plan) if self.plan is not None else b"")
+        self._update(now)
+
+    def _adopt_entry(self, now: int, index: int, content: object, from_snapshot: bool) -> None:
+        if isinstance(content, Renewed):
+            if self.plan is not None and content.epoch == self.plan.epoch:
                 self.plan_index = index
             return
-        assert isinstance(found, Plan)
-        reason = None if whole else wrong(self.place.terms, self.plan, found)
+        assert isinstance(content, Plan)
+        reason = None if from_snapshot else plan_error(self.place.terms, self.plan, content)
         if reason is not None:
-            self._out.append(Note("plan refused", (("epoch", found.epoch), ("why", reason))))
+            self._actions.append(Note("plan refused", (("epoch", content.epoch), ("why", reason))))
             return
-        if self.plan is not None and found.epoch <= self.plan.epoch:
+        if self.plan is not None and content.epoch <= self.plan.epoch:
             return
-        self.plan, self.plan_index = found, index
+        self.plan, self.plan_index = content, index
         self.epochs += 1
-        self.histories = [*self.histories[-63:], (index, found.epoch)]
-        self.book.take(found)
+        self.histories = [*self.histories[-63:], (index, content.epoch)]
+        self.book.adopt(content)
         if self.planner is not None:
-            self.planner.committed(now, found)
-        fields: list[tuple[str, str | int]] = [("epoch", found.epoch), ("index", index)]
+            self.planner.committed(now, content)
+        fields: list[tuple[str, str | int]] = [("epoch", content.epoch), ("index", index)]
         fields += [
-            (self.place.zones[z], f"{zone.standing.name.lower()} {zone.part:.2f}") for z, zone in enumerate(found.zones)
+            (self.place.zones[z], f"{zone.standing.name.lower()} {zone.part:.2f}")
+            for z, zone in enumerate(content.zones)
         ]
-        self._out.append(Note("plan", tuple(fields)))
+        self._actions.append(Note("plan", tuple(fields)))
         kb = ";".join(
-            " ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.owed, strict=True))
-            for zone in found.zones
+            " ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.outstanding, strict=True))
+            for zone in content.zones
         )
-        self._out.append(Note("caps", (("epoch", found.epoch), ("kb", kb))))
+        self._actions.append(Note("caps", (("epoch", content.epoch), ("kb", kb))))
 
-    def _dated(self) -> Dates:
+    def _entry_dates(self) -> Dates:
         core = self.council or self.follower
         assert core is not None
         return core.dates
 
-    def _after(self, now: int) -> None:
-        """See to what followed from anything that happened."""
-        self._gather(now)
-        dates = self._dated()
-        if self.plan is not None and not self._waits and dates.index >= self.plan_index:
-            # (a date of an entry that waits to be taken up says nothing of the plan before it)
-            self.book.dated(dates.at)
-        followed = (self.plan.epoch if self.plan is not None else 0, self.book.strength(now))
-        if followed != self._followed:
-            self._followed = followed
+    def _update(self, now: int) -> None:
+        """Collect new actions and update the ways of this front; called after each event."""
+        self._collect_actions(now)
+        dates = self._entry_dates()
+        if self.plan is not None and not self._pending_entries and dates.index >= self.plan_index:
+            # a date of an entry that is not applied yet says nothing about the current plan
+            self.book.confirm(dates.at)
+        basis = (self.plan.epoch if self.plan is not None else 0, self.book.strength(now))
+        if basis != self._ways_basis:
+            self._ways_basis = basis
             ways = self.book.ways(now)
             if ways != self.ways:
                 self.ways = ways
-                self._out.append(Act(ways))
-        self.ways_at = self.book.next_change(now)
-
-    def _look(self, now: int) -> None:
-        """Tell when zones are seen otherwise than before. Once a report and not with each message: a leader of 250
-        hears as many a second, and the matrix is read from as many rows."""
-        standings = tuple(self.members.sight.standings(now))
-        if standings != self._standings:
-            if self._standings:
-                self._out.append(
+                self._actions.append(Act(ways))
+        self.ways_change_at = self.book.next_change(now)
+
+    def _log_zone_states(self, now: int) -> None:
+        """Log changes of the zones' reachability. Done once per report and not with each message: the leader of 250
+        gateways gets 250 messages a second, and the matrix is computed from as many rows.
+        """
+        standings = tuple(self.members.reachability.zone_states(now))
+        if standings != self._zone_states:
+            if self._zone_states:
+                self._actions.append(
                     Note(
                         "zones seen", tuple((self.place.zones[z], one.name.lower()) for z, one in enumerate(standings))
                     )
                 )
-            self._standings = standings
+            self._zone_states = standings
 
     def leave(self, now: int) -> None:
-        """A planned end."""
+        """Announce a planned end."""
         self.members.leave(now)
-        self._after(now)
+        self._update(now)
--- a/copperyard/control/zones/__init__.py
+++ b/copperyard/control/zones/__init__.py
@@ -1,6 +1,6 @@
-"""Which zone serves whose viewers, decided in common.
+"""The zone plan: which zone's hosts serve which zone's viewers, agreed on by all gateways.
 
-`facts.py` gathers what gateways report, `planner.py` makes a plan of it, `check.py` refuses one that would overfill a
-zone, `follow.py` is what one front may do by the plan that it holds, also as that runs out. No I/O; no call about one
-session is made here, that is decide.py's.
+`facts.py` collects the reports of gateways, `rollup.py` aggregates them by cell, `planner.py` makes a plan from them,
+`check.py` rejects a plan that would overload a zone, and `follow.py` derives what one front may do under its current
+plan, also while the plan expires. No I/O. Decisions about a single session are made in decide.py, not here.
 """
--- a/copperyard/control/zones/facts.py
+++ b/copperyard/control/zones/facts.py
@@ -1,4 +1,4 @@
-"""What the gateways report, gathered by whoever plans; and how one front measures what it reports."""
+"""Reports of the gateways as the planner collects them, and how one front measures its own report."""
 
 from __future__ import annotations
 
@@ -10,83 +10,86 @@
 from .plan import HostsOf, Summary, Terms
 
 SECOND = 1_000_000_000
-SPAN = 10 * SECOND  # ns over which a front counts what it is asked for
-AHEAD = 5 * SECOND  # ns of arrivals that are counted on beside what plays: longer than a plan takes to come
-LENGTH_WEIGH = 0.1  # least weight of the newest session in the mean length
-MOST_WISHES = 100_000
-WAY_TRIES = 6  # set-ups before what became of them says anything of a way between zones
-MOST_COUNT = 1 << 60  # what no life, number or epoch comes to; ns as well: 36 years
-MOST_TRIES = 1 << 40  # set-ups, hosts or questions that nobody counts to; sums over a site still fit into a frame
-MOST_LOAD = 1e15  # kB a second that nothing asks or gives
+MEASURE_WINDOW_NS = 10 * SECOND  # ns over which a front counts session requests and set-ups
+LOOKAHEAD_NS = 5 * SECOND  # ns of arrivals planned for on top of playing sessions: longer than a new plan takes
+MIN_LENGTH_WEIGHT = 0.1  # least weight of the newest session in the mean session length
+MAX_RECORDED_EVENTS = 100_000
+MIN_PATH_SETUPS = 6  # fewer set-ups than this say nothing about the path between two zones
+MAX_COUNT = 1 << 60  # upper bound of lives, sequence numbers and epochs; as ns: 36 years
+MAX_TALLY = 1 << 40  # upper bound of counts of set-ups, hosts or probes; sums over a site still fit into a frame
+MAX_LOAD_KB = 1e15  # upper bound of a load or room, kB/s
 
 
 class Gauge:
-    """One front's measures. `lengths`: ns that a session of each class is taken to last before any has ended."""
+    """Measures the demand of one front. `lengths`: assumed session length by class, ns, until a session has ended."""
 
     def __init__(self, name: str, life: int, zones: int, lengths: tuple[int, ...], terms: Terms, now: int) -> None:
         self.name, self.life, self.terms = name, life, terms
         self.lengths = [float(ns) for ns in lengths]
-        self._lasted = [1] * len(lengths)
-        self.began = now
-        self._wishes: deque[tuple[int, int]] = deque(maxlen=MOST_WISHES)
-        self._tries: deque[tuple[int, int, bool]] = deque(maxlen=MOST_WISHES)
+        self._length_counts = [1] * len(lengths)
+        self.started_at = now
+        self._requests: deque[tuple[int, int]] = deque(maxlen=MAX_RECORDED_EVENTS)
+        self._setups: deque[tuple[int, int, bool]] = deque(maxlen=MAX_RECORDED_EVENTS)
         self._zones = zones
         self._number = 0
 
-    def wished(self, now: int, cls: int) -> None:
-        """A viewer asked for a session."""
-        self._wishes.append((now, cls))
+    def session_requested(self, now: int, cls: int) -> None:
+        """Count a session request of a viewer."""
+        self._requests.append((now, cls))
 
-    def lasted(self, cls: int, ns: int) -> None:
-        """A session that played is over."""
-        self._lasted[cls] += 1
-        self.lengths[cls] += max(LENGTH_WEIGH, 1 / self._lasted[cls]) * (ns - self.lengths[cls])
+    def session_ended(self, cls: int, ns: int) -> None:
+        """Add the length of a session that has ended to the mean of its class."""
+        self._length_counts[cls] += 1
+        self.lengths[cls] += max(MIN_LENGTH_WEIGHT, 1 / self._length_counts[cls]) * (ns - self.lengths[cls])
 
-    def tried(self, now: int, zone: int, broke: bool) -> None:
-        """A set-up at a host of that zone came to its end, or stands."""
-        self._tries.append((now, zone, broke))
+    def setup_finished(self, now: int, zone: int, failed: bool) -> None:
+        """Count a set-up at a host of that zone, whether it failed or succeeded."""
+        self._setups.append((now, zone, failed))
 
     def demand(self, now: int, playing: Sequence[float]) -> tuple[float, ...]:
-        """kB a second, by class, that has to be planned for. `playing` is what sessions that stand ask at the rung that
-        the plan counts with; to it come the arrivals of some seconds. It is never more than what wishes at their
-        present rate would come to in the end (rate times length times load, Little's law): a few arrivals more than
-        usual say much less of what is needed than what plays already."""
-        while self._wishes and self._wishes[0][0] <= now - SPAN:
-            self._wishes.popleft()
+        """Return the demand to plan for, kB/s by class.
+
+        `playing` is the load of current sessions at the rung that the plan assumes; the arrivals of the next
+        LOOKAHEAD_NS are added. The arrivals are limited to the steady state of the present arrival rate (rate times
+        length times load, Little's law), because a short burst of arrivals says much less about the demand than
+        the sessions that already play.
+        """
+        while self._requests and self._requests[0][0] <= now - MEASURE_WINDOW_NS:
+            self._requests.popleft()
         counts = [0] * len(self.lengths)
-        for _, cls in self._wishes:
+        for _, cls in self._requests:
             counts[cls] += 1
-        span = max(SECOND, min(SPAN, now - self.began)) / SECOND
+        span = max(SECOND, min(MEASURE_WINDOW_NS, now - self.started_at)) / SECOND
         found = []
-        for n, ns, kb, kept in zip(counts, self.lengths, self.terms.loads, playing, strict=True):
-            coming = n / span * kb
-            found.append(max(kept, min(coming * ns / SECOND, kept + coming * AHEAD / SECOND)))
+        for n, ns, kb, standing in zip(counts, self.lengths, self.terms.loads, playing, strict=True):
+            arriving = n / span * kb
+            found.append(max(standing, min(arriving * ns / SECOND, standing + arriving * LOOKAHEAD_NS / SECOND)))
         return tuple(found)
 
     def playing(self, controller: Controller) -> list[float]:
-        """What this front's sessions would ask at the plan's rung, by class; those that wait count as well."""
+        """Return the load of this front's sessions at the plan's rung, kB/s by class, including sessions that wait."""
         found = [0.0] * len(self.lengths)
         for session in controller.sessions.values():
             found[session.r.cls] += self.terms.loads[session.r.cls]
         return found
 
     def summary(self, now: int, controller: Controller, epoch: int) -> Summary:
-        """The report of now. Reads the module's view of hosts and changes nothing in it."""
-        while self._tries and self._tries[0][0] <= now - SPAN:
-            self._tries.popleft()
-        tried, broke = [0] * self._zones, [0] * self._zones
-        for _, zone, bad in self._tries:
-            tried[zone] += 1
-            broke[zone] += bad
+        """Build the current report. Reads the controller's view of hosts without changing it."""
+        while self._setups and self._setups[0][0] <= now - MEASURE_WINDOW_NS:
+            self._setups.popleft()
+        setups, failed_setups = [0] * self._zones, [0] * self._zones
+        for _, zone, failed in self._setups:
+            setups[zone] += 1
+            failed_setups[zone] += failed
         rooms, used = [0.0] * self._zones, [0.0] * self._zones
-        hosts, ill = [0] * self._zones, [0] * self._zones
+        hosts, unhealthy = [0] * self._zones, [0] * self._zones
         for server in controller.servers.values():
             zone = server.entry.zone
             if server.gone or not 0 <= zone < self._zones:
                 continue
             hosts[zone] += 1
             if server.bad > BAD:
-                ill[zone] += 1
+                unhealthy[zone] += 1
             else:
                 rooms[zone] += server.link.cap
                 used[zone] += server.link.cap * min(1.0, server.link.load(now))
@@ -97,30 +100,33 @@
             self._number,
             epoch,
             self.demand(now, self.playing(controller)),
-            tuple(HostsOf(*one) for one in zip(rooms, used, hosts, ill, tried, broke, strict=True)),
+            tuple(HostsOf(*one) for one in zip(rooms, used, hosts, unhealthy, setups, failed_setups, strict=True)),
         )
 
 
 class FrontGauge(Watcher):
-    """Measures one front through its core: hosts are told by their zones."""
+    """Feeds a gauge from the events of one front; maps each host to its zone."""
 
     def __init__(self, gauge: Gauge, controller: Callable[[], Controller]) -> None:
         self.gauge, self.controller = gauge, controller
 
     def wished(self, now: int, cls: int) -> None:
-        self.gauge.wished(now, cls)
+        """Count a session request."""
+        self.gauge.session_requested(now, cls)
 
     def lasted(self, cls: int, ns: int) -> None:
-        self.gauge.lasted(cls, ns)
+        """Record the length of a session that has ended."""
+        self.gauge.session_ended(cls, ns)
 
     def tried(self, now: int, server: int, broke: bool) -> None:
+        """Count a set-up for the zone of its host, if the host is known."""
         known = self.controller().servers.get(server)
         if known is not None and 0 <= known.entry.zone < len(self.gauge.terms.fronts):
-            self.gauge.tried(now, known.entry.zone, broke)
+            self.gauge.setup_finished(now, known.entry.zone, broke)
 
 
-def median(points: Iterable[tuple[float, int]]) -> float:
-    """The value in the middle, the upper of two, where each counts as often as it says; 0 for none."""
+def weighted_median(points: Iterable[tuple[float, int]]) -> float:
+    """Return the weighted median, the upper one of two; 0 for no values."""
     ordered = sorted(points)
     left = sum(weight for _, weight in ordered) // 2
     for value, weight in ordered:
@@ -130,41 +136,41 @@
     return 0.0
 
 
-def worth(tried: int, broke: int) -> float:
-    """What part of set-ups on a way did not break; 1 where there were too few to say."""
-    return 1.0 - broke / tried if tried >= WAY_TRIES else 1.0
+def path_health(setups: int, failed: int) -> float:
+    """Return the part of set-ups on a path between zones that succeeded; 1 if there were too few."""
+    return 1.0 - failed / setups if setups >= MIN_PATH_SETUPS else 1.0
 
 
-def told(summaries: Iterable[Summary]) -> list[Summary]:
-    """Those that say anything of rooms: a front that knows no host at all has not heard a list yet."""
+def knowing_hosts(summaries: Iterable[Summary]) -> list[Summary]:
+    """Return the summaries that know any host: a front without hosts has not received a server list yet."""
     return [s for s in summaries if any(hosts.hosts for hosts in s.zones)]
 
 
-def _possible(summary: Summary) -> bool:
-    """Whether the figures are such as a front can have: others would spoil the sums of a whole cell."""
+def _plausible(summary: Summary) -> bool:
+    """Whether the figures are in range: one absurd report would corrupt the sums of a whole cell."""
     return (
-        0 <= summary.life < MOST_COUNT
-        and 0 <= summary.number < MOST_COUNT
-        and 0 <= summary.epoch < MOST_COUNT
-        and all(0 <= kb <= MOST_LOAD for kb in summary.demand)
-        and all(0 <= z.room <= MOST_LOAD and 0 <= z.broke <= z.tried < MOST_TRIES for z in summary.zones)
+        0 <= summary.life < MAX_COUNT
+        and 0 <= summary.number < MAX_COUNT
+        and 0 <= summary.epoch < MAX_COUNT
+        and all(0 <= kb <= MAX_LOAD_KB for kb in summary.demand)
+        and all(0 <= z.room <= MAX_LOAD_KB and 0 <= z.failed_setups <= z.setups < MAX_TALLY for z in summary.zones)
     )
 
 
-class Facts:
-    """Summaries by gateway, the newest of each. `zone_of` names all gateways of the settings."""
+class SummaryTable:
+    """The newest summary of each gateway. `zone_of` maps all gateways of the settings to their zones."""
 
     def __init__(self, zone_of: Mapping[str, int], terms: Terms) -> None:
         self.zone_of, self.terms = dict(zone_of), terms
         self.known: dict[str, tuple[int, Summary]] = {}
 
-    def learn(self, now: int, summary: Summary) -> bool:
-        """Take a report; whether it was news."""
+    def update(self, now: int, summary: Summary) -> bool:
+        """Store a summary; return whether it is valid and newer than the stored one."""
         if (
             summary.name not in self.zone_of
             or len(summary.zones) != self.terms.zones
             or len(summary.demand) != len(self.terms.loads)
-            or not _possible(summary)
+            or not _plausible(summary)
         ):
             return False
         known = self.known.get(summary.name)
@@ -173,18 +179,20 @@
         self.known[summary.name] = (now, summary)
         return True
 
-    def merge(self, now: int, others: Iterable[Summary]) -> None:
+    def update_all(self, now: int, others: Iterable[Summary]) -> None:
+        """Store several summaries."""
         for one in others:
-            self.learn(now, one)
+            self.update(now, one)
 
     def fresh(self, now: int, age: int | None = None) -> list[Summary]:
-        """Reports of at most that age, in the order of names."""
-        most = age if age is not None else self.terms.silent
-        return [self.known[name][1] for name in sorted(self.known) if now - self.known[name][0] <= most]
+        """Return the summaries of at most that age (ns), ordered by name."""
+        limit = age if age is not None else self.terms.silent
+        return [self.known[name][1] for name in sorted(self.known) if now - self.known[name][0] <= limit]
 
     def demand(self, now: int) -> list[list[float]]:
-        """demand[h][c]. A front that fell silent counts no more once its report is old: its viewers, where they live,
-        are asking others by then."""
+        """Return demand[home][class], kB/s. Old reports do not count: by then the viewers of a silent front, if any,
+        ask other fronts.
+        """
         found = [[0.0] * len(self.terms.loads) for _ in range(self.terms.zones)]
         for one in self.fresh(now):
             row = found[self.zone_of[one.name]]
@@ -193,27 +201,29 @@
         return found
 
     def rooms(self, now: int) -> list[float]:
-        """What each zone's hosts give, as the median of the fronts that reach them best: its own where it has any that
-        report, all others' else. Each front lists the same hosts; which of them are ill each sees for itself."""
+        """Return the room of each zone's hosts, kB/s: the median of the zone's own fronts, or of all fronts if none of
+        its own reports. All fronts list the same hosts, but each judges for itself which are unhealthy.
+        """
         found = []
-        fresh = told(self.fresh(now))
+        fresh = knowing_hosts(self.fresh(now))
         for z in range(self.terms.zones):
             own = [(s.zones[z].room, 1) for s in fresh if self.zone_of[s.name] == z]
-            found.append(median(own or [(s.zones[z].room, 1) for s in fresh]))
+            found.append(weighted_median(own or [(s.zones[z].room, 1) for s in fresh]))
         return found
 
-    def ways(self, now: int) -> list[list[float]]:
-        """ways[h][z]: of the set-ups that fronts of h sent to hosts of z of late, the part that did not break; 1 where
-        there were too few to say."""
+    def path_healths(self, now: int) -> list[list[float]]:
+        """Return health[home][zone]: the part of recent set-ups from fronts of `home` at hosts of `zone` that
+        succeeded; 1 if there were too few.
+        """
         sums = [[[0, 0] for _ in range(self.terms.zones)] for _ in range(self.terms.zones)]
         for one in self.fresh(now):
             for z, hosts in enumerate(one.zones):
-                sums[self.zone_of[one.name]][z][0] += hosts.tried
-                sums[self.zone_of[one.name]][z][1] += hosts.broke
-        return [[worth(tried, broke) for tried, broke in row] for row in sums]
+                sums[self.zone_of[one.name]][z][0] += hosts.setups
+                sums[self.zone_of[one.name]][z][1] += hosts.failed_setups
+        return [[path_health(tried, broke) for tried, broke in row] for row in sums]
 
-    def epochs(self, now: int) -> list[int]:
-        """The oldest epoch that any front of each zone may still follow: 0 where one of them does not report."""
+    def oldest_epochs(self, now: int) -> list[int]:
+        """Return by zone the oldest epoch that any of its fronts may still follow: 0 if one of them does not report."""
         found = []
         for z in range(self.terms.zones):
             names = [name for name, zone in self.zone_of.items() if zone == z]
--- a/copperyard/control/zones/plan.py
+++ b/copperyard/control/zones/plan.py
@@ -1,41 +1,43 @@
-"""The plan for zones, and what it is made of. Types only. Loads are kB a second, as in the module."""
+"""Types of the zone plan and of the reports that it is made from. Loads and rooms are kB/s."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-SAME_REGION, OTHER_REGION = 1.0, 3.0  # distances of zones where no way is listed
-LIVE = 600 * 1_000_000_000  # ns that a live session is taken to last before any has ended
+SAME_REGION, OTHER_REGION = 1.0, 3.0  # default distances of two zones
+LIVE = 600 * 1_000_000_000  # ns that a live session is assumed to last until one has ended
 
 
 class Standing(IntEnum):
-    """What a zone is for newcomers."""
+    """What a zone offers to new sessions."""
 
     OPEN = 0
-    SHEDDING = 1  # its viewers want more than it has: some go elsewhere, some are refused
-    CLOSED = 2  # nothing new for its hosts
-    RETURNING = 3  # it gets a part of its room back at a time
+    SHEDDING = 1  # its viewers ask for more than it has: some go to other zones, some are refused
+    CLOSED = 2  # its hosts take no new sessions
+    RETURNING = 3  # its room is given back in steps
 
 
 @dataclass(frozen=True, slots=True)
 class HostsOf:
-    """What one front knows of the hosts of one zone: their room, what of it is used, how many there are, how many of
-    them it holds for ill, how many set-ups it sent there of late and how many of these broke."""
+    """What one front knows about the hosts of one zone: their room, the room in use, the number of hosts, how many of
+    them it considers unhealthy, the recent set-ups sent there and how many of those failed.
+    """
 
     room: float
     used: float
     hosts: int
-    ill: int
-    tried: int
-    broke: int
+    unhealthy: int
+    setups: int
+    failed_setups: int
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What one front reports. `demand`: what its viewers ask for, by class, at the rung that the plan counts with;
-    `epoch`: the newest plan that it follows. A newer (life, number) replaces an older one; merging twice, or late,
-    changes nothing."""
+    """Report of one front. `demand`: load that its viewers ask for, by class, at the rung that the plan assumes;
+    `epoch`: the newest plan that it follows. A newer (life, number) replaces an older one, so duplicate or late
+    reports change nothing.
+    """
 
     name: str
     life: int
@@ -46,29 +48,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Zonal:
-    """What a cell knows of one zone. `rooms`: (room in kB a second, how many of its fronts report it), ascending, of
-    fronts that know any host (rollup.sketch); `tried`, `broke`: sums over its fronts; of questions that its gateways
-    asked of that zone's of late: how many, how many were answered, from how many it heard by itself, how many answers
-    came late."""
+class ZoneAggregate:
+    """What a cell knows about one zone.
+
+    `rooms`: (room, number of fronts that report it), ascending, of the fronts that know any host (rollup.sketch);
+    `setups`, `failed_setups`: sums over its fronts; `probed`, `answered`, `heard`, `late`: gateways of that zone
+    that the cell's gateways recently probed, that answered, that sent a probe themselves, and that answered late.
+    """
 
     rooms: tuple[tuple[float, int], ...]
-    tried: int
-    broke: int
-    asked: int
-    reached: int
+    setups: int
+    failed_setups: int
+    probed: int
+    answered: int
     heard: int
     late: int
 
 
 @dataclass(frozen=True, slots=True)
 class CellReport:
-    """What the delegate `by` says of its cell. `digest`: of the cell's names, by which two rosters are told apart. A
-    newer (life, number) of the same `by` replaces an older one.
+    """Report of the delegate `by` on its cell. `digest` of the cell's names tells rosters apart. A newer (life, number)
+    of the same `by` replaces an older one.
 
-    `heard`: members with a fresh report; `epoch`: the least that any member may still follow, 0 if one was not heard;
-    `age`: ns, when sent, since the oldest report that counts here came in; `suspect`, `dead`, `left`: bits over the
-    cell's sorted names; `demand`: kB a second, by class."""
+    `heard`: members with a fresh report; `epoch`: the oldest that any member may still follow, 0 if a member was not
+    heard; `age`: ns, at sending, since the oldest report counted here arrived; `suspect`, `dead`, `left`: bit masks
+    over the cell's sorted names; `demand`: kB/s by class.
+    """
 
     zone: int
     cell: int
@@ -83,24 +88,26 @@
     dead: int
     left: int
     demand: tuple[float, ...]
-    zones: tuple[Zonal, ...]
+    zones: tuple[ZoneAggregate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Gathered:
-    """Reports that one of the council passes on, each with the ns that it lay there."""
+    """Cell reports that a voter forwards to the leader, each with the ns that the voter held it."""
 
     reports: tuple[tuple[CellReport, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ZonePlan:
-    """One zone's part: as a home of viewers, and as a place of hosts.
+    """One zone in the plan, as the home of viewers and as a location of hosts.
 
-    `shares`: by class, the shares of its viewers' requests that go to which zone; what is missing of 1 is refused.
-    `caps`: by zone, the most that sessions of its viewers may ask of that zone's hosts. `owed`: caps of earlier plans
-    that some of its fronts may still follow. `room`, `own`, `reserve`: what the hosts here give, of it what the zone's
-    own viewers need, and what is left free for the loss of one more zone. `part`: of its room, while it returns."""
+    `shares`: by class, the share of its viewers' requests that each zone gets; the remainder to 1 is refused.
+    `caps`: by zone, the greatest load of its viewers' sessions on that zone's hosts. `outstanding`: caps of earlier
+    plans that some of its fronts may still follow. `room`, `own`, `reserve`: the room of its hosts, the part that
+    its own viewers need, and the part kept free for the loss of another zone. `part`: the usable part of its room
+    while it returns, from 0 to 1.
+    """
 
     standing: Standing
     room: float
@@ -109,12 +116,12 @@
     part: float
     shares: tuple[tuple[tuple[int, float], ...], ...]
     caps: tuple[float, ...]
-    owed: tuple[float, ...]
+    outstanding: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """An epoch: in force once committed, for `holds` ns after it was proposed or renewed."""
+    """The plan of one epoch: in force once committed, for `holds` ns after it was proposed or renewed."""
 
     epoch: int
     holds: int
@@ -123,18 +130,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewed:
-    """The plan of this epoch goes on to hold."""
+    """Log entry that extends the validity of the plan of this epoch."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What the settings say of planning. `prices[h][z]`: distance, by which nearer zones come first; below 0: no way.
-    `reserve`: part of each zone's room that strangers never get. `mark`: part of its room that is planned with.
-    `pace`: part of a zone's room by which what strangers may ask there can grow in a second. `band`: a share that
-    moves by less is left alone. `every`: ns between plans at least. `steps`: parts of its room that a zone that comes
-    back gets one after another, `dwell` ns each; twice as long each time that it was lost again within `memory` ns."""
+    """Settings of the planner.
+
+    `prices[home][zone]`: distance, nearer zones are used first; below 0: no path. `reserve`: part of each zone's room
+    that other zones never get. `mark`: part of its room that the plan uses. `pace`: part of a zone's room by which
+    the caps of other zones there may grow in a second. `band`: a share that changes by less is left as it is. `every`:
+    least ns between plans. `holds`: ns that a plan is valid. `steps`: parts of its room that a returning zone gets
+    one after another, for `dwell` ns each, at most `dwell_most`; the time doubles each time that the zone was lost
+    again within `memory` ns. `drift`: greatest relative error of a clock. `silent`: ns after which a report is too
+    old.
+    """
 
     prices: tuple[tuple[float, ...], ...]
     worths: tuple[float, ...]
@@ -156,4 +168,5 @@
 
     @property
     def zones(self) -> int:
+        """The number of zones."""
         return len(self.fronts)
--- a/copperyard/gateway/peers/__init__.py
+++ b/copperyard/gateway/peers/__init__.py
@@ -1,2 +1,4 @@
-"""The I/O of what gateways decide in common: links between them, a voter's shelf, and the tasks that carry orders out.
-Nothing is decided here."""
+"""I/O of the coordination between gateways: links, a voter's log store, and the tasks that carry out actions.
+
+No decisions are made here.
+"""
--- a/copperyard/gateway/peers/shelf.py
+++ b/copperyard/gateway/peers/log_store.py
@@ -1,4 +1,4 @@
-"""Shelves for a voter's records: a folder, and a SQLite file. What they promise is in state.agreement.records."""
+"""Log stores for a voter's records: a file, or a SQLite database. state.agreement.records has their guarantees."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from ...state.agreement.records import Damaged
 from ..disk import FolderDisk
 
-NAME, NEXT = "votes.log", "votes.next"
+LOG_NAME, NEW_LOG_NAME = "votes.log", "votes.next"
 
 
-class FolderShelf:
-    """A folder with one file of records. A new whole is written beside it and takes its name: after any end there is
-    the old whole or the new one."""
+class FileLogStore:
+    """Records in one file of a folder. A replacement is written to a second file and renamed, so that after a crash
+    either the old or the new content is there.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._lock = FolderDisk(folder)  # the kernel's lock, as state keeps it
+        self._lock = FolderDisk(folder)  # lock by the kernel, as for the journal
         self._handle: int | None = None
         self._sequence = 0
         self._size = 0
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
+        """Lock the store and return its records. LockedError if another process holds it, Damaged if it is corrupt."""
         self._lock.lock(owner)
-        (self.folder / NEXT).unlink(missing_ok=True)
-        path = self.folder / NAME
+        (self.folder / NEW_LOG_NAME).unlink(missing_ok=True)
+        path = self.folder / LOG_NAME
         data = path.read_bytes() if path.exists() else b""
         if not data:
             return []
@@ -46,7 +48,7 @@
             if isinstance(one, str):
                 if frames.whole_after(data, size, len(found)) is not None or data[-1:] == frames.END:
                     raise Damaged(f"{path}: {one}")
-                break  # torn: the end of this process or machine came while it was written
+                break  # torn tail: the process or machine ended during the write
             if one.sequence != len(found) + 1:
                 raise Damaged(f"{path}: record {len(found) + 1} is numbered {one.sequence}")
             found.append(one.payload)
@@ -56,34 +58,36 @@
         return found
 
     async def append(self, records: Sequence[bytes]) -> None:
+        """Append records; they are durable when this returns."""
         async with self._busy:
             if self._handle is None:
-                await trio.to_thread.run_sync(self._renew, list(records))
+                await trio.to_thread.run_sync(self._replace, list(records))
             else:
                 await trio.to_thread.run_sync(self._append, list(records))
 
     async def renew(self, records: Sequence[bytes]) -> None:
+        """Replace all records atomically; durable when this returns."""
         async with self._busy:
-            await trio.to_thread.run_sync(self._renew, list(records))
+            await trio.to_thread.run_sync(self._replace, list(records))
 
     def _append(self, records: list[bytes]) -> None:
         assert self._handle is not None
         data = b"".join(frames.record(self._sequence + 1 + n, one) for n, one in enumerate(records))
-        # a write that failed half-way left bytes behind the last whole record: they go first
+        # drop bytes behind the last complete record that a failed write left
         os.ftruncate(self._handle, self._size)
-        write_at(self._handle, self._size, data)
+        write_fully(self._handle, self._size, data)
         os.fdatasync(self._handle)
         self._size += len(data)
         self._sequence += len(records)
 
-    def _renew(self, records: list[bytes]) -> None:
+    def _replace(self, records: list[bytes]) -> None:
         data = frames.segment_head(1, 1) + b"".join(frames.record(1 + n, one) for n, one in enumerate(records))
-        path = self.folder / NEXT
+        path = self.folder / NEW_LOG_NAME
         handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            write_at(handle, 0, data)
+            write_fully(handle, 0, data)
             os.fsync(handle)
-            os.rename(path, self.folder / NAME)
+            os.rename(path, self.folder / LOG_NAME)
         except BaseException:
             os.close(handle)
             raise
@@ -97,56 +101,62 @@
             os.close(folder)
 
     def close(self) -> None:
+        """Close the file and release the lock."""
         if self._handle is not None:
             os.close(self._handle)
             self._handle = None
         self._lock.close()
 
 
-def write_at(handle: int, at: int, data: bytes) -> None:
+def write_fully(handle: int, offset: int, data: bytes) -> None:
+    """Write all bytes at the offset."""
     rest = memoryview(data)
     while rest:
-        done = os.pwrite(handle, rest, at)
-        rest, at = rest[done:], at + done
+        done = os.pwrite(handle, rest, offset)
+        rest, offset = rest[done:], offset + done
 
 
-class SqliteShelf:
-    """A SQLite file, each call a transaction that is synced. A record carries its check, and the number of records
-    stands beside them: SQLite finds a torn page of its journal, but neither a flipped bit in a row's bytes nor one in
-    a page's count of rows, which made a history shorter in the test."""
+class SqliteLogStore:
+    """Records in a SQLite database; each call is one synced transaction.
+
+    Each record has a checksum, and the number of records is stored beside them: SQLite detects a torn page of its
+    journal, but neither a flipped bit in the bytes of a row nor one in the row count of a page, which shortened a
+    history in the test.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self._lock = FolderDisk(folder)
-        self._base: sqlite3.Connection | None = None
+        self._database: sqlite3.Connection | None = None
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
+        """Lock the store and return its records. LockedError if another process holds it, Damaged if it is corrupt."""
         self._lock.lock(owner)
         path = self.folder / "votes.db"
         found: list[bytes] = []
         try:
-            self._base = self._connect(path)
-            rows = self._base.execute("SELECT number, body, sum FROM records ORDER BY number").fetchall()
-            if self._base.execute("PRAGMA integrity_check(1)").fetchone()[0] != "ok":
+            self._database = self._connect(path)
+            rows = self._database.execute("SELECT number, body, sum FROM records ORDER BY number").fetchall()
+            if self._database.execute("PRAGMA integrity_check(1)").fetchone()[0] != "ok":
                 raise Damaged(f"{path}: its pages do not fit together")
         except sqlite3.DatabaseError as error:
-            if self._base is not None:
-                self._base.close()
+            if self._database is not None:
+                self._database.close()
             path.rename(self.folder / "votes.damaged")
-            self._base = self._connect(path)
+            self._database = self._connect(path)
             raise Damaged(f"{path}: {error}") from None
         for number, body, check in rows:
-            if number != len(found) + 1 or check != self._sum(number, body):
+            if number != len(found) + 1 or check != self._checksum(number, body):
                 raise Damaged(f"{path}: record {len(found) + 1} does not hold its check")
             found.append(body)
-        count = self._base.execute("SELECT count FROM head WHERE one = 1").fetchone()
+        count = self._database.execute("SELECT count FROM head WHERE one = 1").fetchone()
         if (count[0] if count is not None else 0) != len(found):
             raise Damaged(f"{path}: {len(found)} records of {count[0] if count is not None else 0}")
         return found
 
     def _connect(self, path: Path) -> sqlite3.Connection:
-        # tables are made in a new file only: made anew in one that lost their names, they would be empty
+        # tables are created only in a new file: in one that lost their names they would be created empty
         new = not path.exists() or path.stat().st_size == 0
         base = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
         base.execute("PRAGMA journal_mode=WAL")
@@ -158,29 +168,31 @@
             )
         return base
 
-    def _sum(self, number: int, body: bytes) -> bytes:
+    def _checksum(self, number: int, body: bytes) -> bytes:
         return bytes(xxhash.xxh3_64_digest(number.to_bytes(8, "little") + body))
 
     async def append(self, records: Sequence[bytes]) -> None:
+        """Append records; they are durable when this returns."""
         async with self._busy:
             await trio.to_thread.run_sync(self._write, list(records), False)
 
     async def renew(self, records: Sequence[bytes]) -> None:
+        """Replace all records atomically; durable when this returns."""
         async with self._busy:
             await trio.to_thread.run_sync(self._write, list(records), True)
 
-    def _write(self, records: list[bytes], anew: bool) -> None:
-        base = self._base
+    def _write(self, records: list[bytes], replace_all: bool) -> None:
+        base = self._database
         assert base is not None
         try:
             base.execute("BEGIN IMMEDIATE")
             try:
-                if anew:
+                if replace_all:
                     base.execute("DELETE FROM records")
                 last = base.execute("SELECT coalesce(max(number), 0) FROM records").fetchone()[0]
                 base.executemany(
                     "INSERT INTO records VALUES (?, ?, ?)",
-                    [(last + n, one, self._sum(last + n, one)) for n, one in enumerate(records, 1)],
+                    [(last + n, one, self._checksum(last + n, one)) for n, one in enumerate(records, 1)],
                 )
                 base.execute("INSERT OR REPLACE INTO head VALUES (1, ?)", (last + len(records),))
                 base.execute("COMMIT")
@@ -191,7 +203,8 @@
             raise OSError(f"{type(error).__name__}: {error}") from None
 
     def close(self) -> None:
-        if self._base is not None:
-            self._base.close()
-            self._base = None
+        """Close the database and release the lock."""
+        if self._database is not None:
+            self._database.close()
+            self._database = None
         self._lock.close()
--- a/copperyard/gateway/peers/neighbours.py
+++ b/copperyard/gateway/peers/neighbours.py
@@ -1,4 +1,4 @@
-"""A gateway's tasks for what is decided in common: links, one lane for what has to be durable first, and time."""
+"""Runs the coordination of one gateway: links, one task for durable actions in order, and timers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ...control.common import MESSAGES, Act, Common, CommonPlace, Done, Immediate, Note, Send, Write
 from ...control.neighbours import AGAIN
 from ...control.zones.facts import Gauge
-from ...control.zones.follow import near
+from ...control.zones.follow import own_zone_only
 from ...decide import Controller
 from ...interface import Ways
 from ...state.agreement.council import Kept
@@ -26,8 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Neighbourhood:
-    """What a gateway has to know at its start. `shelf` is a voter's, None for who does not vote; `fleet` a digest of
-    what all have to agree on; `trusted`: an operator vouches that the shelf is the newest."""
+    """What a gateway has to know at its start. `shelf`: log store of a voter, None for others; `fleet`: digest of the
+    settings that all gateways have to agree on; `trusted`: an operator asserts that the log store is the newest.
+    """
 
     place: CommonPlace
     listen: str
@@ -38,11 +39,11 @@
 
 
 class Neighbours:
-    """Runs one gateway's part. `act` is told what its front may do, whenever that changes; `unix_ms` is the date."""
+    """Runs the coordination of one gateway. `act` gets the ways of its front on each change; `unix_ms` is the date."""
 
     def __init__(
         self,
-        hood: Neighbourhood,
+        settings: Neighbourhood,
         gauge: Gauge,
         controller: Callable[[], Controller],
         network: Network,
@@ -51,38 +52,52 @@
         rng: random.Random,
         unix_ms: int,
     ) -> None:
-        self.hood, self.act, self.log = hood, act, log
-        self._timer, self._more = Signal(), Signal()
+        self.settings, self.act, self.log = settings, act, log
+        self._timer_wake, self._durable_wake = Signal(), Signal()
         self._wake_at: int | None = None
-        self._anew = False  # what lies on the shelf is of no use
-        kept = self._open() if hood.shelf is not None else None
-        self.common = Common(hood.place, gauge, controller, kept, rng.getrandbits(62), now(), unix_ms, hood.trusted)
+        self._rewrite = False  # the content of the log store is unusable: replace it with the next write
+        kept = self._open() if settings.shelf is not None else None
+        self.common = Common(
+            settings.place, gauge, controller, kept, rng.getrandbits(62), now(), unix_ms, settings.trusted
+        )
         self.links = Links(
-            network, hood.place.name, hood.fleet, unix_ms, hood.addresses, MESSAGES, self._heard, log, rng
+            network,
+            settings.place.name,
+            settings.fleet,
+            unix_ms,
+            settings.addresses,
+            MESSAGES,
+            self._message_received,
+            log,
+            rng,
         )
 
     def _open(self) -> Kept:
-        """What the shelf holds. One that is damaged counts as none: a voter without its shelf recovers from the
-        others, with a part of it it might not know that it should."""
-        shelf = self.hood.shelf
+        """Read the log store. A damaged one counts as empty: a voter without its log recovers from the others, but with
+        a part of it the voter might not notice that it has to.
+        """
+        shelf = self.settings.shelf
         assert shelf is not None
         try:
-            return from_bytes(shelf.open(self.hood.place.name))
+            return from_bytes(shelf.open(self.settings.place.name))
         except Damaged as error:
             self.log("shelf damaged", {"text": str(error)[:200]})
-            self._anew = True
+            self._rewrite = True
             return Kept()
 
     async def run(self, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until cancelled; tells the address of the links. A defect in what is decided in common shows in the log and
-        ends that part only: this front keeps to its own zone from then on, and no session ends for it."""
+        """Run until cancelled; reports the address of the links.
+
+        A defect in the coordination is logged and ends only that: this front uses only its own zone from then on, and
+        no session ends because of it.
+        """
         started = False
         try:
             async with trio.open_nursery() as nursery:
-                address = await nursery.start(self.links.run, self.hood.listen)
-                nursery.start_soon(self._lane)
-                nursery.start_soon(self._ticks)
-                self._carry_out()
+                address = await nursery.start(self.links.run, self.settings.listen)
+                nursery.start_soon(self._durable_loop)
+                nursery.start_soon(self._timer_loop)
+                self._run_actions()
                 started = True
                 task_status.started(address)
         except Exception as error:
@@ -99,29 +114,29 @@
                     "place": f"{place.name}:{place.lineno}",
                 },
             )
-            self.act(near(self.hood.place.terms, self.common.zone))
+            self.act(own_zone_only(self.settings.place.terms, self.common.zone))
         finally:
-            if self.hood.shelf is not None:
-                self.hood.shelf.close()
+            if self.settings.shelf is not None:
+                self.settings.shelf.close()
 
     def leave(self) -> None:
-        """A planned end: the others are told."""
+        """Announce a planned end to the others."""
         self.common.leave(now())
-        self._carry_out()
+        self._run_actions()
 
-    def _heard(self, sender: str, message: object) -> None:
+    def _message_received(self, sender: str, message: object) -> None:
         self.common.hear(now(), sender, message)
-        self._carry_out()
+        self._run_actions()
 
-    def _carry_out(self) -> None:
+    def _run_actions(self) -> None:
         for order in self.common.take():
-            self._at_once(order)
-        self._more.set()
+            self._run_action(order)
+        self._durable_wake.set()
         wake = self.common.next_wake()
         if self._wake_at is None or wake < self._wake_at:
-            self._timer.set()
+            self._timer_wake.set()
 
-    def _at_once(self, order: Immediate) -> None:
+    def _run_action(self, order: Immediate) -> None:
         if isinstance(order, Send):
             self.links.send(order.to, order.message)
         elif isinstance(order, Act):
@@ -129,53 +144,53 @@
         else:
             self.log(order.event, dict(order.fields))
 
-    async def _ticks(self) -> None:
+    async def _timer_loop(self) -> None:
         while True:
             self._wake_at = self.common.next_wake()
             with trio.move_on_at(at(self._wake_at)) as waiting:
-                await self._timer.wait()
+                await self._timer_wake.wait()
             due, self._wake_at = self._wake_at, None
             if waiting.cancelled_caught or now() >= due:
-                # the deadline is a float and may come up a nanosecond before the time it stands for
+                # the deadline is a float and may fire a nanosecond before the exact time
                 self.common.wake(max(due, now()))
-                self._carry_out()
+                self._run_actions()
 
-    async def _lane(self) -> None:
-        """What is agreed on, one after another: a message leaves when all that was to be kept before it is kept."""
+    async def _durable_loop(self) -> None:
+        """Carry out durable actions in order: a message is sent after all earlier records are durable."""
         while True:
             orders = self.common.take_durable()
             if not orders:
-                await self._more.wait()
+                await self._durable_wake.wait()
             for order in orders:
                 if isinstance(order, Write):
                     await self._write(order)
                 elif isinstance(order, Done):
                     self.common.applied(now(), order.order)
-                    self._carry_out()
+                    self._run_actions()
                 elif isinstance(order, Send):
                     self.links.send(order.to, order.message)
                 else:
                     assert isinstance(order, Note)
                     self.log(order.event, dict(order.fields))
             if orders:
-                self._carry_out()  # a council that waited for the disk has its times again
+                self._run_actions()  # a council that waited for the disk resumes its timers
 
     async def _write(self, order: Write) -> None:
-        """A voter whose disk takes nothing says nothing: it counts as dead until it does."""
-        shelf = self.hood.shelf
+        """Write until it succeeds: a voter whose disk fails sends nothing, and counts as dead until it works again."""
+        shelf = self.settings.shelf
         assert shelf is not None
         records = to_bytes(order.records)
         failed = False
         while True:
             try:
-                await (shelf.renew(records) if order.anew or self._anew else shelf.append(records))
+                await (shelf.renew(records) if order.anew or self._rewrite else shelf.append(records))
             except OSError as error:
                 if not failed:
                     self.log("shelf failed", {"text": str(error)[:200]})
                 failed = True
                 await trio.sleep(AGAIN)
                 continue
-            self._anew = False
+            self._rewrite = False
             if failed:
                 self.log("shelf well again", {})
             return
--- a/copperyard/membership/__init__.py
+++ b/copperyard/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: the hosts that the list service names."""
+"""Membership: the hosts of the list service, and the gateways of the site."""
--- a/copperyard/membership/gateways/__init__.py
+++ b/copperyard/membership/gateways/__init__.py
@@ -1,4 +1,5 @@
-"""Which gateways live, found out by each from the others: SWIM with suspicion and awareness of one's own slowness.
+"""Membership of gateways: SWIM with suspicion and Lifeguard's local health multiplier.
 
-`members.py` is the protocol, `messages.py` its messages, `sight.py` who sees whom between zones. No I/O.
+`members.py` is the protocol, `messages.py` its messages, `reachability.py` which zone reaches which, and `cells.py` the
+partition of the gateways into cells. No I/O.
 """
--- a/copperyard/membership/gateways/cells.py
+++ b/copperyard/membership/gateways/cells.py
@@ -1,12 +1,12 @@
-"""Cells: which gateways of a zone know each other by name, worked out by all alike from the settings.
+"""Cells: which gateways of a zone know each other by name. Every gateway computes the same cells from the settings.
 
-A gateway that knows all others by name pays for each of them: in memory, in rumours, in reports to whoever leads. So
-each zone's gateways fall into cells of some tens, by rendezvous hashing (Thaler, Ravishankar 1998) with bounded loads:
-one that joins or goes moves few others. SWIM runs within a cell; towards each other zone a cell knows a few contacts,
-all of one cell there. A site small enough for one cell a zone, with no more gateways in it than contacts, is one in
-which everybody knows everybody.
+A gateway that knows all others by name pays for each of them in memory, gossip and reports to the leader. So the
+gateways of each zone are split into cells of some tens by rendezvous hashing (Thaler, Ravishankar 1998) with bounded
+loads: a gateway that joins or leaves moves few others. SWIM runs within a cell; of each other zone a cell knows a few
+contacts, all of one cell there. In a site with one cell per zone and no more gateways in it than contacts, all gateways
+know each other.
 
-No I/O, no clock, no chance: who has the same roster has the same cells.
+No I/O, no clock, no randomness: the same roster gives the same cells.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 import xxhash
 
-CELL = 24  # gateways that a cell has in the mean: SWIM's time to detect grows with the logarithm, reports fall with 1/n
-MOST_CELL = 30  # that it has at most: a bit each in a report's masks, and 1.25 times the mean
-CONTACTS = 3  # known of each other zone: the least of which a majority can tell one dead gateway from a lost zone
-DELEGATES = 2  # who report for a cell: one may die, or be cut off, unnoticed for the time that it takes to see it
-MASK = (1 << 62) - 1  # what fits into a frame's whole number
+MEAN_CELL_SIZE = 24  # SWIM's detection time grows with its logarithm, the number of reports falls with 1/n
+MAX_CELL_SIZE = 30  # each member has a bit in the masks of a report; 1.25 times the mean
+CONTACTS_PER_ZONE = 3  # the least of which a majority can tell one dead gateway from a lost zone
+DELEGATES_PER_CELL = 2  # one may be dead or cut off until that is detected
+DIGEST_MASK = (1 << 62) - 1  # digests have to fit into an integer of a frame
 
 
 def weight(key: str, name: str) -> int:
-    """How much `name` is drawn by `key`, alike everywhere: 64 bits."""
+    """Return the rendezvous weight of `name` for `key`: 64 bits, the same in every process and version."""
     return int(xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode()))
 
 
 def ranked(key: str, names: Sequence[str]) -> list[str]:
-    """Names by their weight for `key`, the greatest first."""
+    """Return the names by their weight for `key`, greatest first."""
     return sorted(names, key=lambda name: (-weight(key, name), name))
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """Gateways of one zone that know each other. `names` in their order; `digest` tells two rosters apart."""
+    """Gateways of one zone that know each other. `names` are sorted; `digest` tells two rosters apart."""
 
     zone: int
     number: int
@@ -44,18 +44,20 @@
 
     @property
     def key(self) -> str:
+        """The cell's name, `zone.number`."""
         return f"{self.zone}.{self.number}"
 
     def ranks(self) -> list[str]:
-        """Names in the order in which they are delegates; contacts are taken from its end."""
+        """Return the names in the order in which they become delegates; contacts are taken from the end."""
         return ranked(f"rank {self.key}", self.names)
 
 
 @dataclass(frozen=True, slots=True)
 class CellPlace:
-    """What one gateway holds of the site's cells. `contacts`: names known of other zones, with their zones; `watchers`:
-    gateways that hold this one for a contact; `sizes`: (digest, members) of every cell, and
-    `numbers`: the cell of every gateway, by zone, at voters only."""
+    """What one gateway knows of the site's cells. `contacts`: known names of other zones, with their zones; `watchers`:
+    gateways that have this one as a contact; at voters only: `sizes`, (digest, members) of every cell, and `numbers`,
+    the (zone, cell) of every gateway.
+    """
 
     cell: Cell
     contacts: Mapping[str, int]
@@ -65,21 +67,21 @@
 
     @property
     def zone(self) -> int:
-        """The gateway's own."""
+        """The gateway's own zone."""
         return self.cell.zone
 
     @property
     def roster(self) -> dict[str, int]:
-        """Whom SWIM knows here: the cell and its contacts, by zone."""
+        """The members that SWIM knows here, with their zones: the cell and its contacts."""
         return {**dict.fromkeys(self.cell.names, self.cell.zone), **self.contacts}
 
 
 class CellMap:
-    """All cells of a site. `roster` names all its gateways with their zones' numbers."""
+    """All cells of a site. `roster` maps all its gateways to the numbers of their zones."""
 
-    def __init__(self, roster: Mapping[str, int], zones: int, size: int = CELL) -> None:
-        if size < 3 or size * 5 // 4 > MOST_CELL:
-            raise ValueError(f"cells of {size} gateways: 3 to {MOST_CELL * 4 // 5} are possible")
+    def __init__(self, roster: Mapping[str, int], zones: int, size: int = MEAN_CELL_SIZE) -> None:
+        if size < 3 or size * 5 // 4 > MAX_CELL_SIZE:
+            raise ValueError(f"cells of {size} gateways: 3 to {MAX_CELL_SIZE * 4 // 5} are possible")
         self.roster = roster
         self.size = size
         names: list[list[str]] = [[] for _ in range(zones)]
@@ -87,8 +89,10 @@
             names[zone].append(name)
         self.zones = tuple(self._cells(zone, found) for zone, found in enumerate(names))
         self._cell_of = {name: cell for cells in self.zones for cell in cells for name in cell.names}
-        self._contacts = {cell.key: tuple(sorted(cell.ranks()[-CONTACTS:])) for cells in self.zones for cell in cells}
-        self._watching: dict[str, list[Cell]] = {}  # key of a cell: those that have their contacts in it
+        self._contacts = {
+            cell.key: tuple(sorted(cell.ranks()[-CONTACTS_PER_ZONE:])) for cells in self.zones for cell in cells
+        }
+        self._watching: dict[str, list[Cell]] = {}  # by key of a cell: the cells that have their contacts in it
         for cells in self.zones:
             for cell in cells:
                 for there in self._opposite(cell):
@@ -100,20 +104,26 @@
 
     def _cells(self, zone: int, names: Sequence[str]) -> tuple[Cell, ...]:
         count = max(1, -(-len(names) // self.size))
-        most = -(-len(names) * 5 // (4 * count))
+        limit = -(-len(names) * 5 // (4 * count))
         keys = [f"cell {zone}.{n}" for n in range(count)]
         members: list[list[str]] = [[] for _ in range(count)]
         for name in ranked(f"zone {zone}", names) if count > 1 else names:
             order = sorted(range(count), key=lambda n: weight(keys[n], name), reverse=True) if count > 1 else (0,)
-            members[next(n for n in order if count == 1 or len(members[n]) < most)].append(name)
+            members[next(n for n in order if count == 1 or len(members[n]) < limit)].append(name)
         return tuple(
-            Cell(zone, n, tuple(sorted(found)), int(xxhash.xxh3_64_intdigest("\0".join(sorted(found)).encode())) & MASK)
+            Cell(
+                zone,
+                n,
+                tuple(sorted(found)),
+                int(xxhash.xxh3_64_intdigest("\0".join(sorted(found)).encode())) & DIGEST_MASK,
+            )
             for n, found in enumerate(members)
         )
 
     def _opposite(self, cell: Cell) -> list[Cell]:
-        """The cell of each other zone that this one has its contacts in: by number, so that each is watched by as many
-        as any other."""
+        """Return the cell of each other zone that holds this one's contacts. They are assigned by number, so that all
+        cells have about equally many watchers.
+        """
         return [
             cells[cell.number % len(cells)]
             for zone, cells in enumerate(self.zones)
@@ -121,15 +131,15 @@
         ]
 
     def of(self, name: str) -> Cell:
-        """The cell of a gateway. KeyError for one that is none of the site's."""
+        """Return the cell of a gateway. KeyError for a name that is not of the site."""
         return self._cell_of[name]
 
     def contacts(self, cell: Cell) -> dict[str, int]:
-        """Whom a cell knows of other zones, with their zones."""
+        """Return the contacts of a cell in other zones, with their zones."""
         return {name: there.zone for there in self._opposite(cell) for name in self._contacts[there.key]}
 
     def place(self, name: str, votes: bool = False) -> CellPlace:
-        """What the gateway of that name holds. A voter hears every cell, so it holds their sizes, and knows of all."""
+        """Return what one gateway knows. A voter gets reports of every cell, so it knows all names and cell sizes."""
         cell = self.of(name)
         contacts = self.contacts(cell)
         if votes:
--- a/copperyard/membership/gateways/members.py
+++ b/copperyard/membership/gateways/members.py
@@ -1,14 +1,14 @@
-"""Who of the site's gateways lives.
+"""Failure detection and membership of the site's gateways.
 
-After SWIM (Das, Gupta, Motivala 2002): each gateway asks one other a period, has others ask where it hears nothing, and
-what it finds travels on the messages that go anyhow, so that load and time to detect do not grow with the fleet. After
-Lifeguard (Dadgar, Phillips, Currey 2018): a gateway that misses answers or stood still takes itself for slow first and
-waits longer; a suspicion lasts the shorter the more gateways share it; whoever is suspected is told so at once.
+SWIM (Das, Gupta, Motivala 2002): each gateway probes one other per period, asks others for indirect probes if it gets
+no answer, and piggybacks what it finds on these messages, so that load and detection time do not grow with the fleet.
+Lifeguard (Dadgar, Phillips, Currey 2018): a gateway that misses answers or stalled first assumes that it is slow itself
+and waits longer; a suspicion is shorter the more gateways confirm it; a suspected member is told so at once.
 
-Added here: zones. One suspect makes its zone's others be asked next, so that a lost zone is found out in about the time
-of one lost gateway. Helpers are drawn from three sides: one's own zone, the target's, any other. Who is dead is still
-asked now and then, so that two halves of a cut site find each other again. The gateways that there may be are those of
-the settings.
+Zones are an addition: one suspect causes the other members of its zone to be probed next, so that a lost zone is
+detected in about the time of one lost gateway. Helpers for indirect probes are drawn from the own zone, the target's
+zone and other zones. Dead members are still probed now and then, so that the halves of a partitioned site find each
+other again. The possible members are those of the settings.
 """
 
 from __future__ import annotations
@@ -19,29 +19,30 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from .messages import Ack, Life, Look, Message, Nothing, Ping, Rumour
-from .sight import Sight
+from .messages import Ack, GossipUpdate, Life, Look, Message, Nothing, Ping
+from .reachability import Reachability
 
 SECOND = 1_000_000_000
-AWARE = 8  # highest count of one's own slowness; each count lengthens all times by one of themselves
-HELPERS = 3  # who is asked to ask for me
-SUSPECT = 3.0  # a suspicion that all share lasts so many periods, times the logarithm of the fleet
-SUSPECT_MOST = 4.0  # one that nobody shares lasts so many times longer
-SHARED = 3  # suspicions of others after which it is as short as it gets
-CARRIED = 16  # rumours on one message
-TOLD = 4.0  # a rumour goes out so many times, times the logarithm of the fleet
-ROWS = 3  # rows on one message, the own one among them
-URGENT = 4  # asked in a period besides the one whose turn it is, where a zone may be lost
-SHARERS = 6  # told at once: of its zone, by one that suspects a gateway first-hand; of all, by one that is suspected
-LOOKERS = 6  # of those that know a gateway, who look for themselves when they hear of a suspicion
-RETRY = 10  # of so many periods one asks somebody who is dead
-MOST_COUNT = 1 << 60  # an incarnation that no life can have: one more would fit into no frame
-STOOD = 500_000_000  # ns by which this process may be late before it says that it stood still
+MAX_LOCAL_HEALTH = 8  # greatest local health multiplier; each step lengthens all times by their base value
+INDIRECT_PROBES = 3  # helpers asked for an indirect probe
+SUSPICION_PERIODS = 3.0  # shortest suspicion, periods times the logarithm of the fleet
+SUSPICION_MAX_FACTOR = 4.0  # an unconfirmed suspicion lasts so many times longer
+MAX_CONFIRMATIONS = 3  # confirmations by others after which a suspicion is shortest
+MAX_PIGGYBACK = 16  # updates on one message
+DISSEMINATION_FACTOR = 4.0  # an update is sent so many times, times the logarithm of the fleet
+MAX_ROWS = 3  # rows on one message, including the own one
+MAX_URGENT_PROBES = 4  # extra probes in a period if a zone may be lost
+# members told at once: of its zone by a gateway that suspects first-hand; of all by a suspected one
+SUSPICION_FANOUT = 6
+CONFIRMING_PROBERS = 6  # expected number of members that probe the suspect when they hear of a suspicion
+DEAD_PROBE_PERIODS = 10  # one in so many periods probes a dead member
+MAX_INCARNATION = 1 << 60  # no life reaches it; the next number would not fit into a frame
+STALL_THRESHOLD_NS = 500_000_000  # a timer later than this counts as a stall of this process
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """Times in ns: a period between questions, how long an answer may take before others are asked to ask."""
+    """Times in ns: the probe period, and how long an answer may take before indirect probes are requested."""
 
     period: int = SECOND
     timeout: int = SECOND * 2 // 5
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """Send a message to a gateway; it may be lost."""
+    """Action: send a message to a gateway; it may be lost."""
 
     to: str
     message: Message
@@ -57,16 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """A gateway is held for something else than before. `first`: this gateway found it out by itself."""
+    """Action: the state of a member changed. `first_hand`: this gateway detected it itself."""
 
     name: str
     life: Life
-    first: bool
+    first_hand: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Stood:
-    """This process stood still for so long (ns): its questions of that time prove nothing."""
+    """Action: this process stalled for `ns`: its probes of that time prove nothing."""
 
     ns: int
 
@@ -76,44 +77,47 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is held of one other gateway."""
+    """What this gateway knows of another one."""
 
     name: str
     zone: int
     life: Life = Life.ALIVE
     incarnation: int = 0
-    since: int = 0
-    until: int = 0  # end of a suspicion
-    accusers: set[str] = field(default_factory=set)
+    state_since: int = 0
+    suspicion_ends_at: int = 0
+    suspectors: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class Probe:
-    """A question that is out."""
+    """A probe without an answer yet."""
 
     target: str
-    sent: int
-    ask_others: int
-    end: int
+    sent_at: int
+    indirect_at: int
+    deadline: int
     helpers: tuple[str, ...] = ()
-    nothings: set[str] = field(default_factory=set)  # helpers that heard nothing either
+    nacks: set[str] = field(default_factory=set)  # helpers that got no answer either
 
 
 @dataclass(slots=True)
-class Errand:
-    """A question asked for another."""
+class IndirectProbe:
+    """A probe on behalf of another gateway."""
 
-    asker: str
+    requester: str
     number: int
-    nothing_at: int
-    end: int
+    nack_at: int
+    deadline: int
 
 
 class Members:
-    """One gateway's view. `roster` names whom it knows, itself among them, with their zones' numbers: its cell and its
-    contacts (cells.py); `watchers` are others that know this one for a contact: they get answers, nothing is held of
-    them. `incarnation` has to be above any that this gateway had before (the date in ms does; a clock set back is found
-    out and passed)."""
+    """One gateway's view of the membership.
+
+    `roster` maps the gateways that it knows, including itself, to their zones: its cell and its contacts (cells.py).
+    `watchers` are other gateways that have this one as a contact: their probes are answered, but no state of them is
+    kept. `incarnation` has to be greater than in any earlier life (the date in ms is; if the clock was set back, the
+    gateway refutes its old state with a greater incarnation).
+    """
 
     def __init__(
         self,
@@ -130,351 +134,383 @@
         self.watchers = watchers if watchers is not None else {}
         self.random = random.Random(seed)
         self.incarnation = incarnation
-        self.members = {name: Member(name, zone, since=now) for name, zone in roster.items() if name != me}
-        self.sight = Sight(me, dict(roster), zones)
-        self.awareness = 0
+        self.members = {name: Member(name, zone, state_since=now) for name, zone in roster.items() if name != me}
+        self.reachability = Reachability(me, dict(roster), zones)
+        self.local_health = 0
         self.leaving = False
-        self.stood = now - 3600 * SECOND  # when this process last stood still
+        self.stalled_at = now - 3600 * SECOND  # when this process last stalled
         self._number = 0
         self._suspects: dict[str, Member] = {}
         self._probes: dict[int, Probe] = {}
-        self._errands: dict[int, Errand] = {}
-        self._order: list[str] = []
-        self._urgent: deque[str] = deque()
-        self._left_urgent = 0
-        self._rounds = 0
-        self._round_at = now + int(self.random.random() * pace.period)
-        self._rumours: dict[str, list[int]] = {}  # name -> [times left]; what is told is what is held
-        self._out: list[Action] = []
-        self.sent = self.sent_rumours = 0
-
-    # ---- what others ask of this object
+        self._indirect_probes: dict[int, IndirectProbe] = {}
+        self._probe_order: list[str] = []
+        self._urgent_targets: deque[str] = deque()
+        self._urgent_left = 0
+        self._period_count = 0
+        self._next_period_at = now + int(self.random.random() * pace.period)
+        self._updates: dict[str, list[int]] = {}  # by name: [transmissions left]; the content is the current state
+        self._actions: list[Action] = []
+        self.sent = self.sent_updates = 0
+
+    # ---- interface
 
     def take(self) -> list[Action]:
-        """What is to be done, in order; forgotten here with that."""
-        out, self._out = self._out, []
+        """Return the pending actions in order and clear them."""
+        out, self._actions = self._actions, []
         return out
 
     def living(self) -> list[str]:
-        """Gateways that are held for alive or only suspected, this one among them, by name."""
+        """Return the sorted names of alive and suspect members and this gateway."""
         return sorted([self.me, *(m.name for m in self.members.values() if m.life <= Life.SUSPECT)])
 
     def cut_off(self, now: int) -> bool:
-        """Whether this gateway, perhaps with its zone, is cut off from the others, by its own evidence alone: nothing
-        came of late from anybody of two other zones or more. One lost zone would leave the rest. (Whom it holds for
-        dead tells that later: a gateway that gets no answers takes itself for slow first.)"""
-        return now - self.stood > self.sight.span and self.sight.cut_off(now)
+        """Whether this gateway, perhaps with its zone, is isolated, by its own observations alone: nothing was heard
+        recently from at least two other zones. A single lost zone would leave the rest. (Member states show this
+        later: a gateway that gets no answers first assumes that it is slow itself.)
+        """
+        return now - self.stalled_at > self.reachability.window and self.reachability.cut_off(now)
 
     def next_wake(self) -> int:
+        """Return when `wake` is due."""
         times = [
-            self._round_at,
-            *(p.end for p in self._probes.values()),
-            *(p.ask_others for p in self._probes.values() if not p.helpers),
-            *(member.until for member in self._suspects.values()),
-            *(e.nothing_at for e in self._errands.values() if e.nothing_at),
+            self._next_period_at,
+            *(p.deadline for p in self._probes.values()),
+            *(p.indirect_at for p in self._probes.values() if not p.helpers),
+            *(member.suspicion_ends_at for member in self._suspects.values()),
+            *(e.nack_at for e in self._indirect_probes.values() if e.nack_at),
         ]
         return min(times)
 
-    def doubt(self, name: str) -> None:
-        """There is some other reason to doubt that a gateway lives: it is asked soon."""
+    def probe_soon(self, name: str) -> None:
+        """Probe a gateway soon because of some other sign that it may be dead."""
         member = self.members.get(name)
-        if member is not None and member.life is not Life.DEAD and name not in self._urgent:
-            self._urgent.append(name)
+        if member is not None and member.life is not Life.DEAD and name not in self._urgent_targets:
+            self._urgent_targets.append(name)
 
-    def tell(self, now: int, names: Sequence[str], whom: str) -> None:
-        """Ask all these at once, so that what is held of one gateway travels with each of the questions."""
+    def disseminate_now(self, now: int, names: Sequence[str], subject: str) -> None:
+        """Probe all these gateways at once, so that the state of `subject` spreads with each of the probes."""
         for name in names:
-            self._rumour(whom)
-            self._ask(now, name)
+            self._queue_update(subject)
+            self._probe(now, name)
 
     def leave(self, now: int) -> None:
-        """A planned end: tell some at once; they tell the others."""
+        """Announce a planned end to some members at once; they tell the others."""
         self.leaving = True
-        self._rumour(self.me)
+        self._queue_update(self.me)
         living = [m.name for m in self.members.values() if m.life is Life.ALIVE]
-        for name in self.random.sample(living, min(len(living), HELPERS * 2)):
-            self._ask(now, name)
+        for name in self.random.sample(living, min(len(living), INDIRECT_PROBES * 2)):
+            self._probe(now, name)
 
     # ---- time
 
     def wake(self, now: int) -> None:
-        """Time has passed."""
+        """Handle all timers that are due."""
         due = self.next_wake()
-        if now - due > STOOD:
-            self._stood_still(now, now - due)
+        if now - due > STALL_THRESHOLD_NS:
+            self._on_stall(now, now - due)
         for number, probe in list(self._probes.items()):
-            if now >= probe.end:
+            if now >= probe.deadline:
                 del self._probes[number]
-                self._unanswered(now, probe)
-            elif now >= probe.ask_others and not probe.helpers:
-                self._ask_others(now, number, probe)
-        for number, errand in list(self._errands.items()):
-            if errand.nothing_at and now >= errand.nothing_at:
-                errand.nothing_at = 0
-                self._say(errand.asker, Nothing(errand.number))
-            if now >= errand.end:
-                del self._errands[number]
+                self._probe_failed(now, probe)
+            elif now >= probe.indirect_at and not probe.helpers:
+                self._probe_indirectly(now, number, probe)
+        for number, request in list(self._indirect_probes.items()):
+            if request.nack_at and now >= request.nack_at:
+                request.nack_at = 0
+                self._send(request.requester, Nothing(request.number))
+            if now >= request.deadline:
+                del self._indirect_probes[number]
         for member in list(self._suspects.values()):
-            if now >= member.until:
-                self._hold(now, member, Life.DEAD, member.incarnation, self.me)
-        if now >= self._round_at and not self.leaving:
-            self._round_at = now + self._slow(self.pace.period)
-            self._left_urgent = URGENT
-            self._round(now)
-        while self._urgent and self._left_urgent and not self.leaving:
-            self._left_urgent -= 1
-            self._ask(now, self._urgent.popleft())
-
-    def _stood_still(self, now: int, late: int) -> None:
-        """What seemed silent while this process did not run proves nothing of the others: whoever stood still blames
-        itself, and gives every suspicion the time again that it could not listen."""
-        self._out.append(Stood(late))
-        self.stood = now
-        self.awareness = min(AWARE, self.awareness + 2)
+            if now >= member.suspicion_ends_at:
+                self._set_state(now, member, Life.DEAD, member.incarnation, self.me)
+        if now >= self._next_period_at and not self.leaving:
+            self._next_period_at = now + self._scaled(self.pace.period)
+            self._urgent_left = MAX_URGENT_PROBES
+            self._start_period(now)
+        while self._urgent_targets and self._urgent_left and not self.leaving:
+            self._urgent_left -= 1
+            self._probe(now, self._urgent_targets.popleft())
+
+    def _on_stall(self, now: int, stall: int) -> None:
+        """Handle a stall of this process: missing answers prove nothing about the others then, so the local health
+        multiplier grows and each suspicion is extended by the time of the stall.
+        """
+        self._actions.append(Stood(stall))
+        self.stalled_at = now
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 2)
         self._probes.clear()
-        self._errands.clear()
+        self._indirect_probes.clear()
         for member in self._suspects.values():
-            member.until = max(member.until, now) + late
-        self.sight.forget(now)
+            member.suspicion_ends_at = max(member.suspicion_ends_at, now) + stall
+        self.reachability.drop_unanswered(now)
 
-    def _slow(self, time: int) -> int:
-        return time * (1 + self.awareness)
+    def _scaled(self, duration: int) -> int:
+        return duration * (1 + self.local_health)
 
-    def _round(self, now: int) -> None:
-        self._rounds += 1
-        self.sight.tick(now, self.incarnation, self.pace.period)
-        name = self._next()
+    def _start_period(self, now: int) -> None:
+        self._period_count += 1
+        self.reachability.start_period(now, self.incarnation, self.pace.period)
+        name = self._next_target()
         if name is not None:
-            self._ask(now, name)
-
-    def _next(self) -> str | None:
-        """Whose turn it is: a drawn order in which everybody comes once before anybody comes again."""
-        if self._rounds % RETRY == 0:
-            gone = [m.name for m in self.members.values() if m.life > Life.SUSPECT]
-            if gone:
-                return self.random.choice(gone)
+            self._probe(now, name)
+
+    def _next_target(self) -> str | None:
+        """Return the next member to probe: in random order, each once before any is probed again."""
+        if self._period_count % DEAD_PROBE_PERIODS == 0:
+            dead = [m.name for m in self.members.values() if m.life > Life.SUSPECT]
+            if dead:
+                return self.random.choice(dead)
         for _ in range(2):
-            while self._order:
-                member = self.members[self._order.pop()]
+            while self._probe_order:
+                member = self.members[self._probe_order.pop()]
                 if member.life <= Life.SUSPECT:
                     return member.name
-            self._order = sorted(self.members)
-            self.random.shuffle(self._order)
-        return self._order.pop() if self._order else None
+            self._probe_order = sorted(self.members)
+            self.random.shuffle(self._probe_order)
+        return self._probe_order.pop() if self._probe_order else None
 
-    # ---- asking
+    # ---- probes
 
-    def _ask(self, now: int, name: str) -> None:
+    def _probe(self, now: int, name: str) -> None:
         self._number += 1
         self._probes[self._number] = Probe(
-            name, now, now + self._slow(self.pace.timeout), now + self._slow(self.pace.period)
+            name, now, now + self._scaled(self.pace.timeout), now + self._scaled(self.pace.period)
+        )
+        self.reachability.probe_sent(now, name)
+        self._send(
+            name,
+            Ping(
+                self._number,
+                self.incarnation,
+                self._piggyback(name),
+                self.reachability.rows_to_send(self.random, MAX_ROWS),
+            ),
         )
-        self.sight.asked(now, name)
-        self._say(name, Ping(self._number, self.incarnation, self._carry(name), self.sight.carry(self.random, ROWS)))
 
-    def _ask_others(self, now: int, number: int, probe: Probe) -> None:
+    def _probe_indirectly(self, now: int, number: int, probe: Probe) -> None:
         target = self.members[probe.target]
         others = [m for m in self.members.values() if m.life is Life.ALIVE and m.name != target.name]
         self.random.shuffle(others)
-        sides: list[list[Member]] = [
+        groups: list[list[Member]] = [
             [m for m in others if m.zone == self.zone],
             [m for m in others if m.zone == target.zone],
             [m for m in others if m.zone not in (self.zone, target.zone)],
         ]
-        helpers = [side[0].name for side in sides if side]
-        helpers += [m.name for m in others if m.name not in helpers][: max(0, HELPERS - len(helpers))]
+        helpers = [side[0].name for side in groups if side]
+        helpers += [m.name for m in others if m.name not in helpers][: max(0, INDIRECT_PROBES - len(helpers))]
         probe.helpers = tuple(dict.fromkeys(helpers)) or ("",)
         for helper in helpers:
-            self._say(helper, Look(number, probe.target, self._carry(helper)))
-
-    def _unanswered(self, now: int, probe: Probe) -> None:
-        """Neither it nor anybody for it. Where no helper said a word, this gateway may be the deaf one. (Each silent
-        helper counted for itself once: with a lost zone, whose gateways are asked to help as well, everybody took
-        itself for slow and the zone was known to all after two minutes.)"""
-        if not probe.nothings:
-            self.awareness = min(AWARE, self.awareness + 1)
+            self._send(helper, Look(number, probe.target, self._piggyback(helper)))
+
+    def _probe_failed(self, now: int, probe: Probe) -> None:
+        """Handle a probe without a direct or indirect answer.
+
+        If no helper sent a nack, this gateway may itself be the cause. (An earlier version counted each silent helper.
+        If a zone was lost, whose gateways are asked to help as well, all gateways took themselves for slow, and the
+        loss was known to all only after two minutes.)
+        """
+        if not probe.nacks:
+            self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
         member = self.members[probe.target]
         if member.life is Life.ALIVE:
-            self._hold(now, member, Life.SUSPECT, member.incarnation, self.me)
-        elif member.life is not Life.SUSPECT or not self._share(member, self.me):
+            self._set_state(now, member, Life.SUSPECT, member.incarnation, self.me)
+        elif member.life is not Life.SUSPECT or not self._confirm_suspicion(member, self.me):
             return
-        # by turns it takes seconds until those that suspect it know of each other, and the suspicion lasts for them
-        near = [
+        # with periodic probes alone it takes seconds until the suspecting members know of each other, which prolongs
+        # the suspicion
+        zone_peers = [
             other.name
             for other in self.members.values()
             if other.zone == self.zone == member.zone and other.life is Life.ALIVE
         ]
-        self.tell(now, self.random.sample(near, min(len(near), SHARERS)), member.name)
+        self.disseminate_now(now, self.random.sample(zone_peers, min(len(zone_peers), SUSPICION_FANOUT)), member.name)
 
-    def _share(self, member: Member, by: str) -> bool:
-        """One more gateway suspects it first-hand; whether that was news."""
-        if by in member.accusers or len(member.accusers) > SHARED:
+    def _confirm_suspicion(self, member: Member, by: str) -> bool:
+        """Add a gateway that suspects the member first-hand; return whether it was new."""
+        if by in member.suspectors or len(member.suspectors) > MAX_CONFIRMATIONS:
             return False
-        member.accusers.add(by)
-        member.until = min(member.until, member.since + self._patience(len(member.accusers) - 1))
-        self._rumour(member.name)
+        member.suspectors.add(by)
+        member.suspicion_ends_at = min(
+            member.suspicion_ends_at, member.state_since + self._suspicion_timeout(len(member.suspectors) - 1)
+        )
+        self._queue_update(member.name)
         return True
 
-    # ---- hearing
+    # ---- messages
 
     def hear(self, now: int, sender: str, message: Message) -> None:
-        """A message of another gateway, known or one that knows this one."""
+        """Handle a message of a member or of a watcher."""
         member = self.members.get(sender)
         if member is None:
-            self._watched(now, sender, message)
+            self._hear_watcher(now, sender, message)
             return
         if isinstance(message, Ping | Ack | Look):
-            for rumour in message.rumours:
-                self._heard(now, rumour)
+            for update in message.updates:
+                self._update_received(now, update)
         if isinstance(message, Ping | Ack):
             for row in message.rows:
-                self.sight.learn(now, row)
+                self.reachability.merge_row(now, row)
         if isinstance(message, Ping):
-            self.sight.heard(now, sender)
-            # who speaks lives, whatever was held of the life before this one
+            self.reachability.heard_from(now, sender)
+            # a sender with a new incarnation is alive, whatever the state of its earlier life
             if message.incarnation > member.incarnation:
-                self._hold(now, member, Life.ALIVE, message.incarnation, sender)
-            self._say(sender, Ack(message.number, self.me, self._carry(sender), self.sight.carry(self.random, ROWS)))
+                self._set_state(now, member, Life.ALIVE, message.incarnation, sender)
+            self._send(
+                sender,
+                Ack(
+                    message.number,
+                    self.me,
+                    self._piggyback(sender),
+                    self.reachability.rows_to_send(self.random, MAX_ROWS),
+                ),
+            )
         elif isinstance(message, Look):
-            self._errand(now, sender, message)
+            self._probe_for(now, sender, message)
         elif isinstance(message, Nothing):
             probe = self._probes.get(message.number)
             if probe is not None and sender in probe.helpers:
-                probe.nothings.add(sender)
+                probe.nacks.add(sender)
         else:
-            self._answered(now, sender, message)
+            self._ack_received(now, sender, message)
 
-    def _watched(self, now: int, sender: str, message: Message) -> None:
-        """A watcher asks. What it says of those that are known here counts, and that it speaks at all: its zone lives.
-        One that neither knows the other says nothing to."""
+    def _hear_watcher(self, now: int, sender: str, message: Message) -> None:
+        """Handle a probe of a watcher: use its updates on known members and answer it; it also shows that its zone is
+        reachable. Messages of unknown senders are ignored.
+        """
         zone = self.watchers.get(sender)
         if zone is None or not isinstance(message, Ping | Look):
             return
-        for rumour in message.rumours:
-            self._heard(now, rumour)
+        for update in message.updates:
+            self._update_received(now, update)
         if isinstance(message, Look):
-            self._errand(now, sender, message)
+            self._probe_for(now, sender, message)
             return
-        self.sight.spoke(now, zone)
-        self._say(sender, Ack(message.number, self.me, self._carry(sender), self.sight.carry(self.random, ROWS)))
+        self.reachability.heard_from_watcher(now, zone)
+        self._send(
+            sender,
+            Ack(
+                message.number, self.me, self._piggyback(sender), self.reachability.rows_to_send(self.random, MAX_ROWS)
+            ),
+        )
 
-    def _errand(self, now: int, sender: str, message: Look) -> None:
+    def _probe_for(self, now: int, sender: str, message: Look) -> None:
         if message.target not in self.members:
-            # whom one does not know one cannot ask; but who asked is not the deaf one
-            self._say(sender, Nothing(message.number))
+            # the target is not known here; the nack tells the requester that its own link works
+            self._send(sender, Nothing(message.number))
             return
-        if len(self._errands) > 2 * len(self.members):
+        if len(self._indirect_probes) > 2 * len(self.members):
             return
         self._number += 1
-        self._errands[self._number] = Errand(
+        self._indirect_probes[self._number] = IndirectProbe(
             sender, message.number, now + self.pace.timeout * 4 // 5, now + self.pace.period
         )
-        self._say(message.target, Ping(self._number, self.incarnation, self._carry(message.target), ()))
+        self._send(message.target, Ping(self._number, self.incarnation, self._piggyback(message.target), ()))
 
-    def _answered(self, now: int, sender: str, message: Ack) -> None:
-        errand = self._errands.pop(message.number, None)
-        if errand is not None and message.target == sender:
-            self._say(errand.asker, Ack(errand.number, sender, (), ()))
+    def _ack_received(self, now: int, sender: str, message: Ack) -> None:
+        request = self._indirect_probes.pop(message.number, None)
+        if request is not None and message.target == sender:
+            self._send(request.requester, Ack(request.number, sender, (), ()))
             return
         probe = self._probes.get(message.number)
         if probe is None or probe.target != message.target:
             return
         del self._probes[message.number]
         if message.target == sender:
-            self.sight.reached(now, sender, now - probe.sent > self.pace.timeout)
-        self.awareness = max(0, self.awareness - 1)
-
-    def _heard(self, now: int, rumour: Rumour) -> None:
-        if rumour.name == self.me and rumour.incarnation < MOST_COUNT:
-            wrong = rumour.life is not Life.ALIVE or rumour.incarnation > self.incarnation
-            if wrong and rumour.incarnation >= self.incarnation and not self.leaving:
-                # slow, or thought to be: say at once that this gateway lives, above what is said of it
-                self.incarnation = rumour.incarnation + 1
-                self.awareness = min(AWARE, self.awareness + 1)
-                near = [member.name for member in self.members.values() if member.life is not Life.LEFT]
-                self.tell(now, self.random.sample(near, min(len(near), SHARERS)), self.me)
+            self.reachability.probe_answered(now, sender, now - probe.sent_at > self.pace.timeout)
+        self.local_health = max(0, self.local_health - 1)
+
+    def _update_received(self, now: int, update: GossipUpdate) -> None:
+        if update.name == self.me and update.incarnation < MAX_INCARNATION:
+            refutable = update.state is not Life.ALIVE or update.incarnation > self.incarnation
+            if refutable and update.incarnation >= self.incarnation and not self.leaving:
+                # refute at once with a greater incarnation; others may suspect this gateway because it is slow
+                self.incarnation = update.incarnation + 1
+                self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
+                peers = [member.name for member in self.members.values() if member.life is not Life.LEFT]
+                self.disseminate_now(now, self.random.sample(peers, min(len(peers), SUSPICION_FANOUT)), self.me)
             return
-        member = self.members.get(rumour.name)
-        if member is None or not member.incarnation <= rumour.incarnation < MOST_COUNT:
+        member = self.members.get(update.name)
+        if member is None or not member.incarnation <= update.incarnation < MAX_INCARNATION:
             return
-        newer = rumour.incarnation > member.incarnation
-        if newer or rumour.life > member.life:
-            self._hold(now, member, rumour.life, rumour.incarnation, rumour.by)
-            # a few of all look for themselves: a suspicion that some share ends sooner, one that is wrong as well
-            if rumour.life is Life.SUSPECT and self.random.random() * len(self.members) < LOOKERS:
-                self.doubt(member.name)
-        elif rumour.life is Life.SUSPECT and member.life is Life.SUSPECT:
-            self._share(member, rumour.by)
-
-    def _hold(self, now: int, member: Member, life: Life, incarnation: int, by: str) -> None:
-        """Take up something else about a gateway, and tell others."""
-        changed = life is not member.life
-        member.life, member.incarnation = life, incarnation
-        if life is Life.SUSPECT:
+        newer = update.incarnation > member.incarnation
+        if newer or update.state > member.life:
+            self._set_state(now, member, update.state, update.incarnation, update.by)
+            # a few of all members probe it themselves: right suspicions are confirmed and wrong ones refuted sooner
+            if update.state is Life.SUSPECT and self.random.random() * len(self.members) < CONFIRMING_PROBERS:
+                self.probe_soon(member.name)
+        elif update.state is Life.SUSPECT and member.life is Life.SUSPECT:
+            self._confirm_suspicion(member, update.by)
+
+    def _set_state(self, now: int, member: Member, state: Life, incarnation: int, by: str) -> None:
+        """Set the state of a member and queue it for dissemination."""
+        changed = state is not member.life
+        member.life, member.incarnation = state, incarnation
+        if state is Life.SUSPECT:
             self._suspects[member.name] = member
         else:
             self._suspects.pop(member.name, None)
-        if changed or life is Life.SUSPECT:
-            member.since = now
-            member.accusers = {by}
-        self._rumour(member.name)
-        if life is Life.SUSPECT:
-            member.until = now + self._patience(0)
+        if changed or state is Life.SUSPECT:
+            member.state_since = now
+            member.suspectors = {by}
+        self._queue_update(member.name)
+        if state is Life.SUSPECT:
+            member.suspicion_ends_at = now + self._suspicion_timeout(0)
             for other in self.members.values():
                 if (
                     other.zone == member.zone
                     and other.life is Life.ALIVE
-                    and other.name not in self._urgent
+                    and other.name not in self._urgent_targets
                     and other.zone != self.zone
                     and by == self.me
                 ):
-                    self._urgent.append(other.name)
+                    self._urgent_targets.append(other.name)
         if changed:
-            self._out.append(Changed(member.name, life, by == self.me))
+            self._actions.append(Changed(member.name, state, by == self.me))
 
-    def _patience(self, shared: int) -> int:
-        """How long a suspicion lasts that `shared` others share."""
-        least = SUSPECT * max(1.0, math.log10(len(self.members) + 1)) * self.pace.period
-        most = SUSPECT_MOST * least
-        part = math.log(min(shared, SHARED) + 1) / math.log(SHARED + 1)
-        return self._slow(int(max(least, most - (most - least) * part)))
+    def _suspicion_timeout(self, confirmations: int) -> int:
+        """Return how long a suspicion lasts that `confirmations` others confirm, ns."""
+        shortest = SUSPICION_PERIODS * max(1.0, math.log10(len(self.members) + 1)) * self.pace.period
+        longest = SUSPICION_MAX_FACTOR * shortest
+        part = math.log(min(confirmations, MAX_CONFIRMATIONS) + 1) / math.log(MAX_CONFIRMATIONS + 1)
+        return self._scaled(int(max(shortest, longest - (longest - shortest) * part)))
 
-    # ---- rumours
+    # ---- dissemination
 
-    def _rumour(self, name: str) -> None:
-        times = math.ceil(TOLD * math.log10(len(self.members) + 2))
-        self._rumours[name] = [times]
+    def _queue_update(self, name: str) -> None:
+        times = math.ceil(DISSEMINATION_FACTOR * math.log10(len(self.members) + 2))
+        self._updates[name] = [times]
 
-    def _told(self, name: str) -> Rumour:
+    def _update_about(self, name: str) -> GossipUpdate:
         if name == self.me:
-            return Rumour(self.me, Life.LEFT if self.leaving else Life.ALIVE, self.incarnation, self.me)
+            return GossipUpdate(self.me, Life.LEFT if self.leaving else Life.ALIVE, self.incarnation, self.me)
         member = self.members[name]
-        # (always the same one of several: who heard of two accusers told everybody of one, and a suspicion that four
-        # shared went on to last as if one did)
+        # a random one of several: always naming the same one made a suspicion by four members last as long as one by a
+        # single member, since each member passed on only one of the suspecting members that it knew
         by = (
             self.me
-            if self.me in member.accusers or not member.accusers
-            else self.random.choice(sorted(member.accusers))
+            if self.me in member.suspectors or not member.suspectors
+            else self.random.choice(sorted(member.suspectors))
         )
-        return Rumour(name, member.life, member.incarnation, by)
+        return GossipUpdate(name, member.life, member.incarnation, by)
 
-    def _carry(self, to: str) -> tuple[Rumour, ...]:
-        """What goes along with a message: first what is held of its receiver, if that is ill; then what was told the
-        least often."""
+    def _piggyback(self, to: str) -> tuple[GossipUpdate, ...]:
+        """Return the updates to send along: first the receiver's own state unless it is alive, then those sent least
+        often.
+        """
         names: list[str] = []
         member = self.members.get(to)
         if member is not None and member.life is not Life.ALIVE:
             names.append(to)
-        waiting = sorted(self._rumours, key=lambda name: -self._rumours[name][0])
-        names += [name for name in waiting if name not in names][: CARRIED - len(names)]
+        waiting = sorted(self._updates, key=lambda name: -self._updates[name][0])
+        names += [name for name in waiting if name not in names][: MAX_PIGGYBACK - len(names)]
         for name in names:
-            left = self._rumours.get(name)
+            left = self._updates.get(name)
             if left is not None:
                 left[0] -= 1
                 if left[0] <= 0:
-                    del self._rumours[name]
-        return tuple(self._told(name) for name in names)
+                    del self._updates[name]
+        return tuple(self._update_about(name) for name in names)
 
-    def _say(self, to: str, message: Message) -> None:
+    def _send(self, to: str, message: Message) -> None:
         self.sent += 1
-        self._out.append(Say(to, message))
+        self._actions.append(Say(to, message))
--- a/copperyard/membership/gateways/messages.py
+++ b/copperyard/membership/gateways/messages.py
@@ -1,4 +1,4 @@
-"""What gateways say to each other about each other. Types only."""
+"""Messages of the membership protocol. Types only."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Life(IntEnum):
-    """What is held of a gateway. The greater wins over the smaller at the same incarnation."""
+    """State of a member. At the same incarnation the greater value overrides the smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,19 +16,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rumour:
-    """News of a gateway: `by` is who says so first-hand. `incarnation` is raised by the gateway itself alone."""
+class GossipUpdate:
+    """State of a member, spread by gossip. `by` observed it first-hand. Only the member raises its `incarnation`."""
 
     name: str
-    life: Life
+    state: Life
     incarnation: int
     by: str
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """What one gateway sees of each zone, in the order of zones: how many of its gateways it asked of late, how many
-    of these answered it, how many spoke to it by themselves, how many answered late. `number` rises with each row."""
+class ReachabilityRow:
+    """Counts of one gateway by zone: gateways there that it recently probed, that answered, that sent a probe
+    themselves, and that answered late. `number` grows with each row.
+    """
 
     name: str
     incarnation: int
@@ -38,36 +39,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there?"""
+    """Direct probe."""
 
     number: int
     incarnation: int
-    rumours: tuple[Rumour, ...]
-    rows: tuple[Row, ...]
+    updates: tuple[GossipUpdate, ...]
+    rows: tuple[ReachabilityRow, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """I am. `target` is who is; another name than the sender's where it was asked for somebody else."""
+    """Ack of a probe. `target` is the probed gateway: not the sender if that probed it for another one."""
 
     number: int
     target: str
-    rumours: tuple[Rumour, ...]
-    rows: tuple[Row, ...]
+    updates: tuple[GossipUpdate, ...]
+    rows: tuple[ReachabilityRow, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """Ask `target` for me: I hear nothing of it."""
+    """Request of an indirect probe (SWIM's ping-req): probe `target` for the sender."""
 
     number: int
     target: str
-    rumours: tuple[Rumour, ...]
+    updates: tuple[GossipUpdate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Nothing:
-    """I asked it for you and have heard nothing yet: the fault is not between you and me."""
+    """Lifeguard's nack: the indirect probe has no answer yet, but the link of requester and helper works."""
 
     number: int
 
--- a/copperyard/membership/roster.py
+++ b/copperyard/membership/roster.py
@@ -1,7 +1,7 @@
-"""Follows the list of hosts: bodies of the list service in, interface.ServerList out.
+"""Tracks the list of hosts: takes bodies of the list service, returns interface.ServerList.
 
-The service numbers its lists by generation. A body is either the whole list, or what changed since a
-generation. What does not follow on what is known is not applied: the whole list is asked for.
+The service numbers its lists by generation. A body is either the full list, or the changes since a generation. A body
+that does not follow the known generation is not applied, and the full list is requested.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 MS = 1_000_000
 _STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.GONE}
-MOST_HOSTS = 100_000
+MAX_HOSTS = 100_000
 
 
 class BadList(ValueError):
-    """A body of the list service that makes no sense as a whole; nothing of it was applied."""
+    """An invalid body of the list service; nothing of it was applied."""
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One host as the service names it. `age` is how long ago it started, in ns, None where long ago."""
+class HostLine:
+    """One host in a body. `age`: ns since the host started, None if that is long ago."""
 
     name: str
     address: str
@@ -38,7 +38,7 @@
 
 
 class Roster:
-    """The list as far as it was heard. `zones` are the names of zones in the order of their numbers."""
+    """The known list of hosts. `zones`: names of zones in the order of their numbers."""
 
     def __init__(self, zones: tuple[str, ...], cells: int) -> None:
         self.zones, self.cells = zones, cells
@@ -52,25 +52,28 @@
         self._next = 0
 
     def take(self, now: int, body: bytes) -> ServerList | None:
-        """Read one answer of the service. None: nothing new. BadList: it makes no sense, or does not follow on
-        the generation that is known (then `generation` is None and the whole list is to be asked for)."""
+        """Apply one answer of the service; return None if it brings nothing new.
+
+        An invalid body raises BadList, and so does one that does not follow the known generation; then `generation` is
+        None and the full list has to be requested.
+        """
         try:
             raw = json.loads(body.decode("utf-8"))
         except (UnicodeDecodeError, ValueError, RecursionError) as error:
             raise BadList(f"not JSON: {error}") from None
         if not isinstance(raw, dict):
             raise BadList("not an object")
-        generation = _whole(raw, "generation", 1 << 62)
-        since = _whole(raw, "since", 1 << 62) if raw.get("since") is not None else None
+        generation = _integer(raw, "generation", 1 << 62)
+        since = _integer(raw, "since", 1 << 62) if raw.get("since") is not None else None
         if since is not None and since != self.generation:
             known, self.generation = self.generation, None
             raise BadList(f"changes since generation {since}, but {known} is known")
         if generation == self.generation:
             return None
         if self.generation is not None and generation < self.generation:
-            # a restarted or lagging service: an older list would bring back hosts that have gone
+            # from a restarted or lagging service; an older list would bring back removed hosts
             raise BadList(f"generation {generation} is older than {self.generation}")
-        lines = self._lines(raw)
+        lines = self._parse_hosts(raw)
         self.generation = generation
         entries = tuple(self._entry(now, line) for line in lines)
         if since is None:
@@ -79,23 +82,23 @@
                 self._drop(server)
         return ServerList(ListKind.FULL if since is None else ListKind.DELTA, entries)
 
-    def _lines(self, raw: dict[str, Any]) -> list[Line]:
+    def _parse_hosts(self, raw: dict[str, Any]) -> list[HostLine]:
         hosts = raw.get("hosts")
-        if not isinstance(hosts, list) or len(hosts) > MOST_HOSTS:
-            raise BadList(f"hosts is no list of at most {MOST_HOSTS}")
-        lines = [self._line(n, host) for n, host in enumerate(hosts)]
+        if not isinstance(hosts, list) or len(hosts) > MAX_HOSTS:
+            raise BadList(f"hosts is no list of at most {MAX_HOSTS}")
+        lines = [self._parse_host(n, host) for n, host in enumerate(hosts)]
         names = {line.name for line in lines}
         if len(names) != len(lines):
-            double = next(x.name for x in lines if sum(y.name == x.name for y in lines) > 1)
-            raise BadList(f"two hosts are named {double!r}")
-        # two names at one address would let one machine pass for two
+            duplicate = next(x.name for x in lines if sum(y.name == x.name for y in lines) > 1)
+            raise BadList(f"two hosts are named {duplicate!r}")
+        # with two names at one address one machine would count as two
         live = [line for line in lines if line.state != ServerState.GONE]
         if len({line.address for line in live}) != len(live):
-            double = next(x.address for x in live if sum(y.address == x.address for y in live) > 1)
-            raise BadList(f"two hosts have the address {double}")
+            duplicate = next(x.address for x in live if sum(y.address == x.address for y in live) > 1)
+            raise BadList(f"two hosts have the address {duplicate}")
         return lines
 
-    def _line(self, n: int, host: Any) -> Line:
+    def _parse_host(self, n: int, host: Any) -> HostLine:
         if not isinstance(host, dict):
             raise BadList(f"hosts[{n}] is not an object")
         try:
@@ -106,7 +109,7 @@
             raise BadList(f"hosts[{n}] lacks {error.args[0]}") from None
         if not isinstance(name, str) or not 0 < len(name) <= 64:
             raise BadList(f"hosts[{n}].id is no text of 1 to 64 characters")
-        if not _address(address):
+        if not _is_address(address):
             raise BadList(f"hosts[{n}].address is no host:port: {str(address)[:64]!r}")
         if zone not in self.zones:
             raise BadList(f"hosts[{n}].zone is none of the settings: {str(zone)[:64]!r}")
@@ -114,18 +117,18 @@
             raise BadList(f"hosts[{n}].state is none of {', '.join(_STATES)}: {str(state)[:64]!r}")
         if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight) or weight <= 0:
             raise BadList(f"hosts[{n}].weight is no number above 0")
-        cell = _whole(host, "cell", self.cells - 1, f"hosts[{n}].")
-        age = _whole(host, "age_ms", 1 << 48, f"hosts[{n}].") * MS if host.get("age_ms") is not None else None
-        kind = _whole(host, "kind", 255, f"hosts[{n}].") if "kind" in host else 0
-        return Line(name, address, cell, self.zones.index(zone), kind, float(weight), _STATES[state], boot, age)
+        cell = _integer(host, "cell", self.cells - 1, f"hosts[{n}].")
+        age = _integer(host, "age_ms", 1 << 48, f"hosts[{n}].") * MS if host.get("age_ms") is not None else None
+        kind = _integer(host, "kind", 255, f"hosts[{n}].") if "kind" in host else 0
+        return HostLine(name, address, cell, self.zones.index(zone), kind, float(weight), _STATES[state], boot, age)
 
-    def _entry(self, now: int, line: Line) -> ServerEntry:
+    def _entry(self, now: int, line: HostLine) -> ServerEntry:
         server = self.numbers.get(line.name)
         if server is None:
             server, self._next = self._next, self._next + 1
             self.numbers[line.name], self.names[server] = server, line.name
         self.addresses[server] = line.address
-        started = self._start(now, server, line)
+        started = self._start_time(now, server, line)
         if line.state == ServerState.GONE:
             self._drop(server)
             return ServerEntry(server, line.weight, line.kind, line.cell, line.zone, line.state, started)
@@ -135,8 +138,9 @@
         return entry
 
     def export(self, now: int) -> bytes:
-        """The list as it is known, as a body that `take` reads. Ages are those of now: read later they are too low,
-        and a host passes for colder than it is."""
+        """Return the known list as a body that the roster can read again. Ages are as of now: read later they are too
+        low, and a host appears colder than it is.
+        """
         hosts = []
         for server, entry in self._entries.items():
             host: dict[str, Any] = {
@@ -155,8 +159,10 @@
         return json.dumps({"generation": self.generation, "hosts": hosts}).encode()
 
     def heard(self, now: int, server: int, boot: str, age: int | None) -> ServerEntry | None:
-        """A host itself told its boot, and how long it is up (ns, None: long). Its entry, where that is news: the
-        list's service hears of a start later than whoever asks the host."""
+        """Take a host's own report of its boot and uptime (ns, None if long); return its entry if that is new.
+
+        A front that asks the host learns of a restart before the list service does.
+        """
         entry = self._entries.get(server)
         if entry is None or age is None or self._boots.get(server) == boot:
             return None
@@ -166,9 +172,12 @@
         entry = self._entries[server] = replace(entry, started=started)
         return entry
 
-    def _start(self, now: int, server: int, line: Line) -> int:
-        """When the host's process began, by our clock: reckoned once for each boot, since a time that drifts
-        with each list's lateness would look like a restart to the module."""
+    def _start_time(self, now: int, server: int, line: HostLine) -> int:
+        """Return when the host's process started, by the local clock; 0 if long ago.
+
+        Computed once for each boot: a time that shifted with the delay of each list would look like a restart to the
+        controller.
+        """
         if line.age is None:
             return 0
         boot, started = self._started.get(server, ("", 0))
@@ -178,22 +187,23 @@
         return started
 
     def _drop(self, server: int) -> None:
-        """A host that has gone loses its number, so that names that never return cost nothing; one that does
-        return is a new server."""
+        """Forget a removed host and its number, so that names that never return cost nothing; one that returns is a new
+        server.
+        """
         self.numbers.pop(self.names.pop(server, ""), None)
         self.addresses.pop(server, None)
-        for kept in (self._started, self._entries, self._boots):
-            kept.pop(server, None)
+        for table in (self._started, self._entries, self._boots):
+            table.pop(server, None)
 
 
-def _whole(raw: dict[str, Any], key: str, most: int, where: str = "") -> int:
+def _integer(raw: dict[str, Any], key: str, limit: int, where: str = "") -> int:
     value = raw.get(key)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise BadList(f"{where}{key} is no whole number from 0 to {most}")
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= limit:
+        raise BadList(f"{where}{key} is no whole number from 0 to {limit}")
     return value
 
 
-def _address(value: Any) -> bool:
+def _is_address(value: Any) -> bool:
     if not isinstance(value, str) or len(value) > 255:
         return False
     host, colon, port = value.rpartition(":")
--- a/tests/common/helpers.py
+++ b/tests/common/helpers.py
@@ -1,4 +1,4 @@
-"""The simulated site, which has its home in the laboratory: benchmarks use it as well."""
+"""Re-exports the simulated site, which benchmarks use as well."""
 
 from copperyard.control.zones.plan import Standing
 from copperyard.lab.sites.events import Manner
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -1,6 +1,6 @@
-"""Sites of several cells a zone, whole: delegates that die, hear half, say nothing or are cut off, racks, regions,
-zones, restarts. Each hard case of the letter is a test here; what must always hold is checked after every event (Site).
-Times are virtual; each is stated with what was measured over some seeds."""
+"""Whole sites with several cells per zone: delegates that die, hear half of their cell, send nothing or are cut off;
+failures of racks, zones and regions; restarts. Site checks the invariants after every event. Times are virtual; each
+bound is stated with the values measured over some seeds."""
 
 import itertools
 import random
@@ -10,10 +10,10 @@
 import pytest
 
 from copperyard.control.cells import MemberReport
-from copperyard.control.common import ENTRIES, Done
+from copperyard.control.common import ENTRY_CODEC, Done
 from copperyard.control.zones.plan import CellReport
 from copperyard.lab.sites.simulated import spread
-from copperyard.membership.gateways.cells import CELL
+from copperyard.membership.gateways.cells import MEAN_CELL_SIZE
 from copperyard.membership.gateways.messages import Life
 from copperyard.state.agreement import follow
 from copperyard.state.agreement.messages import Entry, Kind, News, Since, Snapshot
@@ -24,7 +24,7 @@
 
 
 def ready(seed=1, each=30, **more):
-    """Five zones of two or three cells, nine voters; all follow one plan and the leader hears all."""
+    """A site of five zones of two or three cells and nine voters; all follow one plan and the leader hears all."""
     site = Site(seed, 5, each, REGIONS, voters=spread(9, 5), room=1000.0 * each, asked=500.0 * each, **more)
     site.run(15)
     assert site.leader() and set(site.strengths(site.roster)) == {1.0} and unheard(site) == {}
@@ -33,13 +33,13 @@
 
 
 def facts(site):
-    """What the leader knows of the zones' cells, and its clock."""
+    """The leader's table of cell reports, and its clock."""
     leader = site.leader()
     return site.front(leader).core.facts, site.time(leader)
 
 
 def unheard(site):
-    """Cells of which the leader does not hear everybody: how many of how many."""
+    """By cell of which the leader does not hear all members: (heard, size)."""
     known, now = facts(site)
     current = known.current(now)
     return {
@@ -51,11 +51,11 @@
 
 def dead_by_facts(site, zone):
     known, now = facts(site)
-    return known.lives(now)[zone][2]
+    return known.state_counts(now)[zone][2]
 
 
 def cell(site):
-    """A cell that no voter is of."""
+    """A cell without voters."""
     return next(one for cells in site.cells.zones for one in cells if not set(one.names) & set(site.voters))
 
 
@@ -64,7 +64,7 @@
 
 
 def until(site, holds, most, step=0.1):
-    """Virtual seconds until it holds."""
+    """Run until the condition holds; return the virtual seconds."""
     begin = site.net.now
     while not holds():
         site.run(step)
@@ -77,7 +77,7 @@
 
 
 def changed(site, among, zone=0, most=3.0):
-    """What a zone's viewers ask changes: a plan follows, and all of `among` that run take it up in time."""
+    """Change the demand of a zone: a new plan follows, and all of `among` that run adopt it within `most` seconds."""
     before = newest(site)
     full = 1000.0 * site.each
     site.demand[zone] = 0.8 * full if site.demand[zone] < 0.7 * full else 0.3 * full
@@ -95,28 +95,28 @@
 
 
 def oldest(site, names):
-    """The age, in virtual seconds, of the oldest date by which any of them follows its plan."""
+    """Age in virtual seconds of the oldest proposal time by which any of them follows its plan."""
     return max(
-        (site.time(name) - site.front(name).core.book.since) / SECOND for name in names if name in site.net.nodes
+        (site.time(name) - site.front(name).core.book.proposed_at) / SECOND for name in names if name in site.net.nodes
     )
 
 
 def goes_on(site, among, seconds, age):
-    """For so long all of `among` follow a plan in force, never by a date older than `age`."""
+    """For so long all of `among` follow a valid plan, never by a proposal time older than `age`."""
     for _ in range(round(seconds * 2)):
         site.run(0.5)
         assert set(site.strengths(among)) == {1.0} and oldest(site, among) <= age
 
 
 def sound(site):
-    """No voter's proof is above what any front follows. (Of sites where none began anew.)"""
+    """No voter's proven epoch is above what any front follows. (For sites where no front restarted.)"""
     follow = [
         min(site.front(name).core.plan.epoch for name in site.of(z) if name in site.net.nodes)
         for z in range(site.zones)
     ]
     for name in site.voters:
         if name in site.net.nodes:
-            told = site.front(name).core.facts.epochs(site.time(name))
+            told = site.front(name).core.facts.oldest_epochs(site.time(name))
             assert all(one <= least for one, least in zip(told, follow, strict=True)), (name, told, follow)
 
 
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("seed", [2])
 def test_a_delegate_that_dies_between_taking_reports_and_passing_them_on_loses_nothing(seed):
-    """The other one took them as well: nobody of the cell but the dead one is missed by the leader at any time."""
+    """The other delegate has them as well: the leader misses no member but the dead one at any time."""
     site = ready(seed)
     one = cell(site)
     dead, rest = one.ranks()[0], len(one.names) - 1
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_both_delegates_of_a_cell_dead_at_once_are_replaced(seed):
-    """Others report the cell within 12 s (5 to 9 measured), and its members go on to follow."""
+    """Others report the cell within 12 s (5 to 9 measured), and its members keep following the plan."""
     site = ready(seed)
     one = cell(site)
     both = one.ranks()[:2]
@@ -178,8 +178,8 @@
 
 @pytest.mark.parametrize("seed", [2])
 def test_a_delegate_that_hears_all_and_says_nothing_is_replaced(seed):
-    """Out of all its cell's views within 12 s (6 to 9 measured); its members follow on and the council hears of all of
-    them but it. It hears, and is told nothing: its plan runs out."""
+    """All its cell drops it within 12 s (6 to 9 measured); the members keep following the plan, and the voters hear of
+    all members but the silent one. That one gets no answers, so its plan expires."""
     site = ready(seed)
     one = cell(site)
     mute = one.ranks()[0]
@@ -196,8 +196,8 @@
 
 @pytest.mark.parametrize("seed", [1])
 def test_a_delegate_cut_off_from_all_voters_only_resigns_and_another_takes_its_place(seed):
-    """Its cell hears it, so SWIM has nothing against it. Said 6 to 7 s after the cut, heard by the cell at once; it
-    follows by the others of the cell. The second delegate's reports go on all the while."""
+    """Its cell still hears it, so SWIM does not suspect it. It resigns 6 to 7 s after the cut and its cell hears that at
+    once; it gets plans from the others of its cell. The second delegate keeps reporting all the time."""
     site = ready(seed)
     one = cell(site)
     cut, _, third = one.ranks()[:3]
@@ -210,11 +210,11 @@
     until(site, lambda: resigned, 7.5)
     assert resigned[0][1] == cut
     until(site, lambda: all(third in site.front(name).core.duty.delegates(site.time(name)) for name in one.names), 0.5)
-    assert site.front(third).core.duty.serves(site.time(third))
+    assert site.front(third).core.duty.is_delegate(site.time(third))
     changed(site, site.roster)
     goes_on(site, site.roster, 40, age=5)
     assert unheard(site) == {}
-    # it tries again, and no other was taken for cut off
+    # it tries again, and no other delegate resigned
     assert {name for _, name in resigned} == {cut} and len(resigned) == 2
     assert (resigned[1][0] - begin) / SECOND > 26
     site.net.heal()
@@ -229,7 +229,7 @@
     goes_on(site, site.roster, 20, age=10)
     changed(site, site.roster)
     assert unheard(site) == {}
-    assert site.front(one.ranks()[2]).core.duty.serves(site.time(one.ranks()[2]))
+    assert site.front(one.ranks()[2]).core.duty.is_delegate(site.time(one.ranks()[2]))
 
 
 @pytest.mark.parametrize("seed", [1])
@@ -247,7 +247,7 @@
 
 @pytest.mark.parametrize("both_ways", [True, False])
 def test_a_cell_of_which_half_see_each_delegate_follows_on_and_proves_nothing_that_is_not_so(both_ways):
-    """No delegate hears all: the least epoch counts as 0 then, as of a front that was not heard. All follow on."""
+    """No delegate hears all, so the oldest epoch counts as 0, as for an unheard front. All keep following the plan."""
     site = ready(1)
     one = cell(site)
     first, second, *rest = one.ranks()
@@ -283,7 +283,7 @@
 
 @pytest.mark.parametrize("seed", [2])
 def test_a_rack_that_holds_a_delegate_a_voter_and_the_leader(seed):
-    """Another leads after 1.5 to 2 s; nobody's plan runs out, and the three are known dead within 15 s."""
+    """Another voter leads after 1.5 to 2 s; no plan expires, and the three are known dead within 15 s."""
     site = ready(seed)
     leader = site.leader()
     zone = site.roster[leader]
@@ -301,7 +301,7 @@
 
 
 def history(site):
-    """Of all that run, which plan each index was; AssertionError where two say otherwise."""
+    """Plans by log index of all running gateways; AssertionError where two differ."""
     found = {}
     for front in site.fronts():
         for index, epoch in front.core.histories:
@@ -310,7 +310,7 @@
 
 
 def test_the_region_with_the_minority_while_changes_go_on_in_the_other_and_back():
-    """Its plans run out within 20 s (16 measured): it keeps near. The other agrees on more without it."""
+    """Its plans expire within 20 s (16 measured), and it uses only its own zones. The other region agrees on new plans."""
     site = ready(1)
     small, large = site.of(3, 4), site.of(0, 1, 2)
     site.net.part(small, large)
@@ -351,7 +351,7 @@
 
 
 def test_a_zone_lost_of_250_is_agreed_in_12_seconds_and_in_force_at_all_in_15():
-    """5.6 and 6.1 s at the most of four, measured."""
+    """At most 5.6 and 6.1 s measured in four runs."""
     site = ready(1, 50)
     site.lose(4)
     agreed = until(site, lambda: site.standing(4) is Standing.CLOSED, 12)
@@ -385,7 +385,7 @@
     assert max(in_cell for in_cell, _ in told) <= 8, told
 
 
-# ---- what comes twice, late, by another way
+# ---- duplicate, late and rerouted messages
 
 
 def test_reports_that_come_twice_late_out_of_order_or_from_an_earlier_life_replace_nothing_newer():
@@ -434,7 +434,7 @@
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))))
 def test_a_plan_that_comes_by_two_ways_in_any_order_ends_in_the_newest_and_never_goes_back(order):
-    """As entries from one source, in part from another, as a snapshot of a third."""
+    """As entries from one source, partly from a second one, as a snapshot from a third."""
     site = Site()
     site.run(5)
     name = next(n for n in site.roster if n not in site.voters)
@@ -442,12 +442,12 @@
     follower, plan = core.follower, core.plan
     assert plan is not None
     at = follower.applied
-    first, second = (ENTRIES.body(replace(plan, epoch=plan.epoch + n)) for n in (1, 2))
+    first, second = (ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + n)) for n in (1, 2))
     entries = Entry(1, Kind.DATA, first), Entry(1, Kind.DATA, second)
     answers = [
         lambda ask: News(None, at, entries, at + 2, "x", at + 2, SECOND, ask),
         lambda ask: News(
-            Snapshot(at, 1, (), ENTRIES.body(plan)), at, entries[:1], at + 1, "x", at + 1, 4 * SECOND, ask
+            Snapshot(at, 1, (), ENTRY_CODEC.body(plan)), at, entries[:1], at + 1, "x", at + 1, 4 * SECOND, ask
         ),
         lambda ask: News(None, at + 1, entries[1:], at + 2, "x", at + 2, 2 * SECOND, ask),
         lambda ask: News(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask),
@@ -462,14 +462,14 @@
         epochs.append(core.plan.epoch)
     assert epochs == sorted(epochs) and epochs[-1] == plan.epoch + 2 and follower.applied == at + 2
     assert core.histories[-1] == (at + 2, plan.epoch + 2)
-    assert core.book.since == now - SECOND  # the youngest that was told of the newest plan
+    assert core.book.proposed_at == now - SECOND  # the latest proposal time known of the newest plan
 
 
 # ---- starts
 
 
 def answered(site, name):
-    """Answers that a gateway gets, from now on."""
+    """Answers that a gateway receives from now on."""
     got = []
     site.net.arriving = (
         lambda sender, to, message: got.append(message) if to == name and isinstance(message, News) else None
@@ -483,7 +483,7 @@
     got = answered(site, name)
     held = site.front(name).core.follower.applied
     site.run(12)
-    # one that has all gets each entry once (its answers of the same hint may both hold the last)
+    # an up-to-date gateway gets each entry once (two answers to the same hint may both contain the last one)
     grown = site.front(name).core.follower.applied - held
     assert 0 < grown <= sum(len(one.entries) for one in got) <= grown + 2 and not any(one.snapshot for one in got)
     got.clear()
@@ -507,15 +507,15 @@
     got = answered(site, name)
     until(site, lambda: site.strengths([name]) == [1.0], 2)
     found = [one.snapshot for one in got if one.snapshot]
-    assert len(found) == 1 and ENTRIES.read(found[0].data) == site.plans[newest(site)]
+    assert len(found) == 1 and ENTRY_CODEC.read(found[0].data) == site.plans[newest(site)]
     applied = site.front(name).core.follower.applied
     assert applied > 14 and applied - found[0].index <= sum(len(one.entries) for one in got) <= 6 + 1
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_two_hundred_that_start_at_once_are_spread_over_their_cells(seed):
-    """In any 100 ms no gateway is asked more than 20 times (17 measured, by a cell's members at a hint), and all follow
-    within 5 s (2.2 measured)."""
+    """In any 100 ms no gateway is queried more than 20 times (17 measured, by a cell's members after a hint), and all
+    follow the plan within 5 s (2.2 measured)."""
     site = Site(seed, 5, 40, REGIONS, voters=spread(9, 5), room=40_000.0, asked=20_000.0, begin=False)
     for name in site.voters:
         site.start(name)
@@ -539,14 +539,15 @@
     )
     assert most.most_common(1)[0][1] <= 20, most.most_common(5)
     assert max(most[name] for name in site.voters) <= 20
-    # the leader is asked by each voter twice a second; everybody else once by each of a full cell at each renewal
+    # each voter queries the leader twice a second; any other gateway is queried once by each member of a full cell at
+    # each renewal
     seconds = (site.net.now - begin) / SECOND
     counts = Counter({name: len(asked) / seconds for name, asked in times.items()})
     leader = counts.pop(site.leader())
-    assert leader <= 30 and counts.most_common(1)[0][1] <= CELL / 2, (leader, counts.most_common(3))
+    assert leader <= 30 and counts.most_common(1)[0][1] <= MEAN_CELL_SIZE / 2, (leader, counts.most_common(3))
 
 
-# ---- all at once
+# ---- random faults
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -1,12 +1,12 @@
-"""Gateways that decide in common, whole, while zones, links and processes fail: each cut's row of the table in
-docs/design/sites.md is a test here."""
+"""Coordination of whole gateways while zones, links and processes fail: each row on a partition of the table in
+docs/design/sites.md has a test here."""
 
 import random
 from dataclasses import replace
 
 import pytest
 
-from copperyard.control.common import ENTRIES, Done, Send
+from copperyard.control.common import ENTRY_CODEC, Done, Send
 from copperyard.control.zones.plan import Renewed
 from copperyard.interface import Ways
 from copperyard.state.agreement.messages import Entry, Kind, News, Since
@@ -53,7 +53,7 @@
     assert site.standing(3) is Standing.OPEN and {0.1, 0.3, 0.6} <= parts
 
 
-def test_hosts_lost_while_gateways_stay_are_bridged_by_the_caps_given_ahead_before_any_new_plan():
+def test_lost_hosts_of_a_zone_are_bridged_by_preallocated_caps_before_any_new_plan():
     site = ready()
     before = len(site.plans)
     assert sum(cap or 0 for cap in site.front("g3-0").ways.caps) * site.each > 2000
@@ -65,7 +65,7 @@
     assert sum(share for _, share in plan.zones[3].shares[0]) > 0.95
 
 
-def test_a_zone_lost_while_the_next_is_at_nine_tenths_does_not_push_it_over():
+def test_a_lost_zone_does_not_overload_the_next_one_at_nine_tenths():
     site = Site()
     site.demand[2] = 8_100.0
     site.run(20)
@@ -96,15 +96,15 @@
 
 
 def test_a_site_cut_in_two_with_the_leader_on_the_small_side():
-    """The small side's plan runs out and it keeps near; the large side elects and goes on. What the check of every step
-    says: at no time may both sides use the same room."""
+    """The small side's plan expires and it uses only its own zone; the large side elects a leader and goes on. Site checks
+    after every event that the sides never use the same room."""
     site = ready()
     leader = site.leader()
     small = site.of(site.roster[leader])
     large = [n for n in site.roster if n not in small]
     site.net.part(small, large)
     site.run(10)
-    site.demand[1] = 9_900.0  # the large side would like what the small one still holds
+    site.demand[1] = 9_900.0  # the large side asks for room that the small one may still use
     site.run(50)
     assert site.leader() in large
     assert all(near_only(site, name) for name in small) and min(site.strengths(large)) == 1.0
@@ -113,7 +113,7 @@
     assert set(site.strengths(site.roster)) == {1.0}
 
 
-def test_without_a_council_every_front_keeps_near_when_the_plan_has_run_out_and_not_before():
+def test_without_voters_every_front_uses_only_its_own_zone_once_the_plan_has_expired():
     site = ready()
     others = [n for n in site.roster if n not in site.voters]
     for name in site.voters:
@@ -128,7 +128,7 @@
     assert set(site.strengths(site.roster)) == {1.0}
 
 
-def test_a_front_cut_off_alone_keeps_near_and_the_others_go_on():
+def test_an_isolated_front_uses_only_its_own_zone_and_the_others_go_on():
     site = ready()
     site.net.part(["g1-1"], [n for n in site.roster if n != "g1-1"])
     site.run(40)
@@ -196,14 +196,14 @@
     assert set(site.strengths(site.roster)) == {1.0}
 
 
-def test_a_snapshot_is_made_only_when_all_that_it_stands_for_was_taken_up():
-    """A batch of committed entries is taken up one after another: its last is a new plan."""
+def test_a_snapshot_is_made_only_after_all_its_entries_were_applied():
+    """A batch of committed entries is applied one by one; the last one is a new plan."""
     site = ready()
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name)
     follower, plan = core.follower, core.plan
-    renewed = Entry(1, Kind.DATA, ENTRIES.body(Renewed(plan.epoch)))
-    newer = Entry(1, Kind.DATA, ENTRIES.body(replace(plan, epoch=plan.epoch + 1)))
+    renewed = Entry(1, Kind.DATA, ENTRY_CODEC.body(Renewed(plan.epoch)))
+    newer = Entry(1, Kind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
     count, at = 300 - len(follower.log), follower.applied
     ask = follower.questions.ask(now, "x")
     core.hear(now, "x", News(None, at, (renewed,) * count + (newer,), at + count + 1, "x", 0, 0, ask))
@@ -212,7 +212,7 @@
             core.applied(now, step.order)
     assert core.plan.epoch == plan.epoch + 1
     assert follower.snapshot.index == at + count + 1
-    assert ENTRIES.read(follower.snapshot.data).epoch == plan.epoch + 1
+    assert ENTRY_CODEC.read(follower.snapshot.data).epoch == plan.epoch + 1
 
 
 def test_a_voters_age_is_counted_from_the_question_that_was_answered():
@@ -222,7 +222,7 @@
     core, now = site.front(name).core, site.time(name)
     asked = []
     for at in (now, now + SECOND):
-        core.date_at = at
+        core.next_age_query_at = at
         core.wake(at)
         asked += [
             order.message for order in core.take() if isinstance(order, Send) and isinstance(order.message, Since)
@@ -235,28 +235,28 @@
     assert (council.dates.index, council.dates.at) == (index, now - SECOND)
 
 
-def test_a_date_of_an_entry_that_still_waits_does_not_renew_the_plan_before_it():
-    """A newer plan lies on a slow disk. What is followed meanwhile is the older one, and its time goes on."""
+def test_the_date_of_an_entry_that_is_not_applied_does_not_renew_the_older_plan():
+    """A newer plan waits for a slow disk. Meanwhile the older one is followed, and its age goes on."""
     site = ready()
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name) + 5 * SECOND
-    follower, plan, since = core.follower, core.plan, core.book.since
-    newer = Entry(1, Kind.DATA, ENTRIES.body(replace(plan, epoch=plan.epoch + 1)))
+    follower, plan, since = core.follower, core.plan, core.book.proposed_at
+    newer = Entry(1, Kind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
     at = follower.applied
     ask = follower.questions.ask(now, "x")
     core.hear(now, "x", News(None, at, (newer,), at + 1, "x", at + 1, 0, ask))
     assert follower.dates.index == at + 1 and core.plan is plan
-    assert core.book.since == since < now - 2 * SECOND
+    assert core.book.proposed_at == since < now - 2 * SECOND
     late = since + 2 * plan.holds
-    core.hear(late, "y", Since(at, 1))  # anything: the front looks at its plan again
+    core.hear(late, "y", Since(at, 1))  # any message makes the front check its plan
     assert core.book.strength(late) == 0.0 and core.plan is plan
     (done,) = (step for step in core.take_durable() if isinstance(step, Done))
     core.applied(now, done.order)
-    assert core.plan.epoch == plan.epoch + 1 and core.book.since == now
+    assert core.plan.epoch == plan.epoch + 1 and core.book.proposed_at == now
 
 
 def storm(seed, seconds=150, **more):
-    """Cuts, deaths, pauses, zones lost and back, demand that jumps; Site.check after every step."""
+    """Random partitions, crashes, pauses, lost zones and demand changes; Site.check runs after every event."""
     rng = random.Random(seed)
     site = Site(seed, manner=Manner(rng.choice((0.0, 0.05, 0.15)), 0.02, (MS, rng.choice((20, 150)) * MS)), **more)
     site.run(12)
--- a/tests/common/test_scale.py
+++ b/tests/common/test_scale.py
@@ -1,4 +1,4 @@
-"""The simulated site at some size: its checks find what they are for, its counts come again, and bad input is told."""
+"""The simulated site at scale: its checks detect violations, its counts are reproducible, and bad input is reported."""
 
 import json
 import random
@@ -13,11 +13,11 @@
 
 
 def walked(site, zone):
-    """What the check summed before it was kept: a walk over all that run."""
+    """Reference for the incremental sum: caps of all running fronts of other zones."""
     return sum(front.ways.caps[zone] or 0.0 for front in site.fronts() if front.zone != zone and front.ways is not None)
 
 
-def test_sums_of_caps_are_those_of_a_walk_over_all_whatever_comes_and_goes():
+def test_incremental_sums_of_caps_equal_a_full_sum_as_fronts_come_and_go():
     rng = random.Random(3)
     site = Site(3, 5, 4, manner=Manner(0.05, 0.02, (MS, 60 * MS)))
     site.run(12)
@@ -28,14 +28,14 @@
         if n % 3 == 0:
             site.net.kill(name)
         elif n % 3 == 1:
-            site.start(name)  # also in place of one that runs
+            site.start(name)  # also replaces a running one
         else:
             site.demand[rng.randrange(5)] = rng.choice((1_000.0, 8_000.0, 12_000.0))
         for zone in range(5):
             assert abs(site.allowed(zone) - walked(site, zone)) < 1e-3
             most = max(most, site.allowed(zone))
     assert most > 1000
-    front = next(one for one in site.fronts() if one.ways is not None)  # what it may ask at home is nobody's matter
+    front = next(one for one in site.fronts() if one.ways is not None)  # its own zone has no limit
     site.allow(front, Ways(front.ways.shares, tuple(1e9 if z == front.zone else 1.0 for z in range(5))))
     assert abs(site.allowed(front.zone) - walked(site, front.zone)) < 1e-3
 
@@ -50,14 +50,14 @@
     free = max(
         zone.room * zone.part - zone.own - zone.reserve for _, plan in site.committed for zone in [plan.zones[3]]
     )
-    caps[3] = free - site.allowed(3) + caps[3] + 2.0  # 2 kB/s more than all may, by one of them
+    caps[3] = free - site.allowed(3) + caps[3] + 2.0  # one front exceeds the limit of all by 2 kB/s
     site.net.at(site.net.now + 1, lambda: site.allow(front, Ways(front.ways.shares, tuple(caps))))
     with pytest.raises(Broken, match="of zone 3 allowed"):
         site.net.run(site.net.now + 1)
 
 
-def test_what_was_free_ages_and_an_overrun_by_that_is_found_as_well():
-    """No front does anything: the plan that had room for what they hold is too old."""
+def test_free_room_expires_and_an_overrun_caused_by_that_is_found():
+    """No front changes anything: the plan that had room for their caps is too old."""
     site = Site()
     site.run(12)
     plan = site.committed[-1][1]
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("voters", [3, 5, 9])
-def test_a_council_is_spread_over_all_zones(voters):
+def test_voters_are_spread_over_all_zones(voters):
     names = spread(voters, 5)
     assert len(set(names)) == voters
     each = [sum(name.startswith(f"g{z}-") for name in names) for z in range(5)]
@@ -87,7 +87,7 @@
 
 
 def two_hundred(seed):
-    """200 gateways from their start: what was sent and is held."""
+    """Run 200 gateways from their start; return counts of what they sent and hold."""
     run = scale.Run(200, seed, 9)
     run.begin()
     run.step(10)
@@ -114,27 +114,27 @@
     assert found["rate"] < 9 and found["epochs"] <= 3
     assert run.wrong == {}
     assert 0 < max(found["bytes"]) < 18_000
-    assert found["held"]["members.members"] <= 199 and found["held"]["members.sight.rows"] <= 200
+    assert found["held"]["members.members"] <= 199 and found["held"]["members.reachability.rows"] <= 200
     assert two_hundred(5)[1] == found
 
 
-def test_a_census_finds_what_grows_and_passes_over_what_is_settings():
+def test_a_census_finds_growing_state_and_ignores_settings():
     site = Site(1, 5, 4)
     site.run(3)
     core = site.front("g1-1").core
     shared = scale.settings(site, "g1-1")
     before, size = scale.census(core, shared), scale.held_bytes(core, shared)
     core.histories = [*core.histories, *[(n, n) for n in range(1000)]]
-    core.members.members["g1-2"].accusers |= {f"x{n}" for n in range(100)}
+    core.members.members["g1-2"].suspectors |= {f"x{n}" for n in range(100)}
     after = scale.census(core, shared)
     assert after["histories"] - before["histories"] == 1000
-    assert after["members.members[].accusers"] - before["members.members[].accusers"] == 100
+    assert after["members.members[].suspectors"] - before["members.members[].suspectors"] == 100
     assert scale.held_bytes(core, shared) - size > 1000 * 60
     assert not any("terms" in name or name.startswith("place") for name in after)
     assert size < scale.held_bytes(core, set())
 
 
-def test_one_line_says_all_that_the_letter_asks_for(capsys, tmp_path):
+def test_one_json_line_has_all_required_figures(capsys, tmp_path):
     assert (
         scale.main(
             [
@@ -171,7 +171,7 @@
     assert found["dead_known_s"] < 14 and found["zone_in_force_s"] < 20 and found["change_in_force_s"]["last"] < 18
 
 
-def test_what_does_not_fit_ends_in_words_and_exit_1(capsys):
+def test_a_run_that_does_not_fit_into_memory_ends_with_a_message_and_exit_1(capsys):
     assert scale.main(["200", "--memory", "1", "--faults", "calm"]) == 1
     found = json.loads(capsys.readouterr().out.splitlines()[-1])
     assert found["stopped"].startswith("memory: ") and "0 of 200 gateways had begun" in found["stopped"]
@@ -193,7 +193,7 @@
         (["50", "--json", "/nowhere/x.json"], "--json: '/nowhere' is no folder"),
     ],
 )
-def test_bad_input_is_told_in_one_line_and_nothing_starts(given, told, capsys, monkeypatch):
+def test_bad_input_is_reported_in_one_line_and_nothing_starts(given, told, capsys, monkeypatch):
     monkeypatch.setattr(scale, "Run", None)
     with pytest.raises(SystemExit) as end:
         scale.main(given)
@@ -202,7 +202,7 @@
     assert out.err.count("\n") == 1 and told in out.err
 
 
-def test_a_wall_cuts_one_way_or_both_and_is_gone_when_healed():
+def test_a_partition_cuts_one_way_or_both_and_ends_when_healed():
     site = Site(1, 5, 2)
     one, other = site.of(0), site.of(1)
     site.net.part(one, other, both=False)
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -1,5 +1,5 @@
-"""What every transport between gateways has to promise, over each network that there is: memory on the virtual clock,
-TCP on loopback, TCP through the relay. For each promise a broken implementation shows that its test can fail."""
+"""Contract of the links between gateways, over each network: memory on the virtual clock, TCP on loopback, TCP through
+the relay. For each guarantee a broken implementation shows that its test can fail."""
 
 import random
 import struct
@@ -124,7 +124,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    """Times that tests on the wall clock can wait for."""
+    """Short timeouts for tests on the wall clock."""
     monkeypatch.setattr(bounds, "SILENT", 0.8)
     monkeypatch.setattr(bounds, "HELLO", 0.5)
     monkeypatch.setattr(bounds, "IDLE", 0.6)
@@ -147,7 +147,7 @@
 
 
 async def restart(pair, nursery):
-    """The receiver dies and comes back: what arrives is in order, and nothing arrives twice."""
+    """The receiver dies and restarts: messages arrive in order and at most once."""
     for number in range(300):
         pair.send("b", number)
         if number in (60, 180):
@@ -162,7 +162,7 @@
 
 
 async def bounded(pair, nursery):
-    """A peer that takes nothing: what waits is bounded, and sending does not wait."""
+    """A peer that reads nothing: the outbox is bounded, and sending does not block."""
     listener = await pair.network.listen("127.0.0.1:0")  # accepts and never reads
     pair.links["a"].addresses = {**pair.links["a"].addresses, "c": listener.address}
     for _ in range(60):
@@ -176,7 +176,7 @@
 
 
 async def half_open(pair, nursery):
-    """Of a link only the direction away is left: found out, and the next one works."""
+    """A link with only the outgoing direction working is detected, and the next link works."""
     listener = await pair.network.listen("127.0.0.1:0")
     held = []
 
@@ -204,7 +204,7 @@
 
 
 async def cancelled(pair, nursery):
-    """Cancelled between any two awaits: nothing is left that listens, and a new life works."""
+    """Cancelled between any two awaits: no listener is left, and a restart works."""
     pair.send("b", *range(50), size=20_000)
     await trio.sleep(0.004)
     pair.scopes["a"].cancel()
@@ -217,7 +217,7 @@
 
 
 async def strangers(pair, nursery):
-    """Another fleet, an unknown name, a wrong receiver, a broken frame, one too long: each ends its own link."""
+    """Another fleet, an unknown name, a wrong receiver, an invalid or too long frame: each closes only its link."""
     address = pair.relay.targets["b"] if pair.relay else pair.addresses["b"]
     good = hello(Hello(FLEET, "c", "b", 99, 1))
     for data in (
@@ -252,7 +252,7 @@
 
 
 async def stale(pair, nursery):
-    """What could not leave for long does not come late."""
+    """A message that waited too long is never delivered."""
     good = pair.links["a"].addresses
     pair.links["a"].addresses = {**good, "b": NOWHERE}
     pair.send("b", 1)
@@ -264,11 +264,11 @@
 
 
 async def idle(pair, nursery):
-    """A link with nothing to say is closed; the next message makes a new one."""
+    """An idle link is closed; the next message opens a new one."""
     pair.send("b", 1)
     await pair.until(lambda: pair.numbers() == [1])
     await trio.sleep(1.5)
-    assert not pair.links["a"]._outs["b"].running
+    assert not pair.links["a"]._outboxes["b"].running
     pair.send("b", 2)
     await pair.until(lambda: pair.numbers() == [1, 2])
 
@@ -283,21 +283,21 @@
 
 
 class Unbounded(Links):
-    """A defect: what waits for a peer has no bound."""
+    """A defect: the outbox has no bound."""
 
     def send(self, to, message):
-        out = self._outs[to]
+        out = self._outboxes[to]
         out.size = -(1 << 40)
         super().send(to, message)
 
     def waiting(self, to):
-        return sum(len(frame) for _, frame in self._outs[to].queue)
+        return sum(len(frame) for _, frame in self._outboxes[to].queue)
 
 
 class Resends(Links):
-    """A defect: what was written before a break is written again."""
+    """A defect: frames written before a disconnect are written again."""
 
-    async def _speak(self, to, out, stream):
+    async def _write_link(self, to, out, stream):
         kept = getattr(out, "kept", [])
         for one in reversed(kept):
             out.queue.appendleft(one)
@@ -310,48 +310,48 @@
 
         out.next, out.kept = take, kept
         try:
-            await super()._speak(to, out, stream)
+            await super()._write_link(to, out, stream)
         finally:
             out.next = inner
 
 
 class Late(Links):
-    """A defect: nothing grows stale."""
+    """A defect: frames never expire."""
 
     def send(self, to, message):
         super().send(to, message)
-        out = self._outs[to]
+        out = self._outboxes[to]
         out.queue = type(out.queue)((1 << 62, frame) for _, frame in out.queue)
 
 
 class Trusts(Links):
-    """A defect: a hello is believed."""
+    """A defect: any hello is accepted."""
 
-    def _welcome(self, one):
+    def _check_hello(self, one):
         return one
 
 
 class Deaf(Links):
-    """A defect: nobody watches whether what is written is counted."""
+    """A defect: missing acks go unnoticed."""
 
-    async def _speak(self, to, out, stream):
+    async def _write_link(self, to, out, stream):
         self.log = lambda event, fields: None
-        await super()._speak(to, out, stream)
+        await super()._write_link(to, out, stream)
 
 
 class Shuffles(Links):
-    """A defect: the newest goes first."""
+    """A defect: the newest frame is sent first."""
 
     def send(self, to, message):
         super().send(to, message)
-        self._outs[to].queue.rotate(1)
+        self._outboxes[to].queue.rotate(1)
 
 
 class Lingers(Links):
-    """A defect: an idle link is kept."""
+    """A defect: an idle link is never closed."""
 
-    async def _speak_to(self, to, out):
-        await super()._speak_to(to, out)
+    async def _dial(self, to, out):
+        await super()._dial(to, out)
         out.running = True
 
 
--- a/tests/contracts/test_shelves.py
+++ b/tests/contracts/test_shelves.py
@@ -1,4 +1,4 @@
-"""What every store of a voter has to promise: a folder, a SQLite file, memory. For each promise a broken implementation
+"""Contract of the log stores of a voter: a file, a SQLite database, memory. For each guarantee a broken implementation
 shows that its test can fail."""
 
 import errno
@@ -10,16 +10,16 @@
 import trio.testing
 
 from copperyard.gateway.disk import LockedError
-from copperyard.gateway.peers import shelf as module
-from copperyard.gateway.peers.shelf import FolderShelf, SqliteShelf
+from copperyard.gateway.peers import log_store as module
+from copperyard.gateway.peers.log_store import FileLogStore, SqliteLogStore
 from copperyard.lab.sites.shelf import MemoryShelf, Plate
 from copperyard.state.agreement.records import Damaged
 
 
 class OfFolder:
-    """A folder's shelf, and how its disk is hurt."""
+    """A log store in a file, and faults of its disk."""
 
-    def __init__(self, folder, make=FolderShelf):
+    def __init__(self, folder, make=FileLogStore):
         self.folder, self.make = folder, make
         self.monkeys = pytest.MonkeyPatch()
 
@@ -30,7 +30,7 @@
         return self.folder / "votes.log"
 
     def fill_disk(self, after):
-        """The disk takes `after` bytes more."""
+        """The disk accepts `after` more bytes."""
         left, real = [after], os.pwrite
 
         def write(handle, data, at):
@@ -46,7 +46,7 @@
         self.monkeys.undo()
 
     def died(self, shelf):
-        """The process ends at once; a torn end is left where files can be torn."""
+        """The process is killed; leaves a torn tail if the store can have one."""
         shelf.close()
         with open(self.file(), "ab") as out:
             out.write(b"\x07\x00\x00\x00torn")
@@ -67,7 +67,7 @@
 
 
 class OfSqlite(OfFolder):
-    def __init__(self, folder, make=SqliteShelf):
+    def __init__(self, folder, make=SqliteLogStore):
         super().__init__(folder, make)
 
     def file(self):
@@ -75,14 +75,14 @@
 
     def fill_disk(self, after):
         self.pages = max(1, after // 4096)
-        real = module.SqliteShelf._connect
+        real = module.SqliteLogStore._connect
 
         def connect(shelf, path):
             base = real(shelf, path)
             base.execute(f"PRAGMA max_page_count={self.pages}")
             return base
 
-        self.monkeys.setattr(module.SqliteShelf, "_connect", connect)
+        self.monkeys.setattr(module.SqliteLogStore, "_connect", connect)
 
     def died(self, shelf):
         shelf.close()
@@ -131,7 +131,7 @@
 
 
 async def kept(kind):
-    """What was appended is there, whole, in order, once; also after a renewal, and after more."""
+    """Appended records are there, complete, in order, once; also after a replacement and further records."""
     shelf = kind.shelf()
     assert shelf.open("a") == []
     await shelf.append([b"one", b"two"])
@@ -148,7 +148,7 @@
 
 
 async def torn(kind):
-    """A write that an end tore leaves what was there before, and the next write works."""
+    """A torn write leaves the earlier records, and the next write works."""
     shelf = kind.shelf()
     shelf.open("a")
     await shelf.append([b"one", b"two"])
@@ -161,7 +161,7 @@
 
 
 async def full(kind):
-    """A disk that takes no more: OSError, nothing lost, and well again with room."""
+    """A full disk gives OSError, loses nothing, and writes work again once there is room."""
     shelf = kind.shelf()
     shelf.open("a")
     await shelf.append([b"one"])
@@ -185,7 +185,7 @@
 
 
 async def full_and_on(kind):
-    """The same shelf goes on after a write that failed in its middle."""
+    """The same log store goes on after a write that failed half-way."""
     shelf = kind.shelf()
     shelf.open("a")
     await shelf.append([b"one"])
@@ -199,7 +199,7 @@
 
 
 async def flipped(kind):
-    """One bit that turned over anywhere: told, or without effect; never another or a shorter history."""
+    """A flipped bit is detected or without effect; it never gives a different or shorter history."""
     shelf = kind.shelf()
     shelf.open("a")
     rows = [bytes([65 + n]) * 40 for n in range(6)]
@@ -220,7 +220,7 @@
 
 
 async def held(kind):
-    """One process at a time; the lock goes with its holder."""
+    """One process at a time; the lock ends with its holder."""
     shelf, other = kind.shelf(), kind.shelf()
     shelf.open("first")
     with pytest.raises(LockedError, match="first"):
@@ -233,7 +233,7 @@
 
 
 async def cancelled(kind):
-    """A cancelled write is whole or not there, and the shelf goes on."""
+    """A cancelled write is complete or absent, and the log store goes on."""
     shelf = kind.shelf()
     shelf.open("a")
     if isinstance(kind, OfMemory):
@@ -257,11 +257,11 @@
 
 
 @pytest.mark.parametrize("kind", [OfFolder, OfMemory])
-def test_a_shelf_goes_on_after_a_write_that_failed_in_its_middle(kind, tmp_path):
+def test_a_log_store_goes_on_after_a_write_that_failed_half_way(kind, tmp_path):
     trio.run(full_and_on, kind(tmp_path))
 
 
-def test_a_new_whole_that_did_not_get_its_name_is_none(tmp_path):
+def test_a_replacement_that_was_not_renamed_is_ignored(tmp_path):
     async def main():
         kind = OfFolder(tmp_path)
         shelf = kind.shelf()
@@ -287,7 +287,7 @@
 
 
 class Loses(MemoryShelf):
-    """A defect: what is written reaches the disk with the next write."""
+    """A defect: records reach the disk only with the next write."""
 
     async def append(self, records):
         waiting, self.waiting = getattr(self, "waiting", []), list(records)
@@ -295,7 +295,7 @@
 
 
 class Half(MemoryShelf):
-    """A defect: records are written one by one, and a cancelled write is left where it stood."""
+    """A defect: records are written one by one, and a cancelled write stays incomplete."""
 
     async def append(self, records):
         for one in records:
@@ -303,8 +303,8 @@
             await trio.lowlevel.checkpoint()
 
 
-class Garbage(FolderShelf):
-    """A defect: what a failed write left stays in the way."""
+class Garbage(FileLogStore):
+    """A defect: bytes of a failed write are not removed."""
 
     def _append(self, records):
         self._size = os.fstat(self._handle).st_size
@@ -312,7 +312,7 @@
 
 
 class Silent(MemoryShelf):
-    """A defect: a full disk is not told."""
+    """A defect: a full disk is not reported."""
 
     async def _write(self, records, before):
         try:
@@ -322,7 +322,7 @@
 
 
 class Takes(MemoryShelf):
-    """A defect: what was torn counts."""
+    """A defect: a torn tail counts as records."""
 
     def open(self, owner):
         torn = list(self.plate.torn)
--- a/tests/control/zones/helpers.py
+++ b/tests/control/zones/helpers.py
@@ -1,22 +1,22 @@
-"""Small sites to plan for."""
+"""Small sites for the planner tests."""
 
 from typing import Any
 
 from copperyard.control.zones.plan import Terms
-from copperyard.control.zones.planner import Planner, View
+from copperyard.control.zones.planner import Planner, PlannerInput
 
 SECOND = 1_000_000_000
 
 
 def terms(n=3, **more):
-    """Zones in a row: the distance of two is how far apart they stand."""
+    """Zones in a row: the distance of two is the difference of their numbers."""
     prices = tuple(tuple(float(abs(h - z)) for z in range(n)) for h in range(n))
     return Terms(**{"prices": prices, "worths": (1.0, 4.0), "loads": (100.0, 200.0), "fronts": (2,) * n, **more})
 
 
 def view(demand, rooms, silent=(), ways=None):
     n = len(rooms)
-    return View(
+    return PlannerInput(
         [list(row) if isinstance(row, tuple) else [row, 0.0] for row in demand],
         rooms,
         ways or [[1.0] * n for _ in range(n)],
@@ -35,10 +35,10 @@
         self.plans: list[Any] = []
 
     def step(self, seen, seconds=2.0, known=True):
-        """Time passes and what is seen is planned for; the plan if a new one came."""
+        """Let time pass and plan for the input; return the plan if there is a new one."""
         self.now += round(seconds * SECOND)
         epochs = [self.plan.epoch if self.plan is not None and known else 0] * self.terms.zones
-        plan = self.planner.next(self.now, self.plan, seen, epochs)
+        plan = self.planner.next_plan(self.now, self.plan, seen, epochs)
         if plan is not None:
             self.plan = plan
             self.plans.append(plan)
