--- a/tests/control/zones/test_follow.py
+++ b/tests/control/zones/test_follow.py
@@ -1,12 +1,12 @@
-"""What one front may do by its plan, while it holds, as it runs out, and without one; and that the module does it."""
+"""What one front may do with a valid, an expiring and no plan; and that the controller obeys."""
 
 from dataclasses import replace
 
 import pytest
 
 from copperyard import interface as api
-from copperyard.control.zones.facts import Facts, Gauge
-from copperyard.control.zones.follow import PlanBook, near
+from copperyard.control.zones.facts import Gauge, SummaryTable
+from copperyard.control.zones.follow import ActivePlan, own_zone_only
 from copperyard.control.zones.plan import HostsOf, Plan, Standing, Summary, ZonePlan
 from copperyard.decide import Controller
 from tests.control.zones.helpers import SECOND, Site, terms, view
@@ -16,26 +16,26 @@
 def book(zone=0):
     site = Site()
     site.until_still(view([1400, 500, 500], [1000, 1000, 1000]))
-    one = PlanBook(site.terms, zone)
-    one.take(site.plan)
+    one = ActivePlan(site.terms, zone)
+    one.adopt(site.plan)
     return one
 
 
 def test_without_a_plan_a_front_keeps_to_its_own_zone():
-    one = PlanBook(terms(), 1)
-    assert one.ways(0) == near(terms(), 1) == api.Ways((((1, 1.0),), ((1, 1.0),)), (0.0, None, 0.0))
+    one = ActivePlan(terms(), 1)
+    assert one.ways(0) == own_zone_only(terms(), 1) == api.Ways((((1, 1.0),), ((1, 1.0),)), (0.0, None, 0.0))
 
 
 def test_a_plan_whose_age_is_not_known_is_not_followed():
     one = book()
-    assert one.ways(5 * SECOND) == near(one.terms, 0)
-    one.dated(5 * SECOND)
-    assert one.ways(5 * SECOND) != near(one.terms, 0)
+    assert one.ways(5 * SECOND) == own_zone_only(one.terms, 0)
+    one.confirm(5 * SECOND)
+    assert one.ways(5 * SECOND) != own_zone_only(one.terms, 0)
 
 
 def test_a_cap_is_shared_by_the_fronts_of_a_zone_and_runs_out_with_the_plan():
     one = book()
-    one.dated(0)
+    one.confirm(0)
     whole = one.ways(0).caps[1]
     assert whole == pytest.approx(one.plan.zones[0].caps[1] / 2)
     caps, shares = [], []
@@ -48,8 +48,8 @@
     assert caps == sorted(caps, reverse=True) and caps[-1] == 0.0 and len(caps) == 8
     assert shares == sorted(shares, reverse=True)
     assert now <= 2 * one.plan.holds
-    assert one.ways(now) == near(one.terms, 0)
-    one.dated(now)
+    assert one.ways(now) == own_zone_only(one.terms, 0)
+    one.confirm(now)
     assert one.ways(now).caps[1] == whole
 
 
@@ -57,8 +57,8 @@
     one = book()
     newer = replace(one.plan, epoch=one.plan.epoch + 1)
     older = one.plan
-    one.take(newer)
-    one.take(older)
+    one.adopt(newer)
+    one.adopt(older)
     assert one.plan is newer
 
 
@@ -67,14 +67,14 @@
 
 
 def front(caps=(None, 300.0), shares=((0, 0.0), (1, 1.0)), zones=2, price=0.0):
-    """A module of zone 0 that knows a host in each of two zones and follows such ways."""
+    """A controller of zone 0 that knows hosts in two zones and follows such ways."""
     one = Controller(settings(zone=0, price_cross_zone=price), 3)
     one.handle(0, hosts(entry(0, zone=0), entry(1, zone=1), entry(2, zone=1)))
     one.handle(0, api.Ways((shares,) * len(settings().classes), caps))
     return one
 
 
-def test_the_module_goes_where_its_share_goes_and_no_further_than_its_cap():
+def test_the_controller_follows_its_shares_up_to_its_caps():
     one = front(shares=((1, 1.0),), price=100.0)
     sent = []
     for ref in range(1, 12):
@@ -85,7 +85,7 @@
     assert kb <= 300.0 and len(sent) < 11
 
 
-def test_what_plays_abroad_gives_its_part_of_the_cap_back():
+def test_an_ended_session_in_another_zone_returns_its_part_of_the_cap():
     one = front(caps=(None, 110.0), shares=((1, 1.0),))
     first = sends(one.handle(SECOND, request(1)))[0]
     assert sends(one.handle(SECOND, request(2))) == []
@@ -97,7 +97,7 @@
     assert one.abroad[1] == pytest.approx(0.0)
 
 
-def test_what_plays_above_a_cap_that_shrank_goes_down_to_its_floor_and_plays_on():
+def test_sessions_above_a_reduced_cap_go_down_to_their_floor_and_play_on():
     one = front(caps=(None, 2000.0), shares=((1, 1.0),))
     for ref in range(1, 5):
         sent = sends(one.handle(20 * SECOND, request(ref)))[0]
@@ -156,58 +156,60 @@
     ]
     found = []
     for order in (news, news[::-1], news + news, news[2:] + news[:2] + news):
-        facts = Facts(ROSTER, terms())
-        facts.merge(0, order)
+        facts = SummaryTable(ROSTER, terms())
+        facts.update_all(0, order)
         found.append(facts.demand(0))
     assert found == [[[37.0, 5.0], [1.0, 0.0], [0.0, 0.0]]] * 4
 
 
-def test_a_report_of_an_unknown_name_or_another_shape_is_passed_over():
-    facts = Facts(ROSTER, terms())
-    assert not facts.learn(0, summary("x"))
-    assert not facts.learn(0, summary("a", rooms=(1.0, 1.0), tried=(0, 0), broke=(0, 0)))
-    assert not facts.learn(0, summary("a", demand=(1.0,)))
-    assert facts.learn(0, summary("a")) and not facts.learn(0, summary("a"))
+def test_a_report_of_an_unknown_name_or_another_shape_is_ignored():
+    facts = SummaryTable(ROSTER, terms())
+    assert not facts.update(0, summary("x"))
+    assert not facts.update(0, summary("a", rooms=(1.0, 1.0), tried=(0, 0), broke=(0, 0)))
+    assert not facts.update(0, summary("a", demand=(1.0,)))
+    assert facts.update(0, summary("a")) and not facts.update(0, summary("a"))
 
 
 def test_a_zones_room_is_what_its_own_fronts_see_and_a_silent_front_counts_no_more():
-    facts = Facts(ROSTER, terms())
-    facts.merge(0, [summary("a", rooms=(100.0, 50.0, 80.0)), summary("c", rooms=(10.0, 90.0, 80.0))])
+    facts = SummaryTable(ROSTER, terms())
+    facts.update_all(0, [summary("a", rooms=(100.0, 50.0, 80.0)), summary("c", rooms=(10.0, 90.0, 80.0))])
     assert facts.rooms(0) == [100.0, 90.0, 80.0]
-    facts.learn(10 * SECOND, summary("c", 2, rooms=(10.0, 90.0, 80.0)))
+    facts.update(10 * SECOND, summary("c", 2, rooms=(10.0, 90.0, 80.0)))
     assert facts.rooms(16 * SECOND) == [10.0, 90.0, 80.0]
     assert facts.demand(16 * SECOND)[0] == [0.0, 0.0]
 
 
-def test_a_front_that_has_heard_no_list_says_nothing_of_rooms():
-    facts = Facts(ROSTER, terms())
+def test_a_front_without_a_server_list_does_not_count_for_rooms():
+    facts = SummaryTable(ROSTER, terms())
     empty = Summary("b", 1, 1, 0, (0.0, 0.0), tuple(HostsOf(0.0, 0.0, 0, 0, 0, 0) for _ in range(3)))
-    facts.merge(0, [summary("a"), empty])
+    facts.update_all(0, [summary("a"), empty])
     assert facts.rooms(0) == [100.0, 100.0, 100.0]
 
 
-def test_a_way_is_judged_by_what_became_of_set_ups_where_there_were_some():
-    facts = Facts(ROSTER, terms())
-    facts.merge(0, [summary("a", tried=(8, 3, 8), broke=(0, 3, 4)), summary("b", tried=(2, 1, 2), broke=(0, 1, 1))])
-    assert facts.ways(0)[0] == [1.0, 1.0, 0.5]
+def test_path_health_is_the_part_of_successful_set_ups_if_there_were_enough():
+    facts = SummaryTable(ROSTER, terms())
+    facts.update_all(
+        0, [summary("a", tried=(8, 3, 8), broke=(0, 3, 4)), summary("b", tried=(2, 1, 2), broke=(0, 1, 1))]
+    )
+    assert facts.path_healths(0)[0] == [1.0, 1.0, 0.5]
 
 
 def test_the_oldest_epoch_of_a_home_is_none_where_a_front_is_silent():
-    facts = Facts(ROSTER, terms())
-    facts.merge(0, [summary("a", epoch=5), summary("b", epoch=4), summary("c", epoch=7)])
-    assert facts.epochs(0) == [4, 7, 0]
+    facts = SummaryTable(ROSTER, terms())
+    facts.update_all(0, [summary("a", epoch=5), summary("b", epoch=4), summary("c", epoch=7)])
+    assert facts.oldest_epochs(0) == [4, 7, 0]
 
 
-def test_a_front_counts_what_plays_and_some_seconds_ahead_but_no_more_than_it_can_come_to():
+def test_demand_is_current_load_plus_some_seconds_of_arrivals_up_to_the_steady_state():
     gauge = Gauge("a", 1, 3, (20 * SECOND, 20 * SECOND), terms(), 0)
     for n in range(40):
-        gauge.wished(n * SECOND // 4, 0)
-    # 4 a second at 100 kB/s: 400 more each second, 8,000 in the end
+        gauge.session_requested(n * SECOND // 4, 0)
+    # 4 sessions a second at 100 kB/s: 400 more each second, 8,000 in the steady state
     assert gauge.demand(10 * SECOND, (1000.0, 0.0))[0] == pytest.approx(3000, rel=0.05)
     assert gauge.demand(10 * SECOND, (7500.0, 0.0))[0] == pytest.approx(8000, rel=0.05)
     assert gauge.demand(10 * SECOND, (9000.0, 0.0))[0] == 9000
-    gauge.lasted(0, 10 * SECOND)
-    gauge.lasted(0, 10 * SECOND)
+    gauge.session_ended(0, 10 * SECOND)
+    gauge.session_ended(0, 10 * SECOND)
     assert gauge.lengths[0] == pytest.approx(13.3 * SECOND, rel=0.01)
     assert gauge.demand(30 * SECOND, (0.0, 0.0)) == (0.0, 0.0)
 
@@ -216,9 +218,9 @@
     one = front()
     one.handle(0, api.Probed(1, api.Code.OK, MS, api.Report(0.5, 0.0)))
     gauge = Gauge("a", 1, 2, (SECOND, SECOND), terms(2), 0)
-    gauge.tried(0, 1, True)
+    gauge.setup_finished(0, 1, True)
     zones = gauge.summary(SECOND, one, 3).zones
-    assert [z.hosts for z in zones] == [1, 2] and zones[1].tried == zones[1].broke == 1
+    assert [z.hosts for z in zones] == [1, 2] and zones[1].setups == zones[1].failed_setups == 1
     assert zones[1].room == 2 * zones[0].room and 0 < zones[1].used < zones[1].room
 
 
--- a/tests/control/zones/test_planner.py
+++ b/tests/control/zones/test_planner.py
@@ -1,4 +1,4 @@
-"""The plan for zones: near while that is safe, bounded in what moves, refused where it would overfill."""
+"""The zone planner: serves viewers in their own zone if safe, limits changes, rejects plans that overload a zone."""
 
 from dataclasses import replace
 
@@ -6,20 +6,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from copperyard.control.zones.check import wrong
+from copperyard.control.zones.check import plan_error
 from copperyard.control.zones.plan import Standing
 from copperyard.control.zones.planner import Planner, fill
 from tests.control.zones.helpers import SECOND, Site, terms, view
 
 
-def test_what_fits_stays_near():
+def test_demand_that_fits_stays_in_the_own_zone():
     site = Site()
     site.until_still(view([500, 500, 500], [1000, 1000, 1000]))
     assert [site.share(z, z) for z in range(3)] == [1.0] * 3
     assert all(zone.standing is Standing.OPEN and len(zone.shares[0]) == 1 for zone in site.plan.zones)
 
 
-def test_what_nobody_wants_yet_is_given_ahead_to_be_used_where_a_zone_is_lost():
+def test_unwanted_room_is_preallocated_for_the_loss_of_a_zone():
     site = Site()
     site.until_still(view([500, 500, 500], [1000, 1000, 1000]))
     for z in range(3):
@@ -34,7 +34,7 @@
 def test_what_does_not_fit_goes_to_the_nearest_zone_with_room_and_no_further_than_its_reserve():
     site = Site()
     site.until_still(view([1400, 500, 0], [1000, 1000, 1000]))
-    # 900 stay; the next zone has 900 - 500 - 90; the one after it takes the rest
+    # 900 stay in the own zone; the nearest zone has 900 - 500 - 90; the next one takes the rest
     assert site.plan.zones[0].caps[1] == pytest.approx(310, rel=0.01)
     assert site.share(0, 1) * 1400 == pytest.approx(310, rel=0.02)
     assert site.share(0, 2) * 1400 == pytest.approx(190, abs=35)
@@ -43,7 +43,7 @@
     assert site.plan.zones[0].standing is Standing.SHEDDING
 
 
-def test_what_fits_nowhere_is_refused_the_least_worth_first():
+def test_demand_that_fits_nowhere_is_refused_the_least_valuable_first():
     site = Site()
     site.until_still(view([(1000, 600), 900, 900], [1000, 1000, 1000]))
     paid = sum(share for _, share in site.plan.zones[0].shares[1])
@@ -76,7 +76,11 @@
     for _ in range(20):
         site.step(lost)
         assert (
-            wrong(site.terms, None, replace(site.plan, zones=tuple(replace(z, owed=z.caps) for z in site.plan.zones)))
+            plan_error(
+                site.terms,
+                None,
+                replace(site.plan, zones=tuple(replace(z, outstanding=z.caps) for z in site.plan.zones)),
+            )
             is None
         )
     assert site.plan.zones[0].caps[1] == 0
@@ -137,7 +141,7 @@
     assert site.plan.zones[0].standing is Standing.SHEDDING
 
 
-def test_a_way_that_breaks_carries_nobody_new():
+def test_a_failing_path_gets_no_new_sessions():
     site = Site()
     ways = [[1, 0.2, 1], [1, 1, 1], [1, 1, 1]]
     site.until_still(view([1400, 300, 300], [1000, 1000, 1000], ways=ways))
@@ -151,7 +155,7 @@
         assert site.step(view([1200 + n % 3 * 10, 300 - n % 2 * 10, 300], [1000, 1000, 1000])) is None
 
 
-def test_room_that_falls_is_taken_from_strangers_at_once():
+def test_shrinking_room_is_taken_from_other_zones_at_once():
     site = Site()
     site.until_still(view([1400, 300, 0], [1000, 1000, 0]))
     assert site.plan.zones[0].caps[1] == pytest.approx(500, rel=0.06)
@@ -159,8 +163,8 @@
     assert plan.zones[0].caps[1] <= 10.1
 
 
-def test_a_new_planner_counts_on_nobody_following_the_last_plan():
-    """It does not know who follows what: until told, or until all has run out, nothing is given twice."""
+def test_a_new_planner_assumes_that_no_front_follows_the_last_plan():
+    """It does not know which plans fronts follow: until it does, or all have expired, nothing is granted twice."""
     site = Site()
     site.until_still(view([1400, 500, 500], [1000, 1000, 1000]))
     given = site.plan.zones[0].caps[1]
@@ -168,7 +172,7 @@
     for _ in range(3):
         site.step(view([500, 500, 1400], [1000, 1000, 1000]), known=False)
         zones = site.plan.zones
-        assert max(zones[0].caps[1], zones[0].owed[1]) == pytest.approx(given)
+        assert max(zones[0].caps[1], zones[0].outstanding[1]) == pytest.approx(given)
         assert zones[2].caps[1] <= 1000 * 0.9 - 500 - 90 - given + 1e-3
     for _ in range(20):
         site.step(view([500, 500, 1400], [1000, 1000, 1000]), known=False)
@@ -189,9 +193,9 @@
     ),
     st.integers(0, 3),
 )
-def test_any_course_of_things_gives_plans_that_pass_the_check(course, seed):
-    """And at no time may fronts that hold different plans, one of the last few each, do more at a zone together than
-    it had free when the last of these was made."""
+def test_any_sequence_of_inputs_gives_plans_that_pass_the_check(course, seed):
+    """Fronts that follow different recent plans can never load a zone together beyond the room that was free when the
+    last of these plans was made."""
     one = terms(4)
     site = Site(one)
     rooms, demand = [1000.0] * 4, [(0.0, 0.0)] * 4
@@ -200,27 +204,27 @@
         before = site.plan
         plan = site.step(view(demand, rooms, silent=(n % 4,) if gone else ()), 2.0, known)
         if plan is not None:
-            assert wrong(one, before, plan) is None
+            assert plan_error(one, before, plan) is None
             if before is not None:
                 for z in range(4):
                     free = max(0.0, plan.zones[z].room * plan.zones[z].part - plan.zones[z].own - plan.zones[z].reserve)
                     pairs = [
                         (
                             before.zones[h].caps[z],
-                            max(plan.zones[h].caps[z], plan.zones[h].owed[z]),
+                            max(plan.zones[h].caps[z], plan.zones[h].outstanding[z]),
                             plan.zones[h].caps[z],
                         )
                         for h in range(4)
                         if h != z
                     ]
-                    assert all(plan.zones[h].owed[z] >= before.zones[h].caps[z] for h in range(4) if h != z)
+                    assert all(plan.zones[h].outstanding[z] >= before.zones[h].caps[z] for h in range(4) if h != z)
                     if any(new > old + 1e-6 for old, _, new in pairs):
                         assert sum(held for _, held, _ in pairs) <= free + 1e-3
 
 
 @settings(max_examples=200)
 @given(st.lists(st.tuples(amounts, amounts), min_size=3, max_size=3), st.lists(amounts, min_size=3, max_size=3))
-def test_a_filling_keeps_its_bounds_and_gives_no_more_than_is_wanted(demand, rooms):
+def test_an_allocation_keeps_its_bounds_and_never_exceeds_demand(demand, rooms):
     one = terms(3)
     free = [max(0.0, room - sum(want)) for room, want in zip(rooms, demand, strict=True)]
     given_ = fill(one, demand, rooms, free, [[1.0] * 3 for _ in range(3)])
@@ -256,34 +260,34 @@
         (1, {"standing": Standing.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
     ],
 )
-def test_a_plan_that_would_overfill_or_makes_no_sense_is_refused_whoever_proposes_it(z, more, word):
+def test_a_plan_that_would_overload_a_zone_or_is_malformed_is_refused(z, more, word):
     one, plan = planned()
-    assert word in (wrong(one, plan, changed(plan, z, **more)) or "")
+    assert word in (plan_error(one, plan, changed(plan, z, **more)) or "")
 
 
-def test_a_plan_of_another_epoch_or_over_a_way_that_is_none_is_refused():
+def test_a_plan_of_a_wrong_epoch_or_over_a_missing_path_is_refused():
     one, plan = planned()
-    assert "does not follow" in (wrong(one, plan, plan) or "")
+    assert "does not follow" in (plan_error(one, plan, plan) or "")
     closed = replace(one, prices=((0.0, -1.0, 1.0), *one.prices[1:]))
-    assert "no way to zone 1" in (wrong(closed, plan, replace(plan, epoch=plan.epoch + 1)) or "")
-    assert "shape" in (wrong(one, plan, replace(plan, epoch=plan.epoch + 1, zones=plan.zones[:2])) or "")
+    assert "no way to zone 1" in (plan_error(closed, plan, replace(plan, epoch=plan.epoch + 1)) or "")
+    assert "shape" in (plan_error(one, plan, replace(plan, epoch=plan.epoch + 1, zones=plan.zones[:2])) or "")
 
 
 def test_growth_beside_what_earlier_plans_allow_is_refused():
     one, plan = planned()
-    moved = changed(plan, 0, caps=(0.0, 0.0, 0.0), owed=(0.0, 310.0, 0.0), shares=(((0, 0.5),), ()))
+    moved = changed(plan, 0, caps=(0.0, 0.0, 0.0), outstanding=(0.0, 310.0, 0.0), shares=(((0, 0.5),), ()))
     moved = replace(moved, zones=(moved.zones[0], moved.zones[1], replace(moved.zones[2], caps=(0.0, 300.0, 0.0))))
-    assert "with what earlier plans still allow" in (wrong(one, plan, moved) or "")
+    assert "with what earlier plans still allow" in (plan_error(one, plan, moved) or "")
 
 
-def test_a_cap_raised_again_within_what_is_owed_is_growth_where_somebody_else_has_it_now():
-    """Storm 456: zone 4 was owed 4,210 of an earlier plan, was lowered, and raised again to all that was free, while a
-    front of zone 0 still had what the plan between had given it."""
+def test_a_cap_raised_again_within_its_outstanding_one_counts_as_growth():
+    """Found by random fault run 456: zone 4 had 4,210 outstanding of an earlier plan, its cap was lowered and raised again
+    to all free room, while a front of zone 0 still had what the plan in between had granted it."""
     one, plan = planned()
     first = replace(
         plan,
         zones=(
-            replace(plan.zones[0], caps=(0.0, 100.0, 0.0), owed=(0.0, 310.0, 0.0), shares=(((0, 0.5),), ())),
+            replace(plan.zones[0], caps=(0.0, 100.0, 0.0), outstanding=(0.0, 310.0, 0.0), shares=(((0, 0.5),), ())),
             plan.zones[1],
             replace(plan.zones[2], caps=(0.0, 50.0, 0.0)),
         ),
@@ -294,7 +298,7 @@
         zones=(
             replace(first.zones[0], caps=(0.0, 310.0, 0.0)),
             first.zones[1],
-            replace(first.zones[2], caps=(0.0, 0.0, 0.0), owed=(0.0, 50.0, 0.0)),
+            replace(first.zones[2], caps=(0.0, 0.0, 0.0), outstanding=(0.0, 50.0, 0.0)),
         ),
     )
-    assert "with what earlier plans still allow" in (wrong(one, first, again) or "")
+    assert "with what earlier plans still allow" in (plan_error(one, first, again) or "")
--- a/tests/gateway/peers/test_neighbours.py
+++ b/tests/gateway/peers/test_neighbours.py
@@ -1,5 +1,5 @@
-"""The tasks of what is decided in common, on the virtual clock: three gateways agree over links in memory, a full disk
-makes a voter silent, a damaged shelf is recovered from, a defect ends that part only."""
+"""Tasks of the coordination, on the virtual clock: three gateways agree over links in memory, a full disk silences a
+voter, a damaged log store is recovered from, a defect ends only the coordination."""
 
 import random
 from types import SimpleNamespace
@@ -106,7 +106,7 @@
     play(test)
 
 
-def test_a_voter_whose_disk_is_full_says_nothing_until_it_has_room():
+def test_a_voter_with_a_full_disk_sends_nothing_until_there_is_room():
     async def test(world, nursery):
         leader = world.leader()
         world.plates[leader].full = 0
@@ -121,7 +121,7 @@
     play(test)
 
 
-def test_a_damaged_shelf_counts_as_none_and_is_recovered_from_the_others():
+def test_a_damaged_log_store_counts_as_empty_and_is_recovered_from_the_others():
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
         world.scopes[name].cancel()
@@ -133,7 +133,7 @@
         assert world.events(name, "shelf damaged")
         assert world.events(name, "voter recovered")[-1]["folder"] == "an older copy, or none"
         assert world.running[name].common.plan == world.running[world.leader()].common.plan
-        # what was damaged is gone from the shelf, and the next life starts from a good one
+        # the damaged records were replaced, and the next life starts from a good log store
         world.scopes[name].cancel()
         await trio.sleep(1)
         await world.start(nursery, name)
@@ -143,27 +143,27 @@
     play(test)
 
 
-def test_what_waits_for_a_full_disk_is_bounded_and_the_voter_takes_part_again_with_room():
+def test_actions_that_wait_for_a_full_disk_are_bounded_and_the_voter_returns_with_room():
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
         world.plates[name].full = 0
         common = world.running[name].common
-        common.council._vow(common.council.term + 1, "")  # something that has to be kept
-        for _ in range(2):  # the first of them are taken by the lane, which then waits for the disk
+        common.council._vow(common.council.term + 1, "")  # something that has to become durable
+        for _ in range(2):  # the first ones are taken by the durable task, which then waits for the disk
             for _ in range(4 * WAITING):
                 common.hear(now(), "a" if name != "a" else "b", Since(0))
-            assert common.stuck and len(common._durable) < WAITING + 10
+            assert common.disk_behind and len(common._durable_actions) < WAITING + 10
             await trio.sleep(15)
-        assert common.stuck
+        assert common.disk_behind
         world.plates[name].full = None
         await trio.sleep(12)
-        assert len(common._durable) < 10 and common.plan == world.running[world.leader()].common.plan
-        assert not common.stuck and common.council.leader == world.leader()
+        assert len(common._durable_actions) < 10 and common.plan == world.running[world.leader()].common.plan
+        assert not common.disk_behind and common.council.leader == world.leader()
 
     play(test)
 
 
-def test_a_defect_in_common_ends_that_part_only_and_the_front_keeps_near():
+def test_a_defect_ends_only_the_coordination_and_the_front_uses_its_own_zone():
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
 
@@ -180,7 +180,7 @@
     play(test)
 
 
-def test_a_gateway_that_ends_leaves_nothing_that_listens_and_gives_its_shelf_back():
+def test_a_gateway_that_ends_closes_its_listener_and_releases_its_log_store():
     async def test(world, nursery):
         world.scopes["a"].cancel()
         await trio.sleep(0.1)
--- a/tests/membership/test_gateways.py
+++ b/tests/membership/test_gateways.py
@@ -1,12 +1,12 @@
-"""Gateways that find out about each other: time to detect, false deaths, whole zones, one's own slowness, restarts."""
+"""Membership of gateways: detection time, false deaths, lost zones, local health, restarts."""
 
 import pytest
 
 from copperyard.lab.sites.events import Manner
 from copperyard.lab.sites.simulated import World
 from copperyard.membership.gateways.members import Members, Pace, Say
-from copperyard.membership.gateways.messages import Life, Look, Nothing, Ping, Row, Rumour
-from copperyard.membership.gateways.sight import Sight, Standing, Way
+from copperyard.membership.gateways.messages import GossipUpdate, Life, Look, Nothing, Ping, ReachabilityRow
+from copperyard.membership.gateways.reachability import PathState, Reachability, ZoneReachability
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -53,7 +53,7 @@
     assert world.deaths() == []
 
 
-def test_one_that_stood_still_blames_itself():
+def test_a_stalled_gateway_blames_itself():
     world = World()
     world.run(20)
     world.net.stop("g5", 5 * SECOND)
@@ -65,7 +65,7 @@
     assert world.all_hold("g5", Life.ALIVE)
 
 
-def test_one_thought_dead_comes_back_by_itself_and_by_a_restart_with_an_old_clock():
+def test_a_member_held_dead_returns_by_itself_and_after_a_restart_with_an_old_clock():
     world = World()
     world.run(20)
     rest = [name for name in world.roster if name != "g1"]
@@ -77,12 +77,12 @@
     assert world.all_hold("g1", Life.ALIVE)
     world.net.kill("g1")
     world.run(25)
-    world.start("g1", 10)  # its date is behind that of its life before
+    world.start("g1", 10)  # its incarnation is below that of its earlier life
     world.run(30)
     assert world.all_hold("g1", Life.ALIVE)
 
 
-def test_a_planned_end_is_told_and_no_suspicion():
+def test_a_planned_end_is_announced_and_raises_no_suspicion():
     world = World()
     world.run(20)
     world.core("g2").leave(world.net.now)
@@ -108,26 +108,26 @@
 
 
 def views(world, name):
-    return world.core(name).sight.standings(world.net.now)
+    return world.core(name).reachability.zone_states(world.net.now)
 
 
-def test_who_sees_whom_tells_a_lost_zone_from_a_cut_one_way_link():
+def test_reachability_tells_a_lost_zone_from_a_link_cut_one_way():
     world = World(4)
     world.run(30)
-    assert views(world, "g0") == [Standing.SEEN] * 4
+    assert views(world, "g0") == [ZoneReachability.SEEN] * 4
     for name in world.of(3):
         world.net.kill(name)
     world.run(30)
-    assert views(world, "g0")[3] is Standing.SILENT
-    assert views(world, "g1")[:3] == [Standing.SEEN] * 3
+    assert views(world, "g0")[3] is ZoneReachability.SILENT
+    assert views(world, "g1")[:3] == [ZoneReachability.SEEN] * 3
     assert not world.core("g0").cut_off(world.net.now)
-    # zone 1 speaks to zone 2 and gets no answer: what comes back is cut
+    # zone 1 probes zone 2 and gets no answer: the direction back is cut
     world.net.part(world.of(2), world.of(1), both=False)
     world.run(30)
-    ways = world.core("g0").sight.ways(world.net.now)
-    assert ways[1][2] is Way.SILENT or ways[1][2] is Way.DEAF
-    assert ways[0][2] is Way.GOOD and ways[0][1] is Way.GOOD
-    assert views(world, "g0")[2] is Standing.HALF_CUT
+    ways = world.core("g0").reachability.path_states(world.net.now)
+    assert ways[1][2] is PathState.SILENT or ways[1][2] is PathState.DEAF
+    assert ways[0][2] is PathState.GOOD and ways[0][1] is PathState.GOOD
+    assert views(world, "g0")[2] is ZoneReachability.HALF_CUT
 
 
 def test_a_zone_that_is_cut_off_knows_that_it_is():
@@ -147,12 +147,12 @@
     assert world.deaths() == []
 
 
-def test_a_message_carries_a_bounded_number_of_rumours_and_rows():
+def test_a_message_carries_a_bounded_number_of_updates_and_rows():
     world = World(2, 100, 5)
     most = []
 
     def size(message):
-        most.append((len(getattr(message, "rumours", ())), len(getattr(message, "rows", ()))))
+        most.append((len(getattr(message, "updates", ())), len(getattr(message, "rows", ()))))
         return 0
 
     world.net.sizes = size
@@ -163,18 +163,18 @@
     assert max(r for r, _ in most) <= 16 and max(r for _, r in most) <= 3
 
 
-def test_a_row_of_another_shape_or_an_unknown_name_is_passed_over():
-    sight = Sight("a", {"a": 0, "b": 1}, 2)
-    sight.learn(0, Row("c", 1, 1, ((1, 1, 1, 0), (1, 1, 1, 0))))
-    sight.learn(0, Row("b", 1, 1, ((1, 1, 1, 0),)))
-    assert sight.rows == {}
-    sight.learn(0, Row("b", 1, 2, ((1, 1, 1, 0), (1, 1, 1, 0))))
-    sight.learn(0, Row("b", 1, 1, ((0, 0, 0, 0), (1, 1, 1, 0))))
-    assert sight.rows["b"][1].number == 2
+def test_a_row_of_another_shape_or_an_unknown_name_is_ignored():
+    table = Reachability("a", {"a": 0, "b": 1}, 2)
+    table.merge_row(0, ReachabilityRow("c", 1, 1, ((1, 1, 1, 0), (1, 1, 1, 0))))
+    table.merge_row(0, ReachabilityRow("b", 1, 1, ((1, 1, 1, 0),)))
+    assert table.rows == {}
+    table.merge_row(0, ReachabilityRow("b", 1, 2, ((1, 1, 1, 0), (1, 1, 1, 0))))
+    table.merge_row(0, ReachabilityRow("b", 1, 1, ((0, 0, 0, 0), (1, 1, 1, 0))))
+    assert table.rows["b"][1].number == 2
 
 
-def test_a_helpers_word_that_comes_twice_makes_nobody_hasty():
-    """Counted twice, it made the awareness of one's own slowness -1 and every suspicion as long as nothing."""
+def test_a_duplicate_nack_does_not_shorten_suspicions():
+    """A nack counted twice made the local health multiplier -1 and every suspicion zero long."""
     core = Members("a", {"a": 0, "b": 0, "c": 0, "d": 1}, 2, Pace(), 1, 0, 5)
     now, looked = 0, None
     while looked is None:
@@ -186,8 +186,8 @@
     target = looked.message.target
     while core.members[target].life is Life.ALIVE:
         core.wake(core.next_wake())
-    assert core.awareness == 0
-    assert core.members[target].until - core.next_wake() > 2 * SECOND
+    assert core.local_health == 0
+    assert core.members[target].suspicion_ends_at - core.next_wake() > 2 * SECOND
 
 
 def test_a_zone_of_a_fifth_of_a_large_fleet_is_known_to_all_soon_and_makes_nobody_slow():
@@ -199,17 +199,19 @@
     world.run(25)
     known = [world.core(x).members[name].life for x in world.net.nodes for name in lost]
     assert known.count(Life.DEAD) > 0.98 * len(known)
-    assert sum(world.core(x).awareness for x in world.net.nodes) < len(world.net.nodes)
+    assert sum(world.core(x).local_health for x in world.net.nodes) < len(world.net.nodes)
 
 
-def test_rumours_of_nobody_we_know_change_nothing():
+def test_updates_on_unknown_gateways_change_nothing():
     core = Members("a", {"a": 0, "b": 0}, 1, Pace(), 1, 0, 5)
-    core.hear(0, "b", Ping(1, 7, (Rumour("x", Life.DEAD, 9, "b"), Rumour("a", Life.DEAD, 5, "b")), ()))
+    core.hear(0, "b", Ping(1, 7, (GossipUpdate("x", Life.DEAD, 9, "b"), GossipUpdate("a", Life.DEAD, 5, "b")), ()))
     assert core.incarnation == 6 and core.members["b"].incarnation == 7
 
 
-def test_a_number_that_no_life_could_have_counted_to_is_not_taken_over():
+def test_an_absurd_incarnation_is_not_adopted():
     core = Members("a", {"a": 0, "b": 0}, 1, Pace(), 1, 0, 5)
     most = (1 << 63) - 1
-    core.hear(0, "b", Ping(1, 7, (Rumour("a", Life.DEAD, most, "b"), Rumour("b", Life.DEAD, most, "b")), ()))
+    core.hear(
+        0, "b", Ping(1, 7, (GossipUpdate("a", Life.DEAD, most, "b"), GossipUpdate("b", Life.DEAD, most, "b")), ())
+    )
     assert core.incarnation == 5 and core.members["b"].incarnation == 7
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -1,4 +1,4 @@
-"""The roster: generations in order, bodies that make no sense, hosts that restart or go."""
+"""The roster: order of generations, invalid bodies, hosts that restart or are removed."""
 
 import json
 
@@ -24,7 +24,7 @@
     return one
 
 
-def test_a_whole_list_then_changes():
+def test_a_full_list_then_changes():
     one = Roster(("a", "b"), 4)
     full = one.take(0, body(5, host("x", zone="b", cell=3, weight=2), host("y")))
     assert full.kind == ListKind.FULL and [e.server for e in full.entries] == [0, 1]
@@ -34,15 +34,15 @@
     assert one.take(0, body(6)) is None
 
 
-def test_changes_that_do_not_follow_ask_for_the_whole_list():
+def test_changes_that_do_not_follow_request_the_full_list():
     one = roster(host("x"))
     with pytest.raises(BadList, match="since generation 7, but 5"):
         one.take(0, body(8, since=7))
-    assert one.generation is None and one.addresses  # what was known stays, the whole is asked for
+    assert one.generation is None and one.addresses  # the known list stays, the full list is requested
     assert one.take(0, body(8, host("x"))).kind == ListKind.FULL
 
 
-def test_an_older_list_never_brings_back_what_has_gone():
+def test_an_older_list_never_brings_back_removed_hosts():
     one = roster(host("x"))
     with pytest.raises(BadList, match="older"):
         one.take(0, body(4, host("x"), host("old")))
@@ -70,23 +70,23 @@
         (b'{"generation": 6}', "hosts"),
     ],
 )
-def test_a_body_that_makes_no_sense_changes_nothing(data, wanted):
+def test_an_invalid_body_changes_nothing(data, wanted):
     one = roster(host("x"))
     with pytest.raises(BadList, match=wanted):
         one.take(0, data)
     assert one.generation == 5 and list(one.numbers) == ["x"]
 
 
-def test_a_start_is_reckoned_once_for_each_boot():
+def test_a_start_time_is_computed_once_for_each_boot():
     one = roster(host("x", boot="1", age_ms=400))
-    # the same boot told of later and later is no restart; another boot is
+    # the same boot reported later is no restart; another boot is
     later = one.take(3000 * MS, body(6, host("x", boot="1", age_ms=2390), since=5))
     assert later.entries[0].started == 600 * MS
     again = one.take(9000 * MS, body(7, host("x", boot="2", age_ms=100), since=6))
     assert again.entries[0].started == 8900 * MS
 
 
-def test_names_that_went_leave_nothing_behind():
+def test_removed_hosts_leave_nothing_behind():
     one = Roster(("a",), 4)
     for n in range(50):
         one.take(0, body(n + 1, host(f"h{n}")))
--- a/tests/protocol/peers/test_frames.py
+++ b/tests/protocol/peers/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between gateways: what is sent comes out the same, and nothing else comes out at all."""
+"""Frames between gateways: messages survive a round trip, and anything else is rejected."""
 
 import struct
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from copperyard.control.cells import Heard, MemberReport, Resign
-from copperyard.control.common import ENTRIES, MESSAGES
+from copperyard.control.common import ENTRY_CODEC, MESSAGES
 from copperyard.control.zones.plan import (
     CellReport,
     Gathered,
@@ -17,18 +17,18 @@
     Plan,
     Standing,
     Summary,
-    Zonal,
+    ZoneAggregate,
     ZonePlan,
 )
-from copperyard.membership.gateways.messages import Life, Ping, Row, Rumour
-from copperyard.protocol.peers import MOST_FRAME, BadFrame, Codec, Hello, Reader, hello, read_hello
+from copperyard.membership.gateways.messages import GossipUpdate, Life, Ping, ReachabilityRow
+from copperyard.protocol.peers import MAX_FRAME_BYTES, BadFrame, Codec, Hello, Reader, hello, read_hello
 from copperyard.state.agreement.messages import Append, Entry, Kind, Newer, News, Since, Snapshot
 
 CELL = CellReport(
-    1, 2, 77, "gw-1", 3, 4, 5, 2, 6, 1, 2, 0, (1.5, 0.0), (Zonal(((1.0, 2), (2.5, 1)), 4, 1, 9, 8, 0, 7),)
+    1, 2, 77, "gw-1", 3, 4, 5, 2, 6, 1, 2, 0, (1.5, 0.0), (ZoneAggregate(((1.0, 2), (2.5, 1)), 4, 1, 9, 8, 0, 7),)
 )
 SAMPLES = [
-    Ping(1, 2, (Rumour("gw-1", Life.SUSPECT, 3, "gw-2"),), (Row("gw-1", 1, 2, ((1, 1, 0, 0),)),)),
+    Ping(1, 2, (GossipUpdate("gw-1", Life.SUSPECT, 3, "gw-2"),), (ReachabilityRow("gw-1", 1, 2, ((1, 1, 0, 0),)),)),
     Append(3, 2, 1, (Entry(3, Kind.DATA, b"x"), Entry(3, Kind.BEGIN, b"")), 1, 9),
     News(Snapshot(4, 1, ("a", "b"), b"data"), 4, (), 4, "a", 4, 5),
     News(None, 0, (), 0, "", 0, 0),
@@ -54,7 +54,7 @@
 def test_a_plan_comes_out_as_it_went_in():
     zone = ZonePlan(Standing.RETURNING, 1.0, 0.5, 0.1, 0.3, (((0, 0.5), (1, 0.25)), ()), (0.0, 2.0), (0.0, 0.0))
     plan = Plan(4, 10, (zone, zone))
-    assert ENTRIES.read(ENTRIES.body(plan)) == plan
+    assert ENTRY_CODEC.read(ENTRY_CODEC.body(plan)) == plan
 
 
 @pytest.mark.parametrize(
@@ -70,14 +70,14 @@
         ([4, True], "whole number"),
         ([17, 1.5, 0], "Since.index"),
         ([2, 1, "a" * 300, [], []], "no text of at most 256"),
-        ([3, 1, "t", [["n", 9, 1, "b"]]], "Rumour.life"),
+        ([3, 1, "t", [["n", 9, 1, "b"]]], "GossipUpdate.state"),
         ([31, ["a", 1, 1, 1, [float("nan")], []], []], "no finite number"),
         ([30, "a", 1, 1, 1, [1.0], []], "kind 30"),
         ([12, 1, 1, 1, [[1, 1, "text"]], 1, 1], "Entry.data is no bytes"),
         ([18, 5, 0, [], 0, "", 0, 0, 0], "Snapshot"),
     ],
 )
-def test_a_body_that_is_none_of_ours_is_refused_with_its_place(body, word):
+def test_an_invalid_body_is_rejected_with_the_place_of_the_fault(body, word):
     with pytest.raises(BadFrame, match=word):
         MESSAGES.read(msgpack.packb(body))
 
@@ -112,7 +112,7 @@
     assert MESSAGES.read(MESSAGES.body(found)) == found
 
 
-def test_lengths_are_bounded_and_what_waits_with_them():
+def test_frame_lengths_and_the_buffer_are_bounded():
     reader = Reader(100)
     for length in (0, 101, 1 << 31):
         with pytest.raises(BadFrame, match="a frame of"):
@@ -120,10 +120,10 @@
     assert list(reader.receive(struct.pack(">I", 100) + b"x" * 99)) == []
     assert reader.waiting == 103
     with pytest.raises(ValueError, match="bytes"):
-        MESSAGES.body(Append(1, 1, 1, (Entry(1, Kind.DATA, b"x" * MOST_FRAME),), 1, 1))
+        MESSAGES.body(Append(1, 1, 1, (Entry(1, Kind.DATA, b"x" * MAX_FRAME_BYTES),), 1, 1))
 
 
-def test_a_hello_says_who_and_another_version_is_told_apart():
+def test_a_hello_survives_a_round_trip_and_another_version_is_rejected():
     one = Hello(b"fleet", "gw-1", "gw-2", 7, 8)
     body = next(Reader().receive(hello(one)))
     assert read_hello(body) == one
@@ -134,7 +134,7 @@
         read_hello(msgpack.packb(["other"]))
 
 
-def test_a_field_without_a_form_is_a_mistake_of_the_program():
+def test_a_field_of_an_unsupported_type_is_a_programming_error():
     @dataclass
     class Odd:
         one: dict[str, int]
