--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -89,14 +89,14 @@
             cells=case.hosts,
             racks=max(1, case.hosts // 9),
             uplink_kb=self.link * 8,
-            weight_kb=self.link,
+            kb_per_weight=self.link,
             places_by_kind=(case.places,),
-            full_from=1.0,
-            join_adds=1.0,
-            told_late=500 * MS,
-            told_every=0,
+            full_threshold=1.0,
+            join_ratio=1.0,
+            notice_delay=500 * MS,
+            notice_interval=0,
             shortfall_cost=8.0,
-            switch_s=0.5,
+            switch_cost_s=0.5,
             max_attempts=3,
             max_retry_after=SECOND,
             retry_after=True,
@@ -104,15 +104,15 @@
             cancelling=True,
             connect_timeout=250 * MS,
             subscribe=False,
-            ask_every=0,
-            cold_from=case.cold_from,
-            warm_within=case.warm,
+            list_poll_interval=0,
+            cold_ratio=case.cold_from,
+            warm_up_time=case.warm,
             drain_grace=250 * MS,
-            fall_multiple=case.multiple,
-            fall=case.fall,
-            free_resends=3.0,
-            further_ratio=0.2,
-            ratio_span=5 * SECOND,
+            cold_budget_multiple=case.multiple,
+            cold_window=case.fall,
+            free_retries=3.0,
+            retry_ratio=0.2,
+            retry_window=5 * SECOND,
             price_cross_zone=0.0,
             price_late_fail=0.05,
             price_move=0.2,
@@ -145,7 +145,7 @@
         for front in range(case.fronts):
             self.fronts.append(Controller(self.settings, self.rng.getrandbits(32)))
             self.tell(1, front, api.ServerList(api.ListKind.CACHED, (*self.kept, *self.old.values())))
-            self.tell(1, front, api.Carried(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
+            self.tell(1, front, api.CarriedSession(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
 
     def at(self, when: int, *what: Any) -> None:
         self.count += 1
@@ -158,7 +158,7 @@
                 self.at(max(now + 1, action.at), self.wakes, front, one, action.token)
             elif isinstance(action, api.Probe):
                 self.at(now + 2 * MS, self.probed, front, one, action.server)
-            elif isinstance(action, api.Rate):
+            elif isinstance(action, api.SetRung):
                 key = (front, action.ref)
                 self.rungs[key] = RATES[action.rung]
                 if key in self.playing:
@@ -205,23 +205,23 @@
 
     def wakes(self, now: int, front: int, one: Controller, token: int) -> None:
         if self.fronts[front] is one:
-            self.tell(now, front, api.Wake(token))
+            self.tell(now, front, api.TimerDue(token))
 
     def probed(self, now: int, front: int, one: Controller, host: int) -> None:
         if self.fronts[front] is one:
             report = api.Report(self.asked.get(host, 0.0) / self.link)
-            self.tell(now, front, api.Probed(host, api.Code.OK, 2 * MS, report))
+            self.tell(now, front, api.ProbeResult(host, api.OutcomeCode.OK, 2 * MS, report))
 
     def opens(self, now: int, front: int, one: Controller, ref: int, host: int) -> None:
         if self.fronts[front] is not one or ref not in one.sessions:
             return
         attempt = one.sessions[ref].attempts - 1
         if self.asked.get(host, 0.0) >= self.link:
-            return self.tell(now, front, api.Outcome(ref, attempt, host, api.Code.FULL, 2 * MS, False))
+            return self.tell(now, front, api.Outcome(ref, attempt, host, api.OutcomeCode.FULL, 2 * MS, False))
         kb = self.rungs.get((front, ref), RATES[1])
         self.asked[host] = self.asked.get(host, 0.0) + kb
         self.playing[front, ref] = host, kb
-        self.tell(now, front, api.Opened(ref, attempt, host, 2 * MS))
+        self.tell(now, front, api.SessionOpened(ref, attempt, host, 2 * MS))
         self.at(now + int(self.rng.uniform(0.5, 1.5) * self.case.life * SECOND), self.ends, front, one, ref, attempt)
 
     def ends(self, now: int, front: int, one: Controller, ref: int, attempt: int) -> None:
@@ -229,7 +229,7 @@
             host, kb = self.playing.pop((front, ref))
             self.asked[host] -= kb
             if self.fronts[front] is one:
-                self.tell(now, front, api.Outcome(ref, attempt, host, api.Code.OK, SECOND, True))
+                self.tell(now, front, api.Outcome(ref, attempt, host, api.OutcomeCode.OK, SECOND, True))
 
     def hears(self, now: int, front: int) -> None:
         gone = tuple(api.ServerEntry(e.server, 1.0, 0, e.cell, 0, api.ServerState.GONE, 0) for e in self.old.values())
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -199,7 +199,9 @@
     """The gateway's process: serves until its input ends."""
     site = one_host_site()
     settings = site.rules.settings  # room for every session on the one host: the list's weight alone ends at 7,018
-    site = replace(site, rules=replace(site.rules, settings=replace(settings, weight_kb=100 * settings.weight_kb)))
+    site = replace(
+        site, rules=replace(site.rules, settings=replace(settings, kb_per_weight=100 * settings.kb_per_weight))
+    )
     place = list_place(f"http://{where}/", 3600 * 10**9, 7200 * 10**9)
     station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
     front = Gateway(station, TcpNetwork(4096), seed, random.Random(seed), lambda event, fields: None)
--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -10,12 +10,12 @@
 from lxml import etree
 
 from ..control.catalogue import Title
-from ..control.common import CommonPlace
+from ..control.coordinator import CoordinatorConfig
 from ..control.rules import FrontRules
-from ..control.zones.plan import LIVE, OTHER_REGION, SAME_REGION, Terms
+from ..control.zones.plan import LIVE_SESSION_NS, OTHER_REGION, SAME_REGION, Terms
 from ..membership.gateways.cells import CellMap
-from ..membership.gateways.members import Pace
-from ..state.agreement.council import MOST_VOTERS, Beat
+from ..membership.gateways.members import ProbeTiming
+from ..state.agreement.replica import MAX_VOTERS, ElectionTiming
 from .units import duration, rate_kb
 
 EVERYWHERE = ("0.0.0.0", "[::]")
@@ -35,8 +35,8 @@
     listen: Mapping[str, str]
     reach: Mapping[str, str]
     terms: Terms
-    pace: Pace
-    beat: Beat
+    pace: ProbeTiming
+    beat: ElectionTiming
     lengths: tuple[int, ...]
     folder: str
     store: str
@@ -47,9 +47,9 @@
         """All gateways of the settings, with their zones' numbers."""
         return self.cells.roster
 
-    def place(self, name: str) -> CommonPlace:
+    def place(self, name: str) -> CoordinatorConfig:
         """What the gateway of that name is told."""
-        return CommonPlace.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
+        return CoordinatorConfig.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
 
 def read_common(
@@ -89,7 +89,7 @@
     prices = _prices(common, found, zones, regions, wrong)
     settings = rules.settings
     floors = [c.floor for c in settings.classes]
-    loads = tuple(settings.rung_kb[f] * c.scale for f, c in zip(floors, settings.classes, strict=True))
+    loads = tuple(settings.rung_kb[f] * c.rate_scale for f, c in zip(floors, settings.classes, strict=True))
     worths = tuple(settings.rung_worth[f] * c.worth for f, c in zip(floors, settings.classes, strict=True))
     fronts = tuple(sum(1 for zone in roster.values() if zone == z) for z in range(len(zones)))
     for z, one in enumerate(found):
@@ -111,16 +111,16 @@
         dwell_most=duration(a["dwell-most"]),
         drift=float(a["drift"]),
     )
-    beat = Beat(duration(a["heart"]), duration(a["elect-least"]), duration(a["elect-most"]), terms.drift)
-    if beat.least < 3 * beat.heart:
+    beat = ElectionTiming(duration(a["heart"]), duration(a["elect-least"]), duration(a["elect-most"]), terms.drift)
+    if beat.min_election_timeout < 3 * beat.heartbeat_interval:
         wrong(
             common,
             f"elect-least '{a['elect-least']}' is under three times heart '{a['heart']}': a lost message "
             "or two would depose a leader",
         )
-    if beat.most < beat.least * 3 // 2:
+    if beat.max_election_timeout < beat.min_election_timeout * 3 // 2:
         wrong(common, f"elect-most '{a['elect-most']}' is under one and a half times elect-least '{a['elect-least']}'")
-    if terms.holds < 4 * terms.every or terms.holds < 2 * beat.most:
+    if terms.holds < 4 * terms.every or terms.holds < 2 * beat.max_election_timeout:
         wrong(
             common,
             f"holds '{a['holds']}' is under four times every or twice elect-most: plans would run out where "
@@ -128,15 +128,15 @@
         )
     if terms.drift >= 0.2:
         wrong(common, f"drift '{a['drift']}' is not under 0.2: no lease could be kept")
-    pace = Pace(duration(a["period"]), duration(a["answer"]))
+    pace = ProbeTiming(duration(a["period"]), duration(a["answer"]))
     if pace.timeout * 2 > pace.period:
         wrong(common, f"answer '{a['answer']}' is over half of period '{a['period']}'")
-    _demand(root, found, terms, settings.weight_kb, wrong)
+    _demand(root, found, terms, settings.kb_per_weight, wrong)
     lengths = []
     for cls in range(len(settings.classes)):
-        prefixes = [e.prefix for e in rules.entries if e.cls == cls]
+        prefixes = [e.prefix for e in rules.admission_rules if e.cls == cls]
         own = [t.length for t in titles if t.length is not None and any(t.path.startswith(p) for p in prefixes)]
-        lengths.append(sum(own) // len(own) if own else LIVE)
+        lengths.append(sum(own) // len(own) if own else LIVE_SESSION_NS)
     same = json.dumps(
         [
             sorted(roster.items()),
@@ -185,10 +185,10 @@
             elements[voters[-1]],
             f"is voter {len(voters)}: an even council stands no more deaths than one of " f"{len(voters) - 1}",
         )
-    if len(voters) > MOST_VOTERS:
+    if len(voters) > MAX_VOTERS:
         wrong(
-            elements[voters[MOST_VOTERS]],
-            f"is voter {len(voters)}: more than {MOST_VOTERS} make every decision " "slower and none safer",
+            elements[voters[MAX_VOTERS]],
+            f"is voter {len(voters)}: more than {MAX_VOTERS} make every decision " "slower and none safer",
         )
     for z, zone in enumerate(zones):
         here = [name for name in voters if roster[name] == z]
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -10,25 +10,35 @@
 import trio
 from trio import TaskStatus
 
-from ..control.attempt import Attempt, load_told
+from ..control.attempt import Attempt, probe_result
 from ..control.catalogue import Catalogue
-from ..control.core import Core
-from ..control.memory import STORE_WAIT
-from ..control.orders import Ask, Flush, Follow, Hangup, Line, Settle, Start, Stop, Wrote
+from ..control.core import FrontCore
+from ..control.io_actions import (
+    CloseViewer,
+    FlushAttempt,
+    FlushViewer,
+    FollowList,
+    LogLine,
+    ProbeHost,
+    QueryCode,
+    StartAttempt,
+    StopAttempt,
+)
+from ..control.journal import JOURNAL_TIMEOUT_NS
+from ..control.rtsp_server import ViewerConnection
 from ..control.rules import FrontRules
 from ..control.scheduler import Priority, Scheduler
-from ..control.settling import SETTLE_HEADER, SETTLED_HEADER
-from ..control.visits import Visitor
+from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER
 from ..control.zones.facts import FrontGauge, Gauge
-from ..interface import Code, Ways
-from ..state.book import Book
+from ..interface import OutcomeCode, ZoneAllocation
+from ..state.journal_writer import JournalWriter
 from ..state.recovery import recover
 from .background import Background
 from .disk import Disk
+from .journal_runner import JournalRunner
 from .listing import Follower, ListPlace
-from .net import Listener, Network, Signal, Stream, at, now
-from .peers.neighbours import Neighbourhood, Neighbours
-from .store import Store
+from .net import AutoResetEvent, Listener, Network, Stream, now, trio_deadline
+from .peers.service import PeerService, PeerSettings
 from .upstream import Link, ask
 
 Logger = Callable[[str, Mapping[str, str | int]], None]
@@ -47,7 +57,7 @@
     disk: Disk | None = None
     generation: str = ""
     accept_loss: bool = False
-    hood: Neighbourhood | None = None
+    hood: PeerSettings | None = None
     lengths: tuple[int, ...] = ()
     unix_ms: int = 0
 
@@ -62,8 +72,8 @@
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
         self.idle = False  # the writer waits for work: whoever has some may write it at once
-        self.wake = Signal()
-        self.roomy = Signal()
+        self.wake = AutoResetEvent()
+        self.roomy = AutoResetEvent()
         self.hanging_up = False
         self.feeds: dict[Link, None] = {}
 
@@ -74,20 +84,20 @@
 
     def __init__(self, station: Station, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
         self.station, self.network, self.log = station, network, log
-        self.core = Core(station.rules, station.catalogue, station.zones, seed, rng, station.name)
+        self.core = FrontCore(station.rules, station.catalogue, station.zones, seed, rng, station.name)
         self.address = ""
         self._links: dict[Attempt, Link] = {}
-        self._callers: dict[Visitor, Caller] = {}
+        self._callers: dict[ViewerConnection, Caller] = {}
         self._following: trio.CancelScope | None = None
         self._follower: Follower | None = None
-        self._store: Store | None = None
-        self.neighbours: Neighbours | None = None
+        self._store: JournalRunner | None = None
+        self.neighbours: PeerService | None = None
         if station.hood is not None:
             self._meet(station.hood, rng)
         self.background = Background(Scheduler())
         self._written = -1
         self._ailing = ""
-        self._timer = Signal()
+        self._timer = AutoResetEvent()
         self._wake_at: int | None = None
         self._nursery: trio.Nursery | None = None
         self._listener: Listener | None = None
@@ -118,12 +128,12 @@
             listener.close()
             self._let_go()
 
-    def _meet(self, hood: Neighbourhood, rng: random.Random) -> None:
+    def _meet(self, hood: PeerSettings, rng: random.Random) -> None:
         """Decide in common with the site's other gateways."""
-        station, plays = self.station, self.core.plays
+        station, plays = self.station, self.core.session_table
         gauge = Gauge(hood.place.name, station.unix_ms, len(hood.place.zones), station.lengths, hood.place.terms, now())
-        plays.watcher = FrontGauge(gauge, lambda: plays.controller)
-        self.neighbours = Neighbours(
+        plays.observer = FrontGauge(gauge, lambda: plays.controller)
+        self.neighbours = PeerService(
             hood,
             gauge,
             lambda: plays.controller,
@@ -134,8 +144,8 @@
             station.unix_ms,
         )
 
-    def _agreed(self, ways: Ways) -> None:
-        self.core.plays.agreed(now(), ways)
+    def _agreed(self, ways: ZoneAllocation) -> None:
+        self.core.session_table.set_zone_allocation(now(), ways)
         self._carry_out()
 
     def _recover(self) -> None:
@@ -143,7 +153,7 @@
         disk, core = self.station.disk, self.core
         if disk is None:
             return
-        disk.lock(core.label)
+        disk.lock(core.instance_name)
         try:
             touched = disk.touched()
             found = recover(disk.names(), disk.read)
@@ -177,13 +187,13 @@
             },
         )
         down = disk.wall() - touched if touched is not None else 0
-        book = Book(found, core.label, self.station.generation, now(), down)
-        core.remember(now(), book, spent)
-        self._store = Store(book, disk, self.background, self._stored)
-        self.background.add("expiry", Priority.IDLE, core.plays.expire, now())
+        book = JournalWriter(found, core.instance_name, self.station.generation, now(), down)
+        core.restore(now(), book, spent)
+        self._store = JournalRunner(book, disk, self.background, self._stored)
+        self.background.add("expiry", Priority.LOW, core.session_table.expire_codes, now())
 
     def _keep_list(self, when: int) -> None:
-        self.core.keep_list(when)
+        self.core.save_list(when)
         self._carry_out()
 
     def _let_go(self) -> None:
@@ -195,24 +205,24 @@
         connection, what lies unread of the list comes first."""
         await self._catch_up()
         store = self._store
-        if store is not None and store.book.ailing != self._ailing:
-            self._ailing = store.book.ailing
+        if store is not None and store.book.degraded != self._ailing:
+            self._ailing = store.book.degraded
             self.log(
                 "journal failed" if self._ailing else "journal well again",
                 {"front": self.station.name, "text": self._ailing},
             )
-        self.core.plays.stored(now())
+        self.core.session_table.journal_advanced(now())
         self._carry_out()
 
     async def drain(self, most: float) -> None:
         """Take nothing new, let what plays come to its end for at most `most` s, then stop serving."""
-        self.core.visits.draining = True
+        self.core.rtsp_server.draining = True
         if self.neighbours is not None:
             self.neighbours.leave()
         if self._listener is not None:
             self._listener.close()
         with trio.move_on_after(most):
-            while self.core.plays.plays:  # noqa: ASYNC110 - a drain looks now and then, and no session pays for it
+            while self.core.session_table.requests:  # noqa: ASYNC110 - a drain looks now and then, and no session pays for it
                 await trio.sleep(0.05)
         await self._close_book()
         if self._nursery is not None:
@@ -223,9 +233,9 @@
         store = self._store
         if store is None:
             return
-        last = store.book.close(now(), self.core.plays.budget.ages(now()))
-        store.look()
-        with trio.move_on_after(STORE_WAIT / 1e9):
+        last = store.book.close(now(), self.core.session_table.budget.spent_ages(now()))
+        store.notify()
+        with trio.move_on_after(JOURNAL_TIMEOUT_NS / 1e9):
             while not store.book.durable(last):  # noqa: ASYNC110 - once in a process's life
                 await trio.sleep(0.01)
 
@@ -235,43 +245,43 @@
         nursery = self._nursery
         if nursery is None:
             return
-        for order in self.core.take():
-            if isinstance(order, Wrote):
-                self._wrote(order.visitor)
-            elif isinstance(order, Flush):
+        for order in self.core.take_io_actions():
+            if isinstance(order, FlushViewer):
+                self._wrote(order.connection)
+            elif isinstance(order, FlushAttempt):
                 if order.attempt in self._links:
                     self._links[order.attempt].wake.set()
-            elif isinstance(order, Start):
+            elif isinstance(order, StartAttempt):
                 nursery.start_soon(self._guarded, "attempt", self._upstream, order.attempt)
-            elif isinstance(order, Stop):
+            elif isinstance(order, StopAttempt):
                 if order.attempt in self._links:
                     self._links[order.attempt].stop()
-            elif isinstance(order, Hangup):
-                caller = self._callers.get(order.visitor)
+            elif isinstance(order, CloseViewer):
+                caller = self._callers.get(order.connection)
                 if caller is not None:
                     caller.hanging_up = True
                     caller.wake.set()
-            elif isinstance(order, Ask):
+            elif isinstance(order, ProbeHost):
                 nursery.start_soon(self._guarded, "probe", self._probe, order.server, order.address)
-            elif isinstance(order, Settle):
+            elif isinstance(order, QueryCode):
                 nursery.start_soon(self._guarded, "settle", self._settle, order)
-            elif isinstance(order, Follow):
+            elif isinstance(order, FollowList):
                 self._follow(nursery, order.on)
             else:
-                assert isinstance(order, Line)
+                assert isinstance(order, LogLine)
                 self.log(order.event, {"front": self.station.name, **dict(order.fields)})
         if self._store is not None and self.core.list_changed:
             self.core.list_changed = False
-            self.background.add("list", Priority.USUAL, self._keep_list)
+            self.background.add("list", Priority.NORMAL, self._keep_list)
         if self._store is not None and self._store.book.sequence != self._written:
             self._written = self._store.book.sequence
-            self._store.look()
+            self._store.notify()
         wake = self.core.next_wake()
         if wake != self._wake_at:
             self._wake_at = wake
             self._timer.set()
 
-    def _wrote(self, visitor: Visitor) -> None:
+    def _wrote(self, visitor: ViewerConnection) -> None:
         """Write at once what the socket takes; the rest, and every error, is the writer's."""
         caller = self._callers.get(visitor)
         if caller is None:
@@ -280,7 +290,7 @@
             try:
                 while data := visitor.outbox.peek():
                     sent = caller.stream.send_now(data)
-                    visitor.outbox.took(sent)
+                    visitor.outbox.consume(sent)
                     if sent < len(data):
                         break
                 else:
@@ -311,7 +321,7 @@
     async def _ticks(self) -> None:
         while True:
             wake = self._wake_at
-            with trio.CancelScope(deadline=at(wake) if wake is not None else float("inf")) as waiting:
+            with trio.CancelScope(deadline=trio_deadline(wake) if wake is not None else float("inf")) as waiting:
                 await self._timer.wait()
             if wake is not None and (waiting.cancelled_caught or now() >= wake):
                 # the deadline is a float and may come up a nanosecond before the time it stands for: without this
@@ -336,31 +346,31 @@
     async def _catch_up(self) -> None:
         """What lies unread of the list comes before anything new for a host."""
         if self._follower is not None:
-            await self._follower.catch_up(self.core.plays.news_wait / 1e9)
+            await self._follower.catch_up(self.core.session_table.list_update_wait / 1e9)
 
     async def _probe(self, server: int, address: str) -> None:
-        code, report = load_told(await ask(self.network, self.core, address))
-        self.core.plays.probed(now(), server, code, report)
+        code, report = probe_result(await ask(self.network, self.core, address))
+        self.core.session_table.probed(now(), server, code, report)
         self._carry_out()
 
-    async def _settle(self, order: Settle) -> None:
+    async def _settle(self, order: QueryCode) -> None:
         answer = await ask(self.network, self.core, order.address, ((SETTLE_HEADER, order.request),))
-        text = answer.header(SETTLED_HEADER) if not isinstance(answer, Code) else None
-        self.core.plays.settled(now(), order.code, text)
+        text = answer.header(SETTLED_HEADER) if not isinstance(answer, OutcomeCode) else None
+        self.core.session_table.code_query_answered(now(), order.code, text)
         self._carry_out()
 
     async def _upstream(self, attempt: Attempt) -> None:
         link = Link(self.core, self.network, attempt, self._carry_out, self._catch_up)
-        play = self.core.plays.plays.get(attempt.plan.ref)
-        customer = play.customer if play is not None else None
-        visitor = getattr(customer, "visitor", None)
+        play = self.core.session_table.requests.get(attempt.plan.ref)
+        customer = play.owner if play is not None else None
+        visitor = getattr(customer, "connection", None)
         caller = self._callers.get(visitor) if visitor is not None else None
         self._links[attempt] = link
         if customer is not None and caller is not None:
             link.blocked = lambda: visitor in self._callers and customer.blocked()
             caller.feeds[link] = None
         try:
-            if attempt.verdict is not None:
+            if attempt.outcome is not None:
                 link.stop()
             await link.run()
         finally:
@@ -376,13 +386,13 @@
             try:
                 stream = await listener.accept()
             except (OSError, trio.ClosedResourceError):
-                if self.core.visits.draining:
+                if self.core.rtsp_server.draining:
                     return
                 raise
             self._nursery.start_soon(self._guarded, "viewer", self._viewer, stream)
 
     async def _viewer(self, stream: Stream) -> None:
-        visitor = self.core.visits.opened(now(), stream.peer)
+        visitor = self.core.rtsp_server.opened(now(), stream.peer)
         if visitor is None:
             stream.close()
             return
@@ -396,12 +406,12 @@
         finally:
             stream.close()
             del self._callers[visitor]
-            self.core.visits.closed(now(), visitor)
+            self.core.rtsp_server.closed(now(), visitor)
             for link in caller.feeds:
                 link.roomy.set()
             self._carry_out()
 
-    async def _read(self, stream: Stream, visitor: Visitor, caller: Caller) -> None:
+    async def _read(self, stream: Stream, visitor: ViewerConnection, caller: Caller) -> None:
         while not visitor.closing:
             try:
                 data = await stream.receive_some(16384)
@@ -409,13 +419,13 @@
                 return
             if not data:
                 return
-            self.core.visits.received(now(), visitor, data)
+            self.core.rtsp_server.received(now(), visitor, data)
             self._carry_out()
             while visitor.outbox.full:
                 # one that asks and asks and reads no answer is read no further itself
                 await caller.roomy.wait()
 
-    async def _write(self, stream: Stream, visitor: Visitor, caller: Caller, scope: trio.CancelScope) -> None:
+    async def _write(self, stream: Stream, visitor: ViewerConnection, caller: Caller, scope: trio.CancelScope) -> None:
         outbox = visitor.outbox
         while True:
             data = outbox.peek()
@@ -431,15 +441,15 @@
             try:
                 sent = stream.send_now(data)
                 if not sent:
-                    with trio.move_on_after(outbox.stall / 1e9):
+                    with trio.move_on_after(outbox.stall_ns / 1e9):
                         sent = await stream.send_some(data)
             except OSError:
                 break
             if not sent:
-                self.core.visits.stalled(now(), visitor)
+                self.core.rtsp_server.stalled(now(), visitor)
                 break
-            outbox.took(sent)
-            if outbox.roomy:
+            outbox.consume(sent)
+            if outbox.has_room:
                 caller.roomy.set()
                 for link in caller.feeds:
                     link.roomy.set()
--- a/copperyard/gateway/listing.py
+++ b/copperyard/gateway/listing.py
@@ -9,8 +9,8 @@
 import h11
 import trio
 
-from ..control.core import Core
-from .net import Network, Signal, Stream, now
+from ..control.core import FrontCore
+from .net import AutoResetEvent, Network, Stream, now
 
 MOST_BODY = 16 * 1024 * 1024
 READ = 65536
@@ -39,7 +39,7 @@
     """Polls the list service. One long poll is out at a time; its answer is taken by whoever looks first: the task
     that waits for it, or a set-up that is about to leave (`catch_up`)."""
 
-    def __init__(self, network: Network, core: Core, place: ListPlace, carry_out: Callable[[], None]) -> None:
+    def __init__(self, network: Network, core: FrontCore, place: ListPlace, carry_out: Callable[[], None]) -> None:
         self.network, self.core, self.place, self.carry_out = network, core, place, carry_out
         self._stream: Stream | None = None
         self._wire = h11.Connection(h11.CLIENT)
@@ -48,7 +48,7 @@
         self._begun = self._whole = self._drained = False
         self._error: OSError | None = None
         self._reading: trio.CancelScope | None = None
-        self._moved = Signal()
+        self._moved = AutoResetEvent()
 
     async def run(self) -> None:
         """Poll until something fails; the core hears of that once and says when to go on."""
@@ -74,7 +74,7 @@
     async def _poll(self, stream: Stream) -> None:
         known, place = self.core.roster.generation, self.place
         query = f"?after={known}&wait_ms={place.wait // 1_000_000}" if known is not None else ""
-        headers = [("Host", place.address), ("User-Agent", self.core.label)]
+        headers = [("Host", place.address), ("User-Agent", self.core.instance_name)]
         self._status, self._whole = 0, False
         self._body.clear()
         with trio.move_on_after(place.timeout / 1e9) as sending:
@@ -151,7 +151,7 @@
     def _ended(self) -> None:
         self._whole, self._begun = True, False
         self._moved.set()
-        if self._status == 200 and not self.core.list_body(now(), bytes(self._body)):
+        if self._status == 200 and not self.core.list_received(now(), bytes(self._body)):
             self._error = OSError("its answer made no sense")
         elif self._status not in (200, 204):
             self._error = OSError(f"it answered {self._status}")
--- a/copperyard/gateway/upstream.py
+++ b/copperyard/gateway/upstream.py
@@ -6,12 +6,12 @@
 
 import trio
 
-from ..control.attempt import Attempt, Question, Stage
-from ..control.core import Core
-from ..interface import Code
+from ..control.attempt import Attempt, HostQuery, Stage
+from ..control.core import FrontCore
+from ..interface import OutcomeCode
 from ..protocol.rtsp import Response
 from ..protocol.rtsp.messages import Headers
-from .net import Network, Signal, Stream, at, now
+from .net import AutoResetEvent, Network, Stream, now, trio_deadline
 
 READ = 65536
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: FrontCore,
         network: Network,
         attempt: Attempt,
         carry_out: Callable[[], None],
@@ -29,8 +29,8 @@
     ) -> None:
         self.core, self.network, self.attempt = core, network, attempt
         self.carry_out, self.catch_up = carry_out, catch_up
-        self.wake = Signal()
-        self.roomy = Signal()
+        self.wake = AutoResetEvent()
+        self.roomy = AutoResetEvent()
         self.scope = trio.CancelScope()
         self.blocked: Callable[[], bool] = lambda: False
 
@@ -41,7 +41,7 @@
     async def run(self) -> None:
         """Connect, talk, close; the core hears of the end only after the close."""
         stream: Stream | None = None
-        self.scope.deadline = at(self.attempt.limit)
+        self.scope.deadline = trio_deadline(self.attempt.deadline)
         try:
             with self.scope:
                 with trio.move_on_after(self._connect_s):
@@ -52,19 +52,19 @@
                 if stream is not None and await self._connected():
                     await self._talk(stream)
             if self.scope.cancelled_caught and stream is not None:
-                self.core.plays.expired(now(), self.attempt)
+                self.core.session_table.expired(now(), self.attempt)
             if stream is not None and self.attempt.out and self.attempt.sent:
                 await self._last_words(stream)
         finally:
             if stream is not None:
                 stream.close()
-            self.core.plays.closed(now(), self.attempt)
+            self.core.session_table.closed(now(), self.attempt)
             self.carry_out()
 
     async def _connected(self) -> bool:
         # a process that stood still since the attempt was decided has not read yet what ended meanwhile
         await self.catch_up()
-        return self.core.plays.connected(now(), self.attempt)
+        return self.core.session_table.connected(now(), self.attempt)
 
     def stop(self) -> None:
         """The core ended the attempt."""
@@ -84,9 +84,9 @@
                 return
             if not data:
                 return
-            if self.attempt.stage is Stage.ASK:
+            if self.attempt.stage is Stage.CHECK:
                 await self.catch_up()  # what comes is the leave to send the set-up
-            self.core.plays.received(now(), self.attempt, data)
+            self.core.session_table.received(now(), self.attempt, data)
             self.carry_out()
             if self.attempt.stage is Stage.OPEN:
                 self.scope.deadline = float("inf")
@@ -115,24 +115,24 @@
                 return
 
 
-async def ask(network: Network, core: Core, address: str, headers: Headers = ()) -> Response | Code:
+async def ask(network: Network, core: FrontCore, address: str, headers: Headers = ()) -> Response | OutcomeCode:
     """Ask a host one question, within the time for a connect: its answer, or why there is none."""
-    probing = Question(address, core.rules.hosts, headers)
+    probing = HostQuery(address, core.rules.hosts, headers)
     stream: Stream | None = None
-    code = Code.CONNECT_FAILED
+    code = OutcomeCode.CONNECT_FAILED
     try:
         with trio.move_on_after(core.rules.settings.connect_timeout / 1e9):
             stream = await network.connect(address)
-            code, out = Code.TIMEOUT, probing.out
+            code, out = OutcomeCode.TIMEOUT, probing.out
             while out:
                 out = out[await stream.send_some(out) :]
             while data := await stream.receive_some(READ):
                 found = probing.receive(data)
                 if found is not None:
                     return found
-            code = Code.RESET
+            code = OutcomeCode.RESET
     except OSError:
-        code = code if code is Code.CONNECT_FAILED else Code.RESET
+        code = code if code is OutcomeCode.CONNECT_FAILED else OutcomeCode.RESET
     finally:
         if stream is not None:
             stream.close()  # also when the gateway is cancelled in the middle of a probe
--- a/copperyard/lab/baselines.py
+++ b/copperyard/lab/baselines.py
@@ -22,7 +22,7 @@
     def _place(self, now: int, session: Session) -> bool:
         if now >= session.deadline:
             return False
-        legal = [s for s in self._drawn(session) if self._may_send(now, session, s)]
+        legal = [s for s in self._draw_holders(session) if self._may_send(now, session, s)]
         chosen = self.choose(now, session, legal) if legal else None
         return self._send(now, session, *chosen) if chosen else False
 
@@ -34,7 +34,7 @@
     """A random holder, at the lowest rung that is allowed."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
-        return legal[0], session.kind.floor
+        return legal[0], session.session_class.floor
 
 
 class LeastOwn(Plain):
@@ -42,20 +42,20 @@
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
         one = min(legal[:2], key=lambda s: s.streams)
-        return one, max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
+        return one, max(session.session_class.floor, min(session.top, len(self.settings.rung_kb) // 2))
 
 
 class Middle(Plain):
     """A random holder, at a middle rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
-        return legal[0], max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
+        return legal[0], max(session.session_class.floor, min(session.top, len(self.settings.rung_kb) // 2))
 
 
 class Reckless(RandomLowest):
     """As random, but blind to whether a host is cold: what a front without that rule does to one."""
 
-    def _turn(self, now: int, server: Server, since: int) -> bool:
+    def _may_send_cold(self, now: int, server: Server, since: int) -> bool:
         return True
 
 
@@ -75,12 +75,12 @@
         self.now = now
         return super().handle(now, event)
 
-    def _drawn(self, session: Session) -> Iterator[Server]:
-        for server in super()._drawn(session):
+    def _draw_holders(self, session: Session) -> Iterator[Server]:
+        for server in super()._draw_holders(session):
             seen = self.truth(server.entry.server)
             if seen is not None:
-                server.link.learn(self.now, seen[0], self.now, False)
-                server.rack.learn(self.now, seen[1], self.now, False)
+                server.link.observe(self.now, seen[0], self.now, False)
+                server.rack.observe(self.now, seen[1], self.now, False)
                 yield server
 
 
@@ -109,9 +109,9 @@
         gateway = Gateway(station, network, seed, rng, self.fleet.log)
         kind = POLICIES[self.policy]
         if issubclass(kind, FullView):
-            gateway.core.plays.controller = kind(station.rules.settings, seed, self._truth(gateway))
+            gateway.core.session_table.controller = kind(station.rules.settings, seed, self._truth(gateway))
         else:
-            gateway.core.plays.controller = kind(station.rules.settings, seed)
+            gateway.core.session_table.controller = kind(station.rules.settings, seed)
         return gateway
 
     def _truth(self, gateway: Gateway) -> Truth:
--- a/copperyard/lab/emulator/model.py
+++ b/copperyard/lab/emulator/model.py
@@ -118,13 +118,13 @@
 
     def _book(self, stream: Stream, sign: int) -> None:
         kind = self.settings.classes[stream.cls]
-        kb = self.true_kb[stream.rung] * kind.scale
+        kb = self.true_kb[stream.rung] * kind.rate_scale
         if kind.live:
             # viewers of one live title, class and rung share a stream: each further one adds a part
             key = (stream.cls, stream.title, stream.rung)
             n = self._shared.get(key, 0) + (0 if sign > 0 else -1)
             self._shared[key] = n + (1 if sign > 0 else 0)
-            kb *= 1.0 if n == 0 else self.settings.join_adds
+            kb *= 1.0 if n == 0 else self.settings.join_ratio
             if not self._shared[key]:
                 del self._shared[key]
         self._asked = max(0.0, self._asked + sign * kb)
@@ -132,21 +132,21 @@
     # ---- set-ups
 
     def warmth(self, now: int) -> float:
-        """How much of its capacity for set-ups is there: from cold_from up to 1 in a straight line."""
+        """How much of its capacity for set-ups is there: from cold_ratio up to 1 in a straight line."""
         if not self.started:
             return 1.0
         s = self.settings
-        return min(1.0, s.cold_from + (1 - s.cold_from) * (now - self.started) / max(1, s.warm_within))
+        return min(1.0, s.cold_ratio + (1 - s.cold_ratio) * (now - self.started) / max(1, s.warm_up_time))
 
     def arrive(self, now: int) -> bool:
         """A set-up arrives. False where it pushes the host, which is cold, over: more than the stated multiple of
         what it can take in the stated time (brief, 'no cold streamer pushed over')."""
         s = self.settings
         self._arrivals.append(now)
-        while self._arrivals[0] <= now - s.fall:
+        while self._arrivals[0] <= now - s.cold_window:
             self._arrivals.popleft()
-        if self.started and now - self.started < s.warm_within:
-            can = s.fall_multiple * self.spec.places * self.warmth(now) * s.fall / s.warm_within
+        if self.started and now - self.started < s.warm_up_time:
+            can = s.cold_budget_multiple * self.spec.places * self.warmth(now) * s.cold_window / s.warm_up_time
             if len(self._arrivals) > can + 1:
                 self.fallen = True
                 return False
@@ -166,9 +166,9 @@
         return ticket
 
     def has_room(self) -> bool:
-        """Whether it takes another session (it turns them away from `full_from` of its link on)."""
+        """Whether it takes another session (it turns them away from `full_threshold` of its link on)."""
         s = self.settings
-        full = s.full_from > 0 and self.load() >= s.full_from
+        full = s.full_threshold > 0 and self.load() >= s.full_threshold
         return not full and len(self.streams) < self.spec.places
 
     # ---- sessions
@@ -194,7 +194,7 @@
         stream.rung = rung
         if stream.playing:
             stream.rungs.append(rung)
-            stream.worth_s -= self.settings.switch_s * self.settings.rung_worth[rung]
+            stream.worth_s -= self.settings.switch_cost_s * self.settings.rung_worth[rung]
             self._book(stream, 1)
 
     def close(self, now: int, stream: Stream) -> None:
--- a/copperyard/lab/host.py
+++ b/copperyard/lab/host.py
@@ -9,12 +9,12 @@
 import trio
 from trio import TaskStatus
 
-from ..control.attempt import FEATURE
+from ..control.attempt import HOST_FEATURE
 from ..control.catalogue import Catalogue
-from ..control.evidence import REPORT_HEADER, UP_HEADER, encode_report, encode_up, note_app
-from ..control.settling import SETTLE_HEADER, SETTLED_HEADER, Answer
-from ..gateway.net import CLOSED, Listener, Network, Signal, Stream, now
-from ..interface import NoteKind, Report
+from ..control.host_reports import HOST_UP_HEADER, LOAD_REPORT_HEADER, encode_host_up, encode_note, encode_report
+from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER, SetupFate
+from ..gateway.net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream, now
+from ..interface import NoticeKind, Report
 from ..protocol.rtp import Bye, Packet, SenderReport, encode_compound, pack
 from ..protocol.rtsp import Connection, Limits, Request, Response
 from ..protocol.rtsp.headers import RtpInfo, parse_range, parse_session, parse_transport, parse_url
@@ -166,7 +166,7 @@
 
     async def _tell(self) -> None:
         """Once a second, one note of each kind to one session of each front."""
-        ticks, every = 0, max(1, self.settings.told_every)
+        ticks, every = 0, max(1, self.settings.notice_interval)
         while True:
             await trio.sleep(SAMPLE / SECOND)
             time = now()
@@ -174,8 +174,8 @@
             ticks += 1
             if ticks % 10:
                 continue
-            told = self.settings.told_every > 0 and (ticks * SAMPLE) // every != (ticks - 10) * SAMPLE // every
-            share = self.model.told_share(time, self.settings.told_late)
+            told = self.settings.notice_interval > 0 and (ticks * SAMPLE) // every != (ticks - 10) * SAMPLE // every
+            share = self.model.told_share(time, self.settings.notice_delay)
             fronts: dict[str, Playing] = {}
             for session in self.sessions.values():
                 self.model.tick(time, session.stream)
@@ -185,16 +185,16 @@
             for front, session in fronts.items():
                 short = share < 0.98
                 if short or self._shorted.get(front):
-                    self._note(session, NoteKind.SHARE, share)
+                    self._note(session, NoticeKind.SHARE, share)
                 self._shorted[front] = short
                 if told:
-                    self._note(session, NoteKind.LINK, link)
-                    self._note(session, NoteKind.UPLINK, uplink)
+                    self._note(session, NoticeKind.LINK, link)
+                    self._note(session, NoticeKind.UPLINK, uplink)
 
-    def _note(self, session: Playing, kind: NoteKind, value: float) -> None:
+    def _note(self, session: Playing, kind: NoticeKind, value: float) -> None:
         writer = self.writers.get(session.id)
         if writer is not None and not self.faults.vanished and not self.model.paused:
-            app = note_app(session.ssrc[0], kind, value)
+            app = encode_note(session.ssrc[0], kind, value)
             writer.frame(session.channels[0] + 1, encode_compound([app], session.ssrc[0]))
 
     # ---- connections
@@ -206,7 +206,7 @@
         writer = _Writer(stream, tapped)
         own: dict[str, Playing] = {}
         work: deque[Request] = deque()
-        wake = Signal()
+        wake = AutoResetEvent()
         self._streams[stream] = None
         try:
             async with trio.open_nursery() as nursery:
@@ -228,7 +228,7 @@
                             work.append(event)
                             wake.set()
                 nursery.cancel_scope.cancel()
-        except* CLOSED:
+        except* CONNECTION_ERRORS:
             pass
         finally:
             tapped.ended(now())
@@ -240,7 +240,12 @@
                 self.writers.pop(name, None)
 
     async def _work(
-        self, work: deque[Request], wake: Signal, writer: _Writer, own: dict[str, Playing], nursery: trio.Nursery
+        self,
+        work: deque[Request],
+        wake: AutoResetEvent,
+        writer: _Writer,
+        own: dict[str, Playing],
+        nursery: trio.Nursery,
     ) -> None:
         while True:
             while work:
@@ -259,8 +264,8 @@
         if not lost:
             age = now() - self.model.started if self.model.started else None
             load: Headers = (
-                (REPORT_HEADER, encode_report(Report(*self.model.report(now())))),
-                (UP_HEADER, encode_up(str(self.boot), age)),
+                (LOAD_REPORT_HEADER, encode_report(Report(*self.model.report(now())))),
+                (HOST_UP_HEADER, encode_host_up(str(self.boot), age)),
             )
             writer.put(
                 Connection.answer(
@@ -313,15 +318,15 @@
     def _settled(self, request: str) -> str:
         """What became of a set-up; one that never ran here will not run any more."""
         if request in self.setting:
-            return Answer.RUNNING.value
+            return SetupFate.RUNNING.value
         receipt = self.office.by_request.get(request)
         if receipt is not None:
-            return f"{Answer.REDEEMED.value}; receipt={receipt}"
+            return f"{SetupFate.REDEEMED.value}; receipt={receipt}"
         self.barred.add(request)
-        return Answer.NEVER.value
+        return SetupFate.NEVER.value
 
     async def _set_up(self, request: Request, writer: _Writer, own: dict[str, Playing]) -> tuple[Response, bool]:
-        if request.header("Require") != FEATURE:
+        if request.header("Require") != HOST_FEATURE:
             return Response(551, (("Unsupported", request.header("Require") or ""),)), False
         s, faults, model = self.settings, self.faults, self.model
         title = self.catalogue.find(parse_url(request.uri).path)
@@ -414,7 +419,7 @@
         for n, track in enumerate(session.tracks):
             if track == 1:
                 kind = self.settings.classes[session.stream.cls]
-                kb = self.model.true_kb[session.stream.rung] * kind.scale
+                kb = self.model.true_kb[session.stream.rung] * kind.rate_scale
                 size = int(kb * 1000 * self.scale * FRAME / SECOND)
                 parts = fragments(*picture(max(64, size), session.step % 4))
                 for k, part in enumerate(parts):
@@ -441,7 +446,7 @@
     def __init__(self, stream: Stream, tapped: Side) -> None:
         self._stream, self._tapped = stream, tapped
         self._data = bytearray()
-        self._wake = Signal()
+        self._wake = AutoResetEvent()
 
     def put(self, data: bytes) -> None:
         self._data += data
--- a/copperyard/lab/memnet.py
+++ b/copperyard/lab/memnet.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from ..gateway.net import Signal
+from ..gateway.net import AutoResetEvent
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
         self.last = 0.0  # when the newest byte arrives; none overtakes another
         self.ended = self.broken = False
         self.fell = False  # the network broke it, neither end did
-        self.readable, self.writable = Signal(), Signal()
+        self.readable, self.writable = AutoResetEvent(), AutoResetEvent()
 
     def room(self) -> int:
         return max(0, self.network.manners.window - self.size)
@@ -160,7 +160,7 @@
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         self.address, self._network = address, network
         self._queue: deque[MemoryStream] = deque()
-        self._ready = Signal()
+        self._ready = AutoResetEvent()
         self._closed = False
 
     async def accept(self) -> MemoryStream:
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -27,15 +27,15 @@
 import trio
 
 from ...config import Site, load
-from ...control.common import Common
+from ...control.coordinator import Coordinator
 from ...control.zones.facts import Gauge
-from ...control.zones.plan import HostsOf, Summary, Terms
+from ...control.zones.plan import FrontSummary, Terms, ZoneHosts
 from ...decide import Controller
 from ...gateway.net import Listener, Network, Stream, TcpNetwork, now
-from ...gateway.peers.neighbours import Neighbours
-from ...gateway.peers.place import neighbourhood
-from ...interface import Ways
-from ...protocol.peers import BadFrame, Reader, read_hello
+from ...gateway.peers.place import peer_settings
+from ...gateway.peers.service import PeerService
+from ...interface import ZoneAllocation
+from ...protocol.peers import FrameError, FrameReader, parse_hello
 
 FLUSH, LOOK = 1.0, 0.5  # s between lines of notes and counts, and between looks at how late this process runs
 USED = 0.4  # of its hosts' room is what a zone's viewers ask for
@@ -98,15 +98,15 @@
 
     def __init__(self, wire: Wire, inner: Stream, name: str | None) -> None:
         self._wire, self._inner, self.name, self.peer = wire, inner, name, inner.peer
-        self._reader = Reader()
+        self._reader = FrameReader()
 
     def _meet(self, data: bytes) -> None:
         """Learn from the hello who speaks. OSError where it lies behind a cut."""
         try:
             for body in self._reader.receive(data):
-                self.name = read_hello(body).sender
+                self.name = parse_hello(body).sender
                 break
-        except BadFrame:
+        except FrameError:
             self.name = ""  # the links say what is wrong with it
         if self.name in self._wire.refused:
             raise OSError("cut")
@@ -163,20 +163,20 @@
         super().__init__(name, life, terms.zones, lengths, terms, now())
         self.zone, self.rooms, self.phase, self.lost = zone, rooms, phase, lost
 
-    def summary(self, now: int, controller: Controller, epoch: int) -> Summary:
+    def summary(self, now: int, controller: Controller, epoch: int) -> FrontSummary:
         """The report of now; `controller` is not looked at."""
         self._number += 1
         wave = 1.0 + WAVE * math.sin(2 * math.pi * (now / 1e9 / SPAN + self.phase))
         asked = USED * self.rooms[self.zone][0] / max(1, self.terms.fronts[self.zone]) * wave
         parts = len(self.terms.loads)
-        return Summary(
+        return FrontSummary(
             self.name,
             self.life,
             self._number,
             epoch,
             (asked / parts,) * parts,
             tuple(
-                HostsOf(0.0, 0.0, 0, 0, 0, 0) if z in self.lost else HostsOf(room, room * USED, hosts, 0, 0, 0)
+                ZoneHosts(0.0, 0.0, 0, 0, 0, 0) if z in self.lost else ZoneHosts(room, room * USED, hosts, 0, 0, 0)
                 for z, (room, hosts) in enumerate(self.rooms)
             ),
         )
@@ -204,8 +204,8 @@
             owner.lost,
         )
         nobody: Any = SimpleNamespace(sessions={}, servers={})
-        self.neighbours = Neighbours(
-            neighbourhood(plan, name, owner.folder, False),
+        self.neighbours = PeerService(
+            peer_settings(plan, name, owner.folder, False),
             gauge,
             lambda: nobody,
             self.wire,
@@ -233,7 +233,7 @@
         finally:
             self.ended.set()
 
-    def _act(self, ways: Ways) -> None:
+    def _act(self, ways: ZoneAllocation) -> None:
         pass  # there are no viewers to be sent anywhere
 
     def _log(self, event: str, fields: Mapping[str, str | int]) -> None:
@@ -255,11 +255,11 @@
     return hashlib.sha256(json.dumps(same).encode()).hexdigest()[:16]
 
 
-def state_of(common: Common) -> dict[str, int]:
+def state_of(common: Coordinator) -> dict[str, int]:
     """Counts of what a gateway holds."""
     return {
         "members": len(common.members.members),
-        "reports": len(common.facts.known),
+        "reports": len(common.cell_reports.known),
         "plan": common.plan.epoch if common.plan is not None else 0,
     }
 
@@ -342,11 +342,11 @@
                 {
                     "state": {
                         name: {
-                            **state_of(one.neighbours.common),
+                            **state_of(one.neighbours.coordinator),
                             "links": len(one.wire.open),
                             "most": one.wire.most,
                             "frames": one.neighbours.links.written,
-                            "heard": one.neighbours.links.taken,
+                            "heard": one.neighbours.links.received,
                             "dropped": one.neighbours.links.dropped,
                         }
                         for name, one in self.all.items()
--- a/copperyard/lab/sites/relay.py
+++ b/copperyard/lab/sites/relay.py
@@ -15,7 +15,7 @@
 import trio
 from trio import TaskStatus
 
-from ...gateway.net import CLOSED, Listener, Network, Signal, Stream
+from ...gateway.net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream
 
 READ = 65536
 WINDOW = 1 << 20  # bytes under way in one direction of one connection
@@ -99,7 +99,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._pump, there, near, far, nursery.cancel_scope)
                 nursery.start_soon(self._pump, back, far, near, nursery.cancel_scope)
-        except CLOSED:
+        except CONNECTION_ERRORS:
             pass
         finally:
             near.close()
@@ -109,7 +109,7 @@
     async def _pump(self, way: Way, source: Stream, sink: Stream, scope: trio.CancelScope) -> None:
         waiting: deque[tuple[float, bytes]] = deque()
         size = 0
-        came, room = Signal(), Signal()
+        came, room = AutoResetEvent(), AutoResetEvent()
 
         async def write() -> None:
             nonlocal size
@@ -137,7 +137,7 @@
         async def guarded() -> None:
             try:
                 await write()
-            except CLOSED:
+            except CONNECTION_ERRORS:
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
@@ -158,7 +158,7 @@
                         break
                     while size > WINDOW:
                         await room.wait()
-            except CLOSED:
+            except CONNECTION_ERRORS:
                 scope.cancel()
 
 
--- a/copperyard/lab/sites/shelf.py
+++ b/copperyard/lab/sites/shelf.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from ...gateway.disk import LockedError
-from ...state.agreement.records import Damaged
+from ...state.agreement.log_store import DamagedStoreError
 
 
 class Plate:
@@ -40,13 +40,13 @@
         self.plate.torn.clear()
         for number, (body, check) in enumerate(self.plate.rows):
             if self.plate.check(number, body) != check:
-                raise Damaged(f"record {number + 1} does not hold its check")
+                raise DamagedStoreError(f"record {number + 1} does not hold its check")
         return [body for body, _ in self.plate.rows]
 
     async def append(self, records: Sequence[bytes]) -> None:
         await self._write(records, self.plate.rows)
 
-    async def renew(self, records: Sequence[bytes]) -> None:
+    async def replace_all(self, records: Sequence[bytes]) -> None:
         await self._write(records, [])
 
     async def _write(self, records: Sequence[bytes], before: list[tuple[bytes, int]]) -> None:
--- a/copperyard/lab/sites/simulated.py
+++ b/copperyard/lab/sites/simulated.py
@@ -15,15 +15,25 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...control.common import Act, Common, CommonPlace, Done, Durable, Immediate, Note, Send, Write
+from ...control.coordinator import (
+    ApplyZoneAllocation,
+    Coordinator,
+    CoordinatorConfig,
+    Durable,
+    Immediate,
+    LogLine,
+    NotifyApplied,
+    Send,
+    Write,
+)
 from ...control.zones.facts import Gauge
-from ...control.zones.plan import Plan, Standing, Terms
-from ...interface import Ways
+from ...control.zones.plan import Plan, Terms, ZoneStatus
+from ...interface import ZoneAllocation
 from ...membership.gateways.cells import CellMap
-from ...membership.gateways.members import Changed, Members, Pace, Say, Stood
-from ...membership.gateways.messages import Life
-from ...state.agreement.council import Council, Kept
+from ...membership.gateways.members import Membership, ProbeTiming, SendMessage, Stalled, StateChanged
+from ...membership.gateways.messages import MemberState
 from ...state.agreement.messages import Record
+from ...state.agreement.replica import PersistentState, Replica
 from .events import Events, Manner
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -62,16 +72,16 @@
         place = site.place(name)
         gauge = Gauge(name, start, site.zones, (20 * SECOND,), site.terms, now)
         shown: Any = self
-        self.core = Common(
+        self.core = Coordinator(
             place,
             gauge,
             lambda: shown,
-            Kept.read(shelf) if name in place.voters else None,
+            PersistentState.read(shelf) if name in place.voters else None,
             site.seed * 1009 + start,
             now,
             start,
         )
-        self.ways: Ways | None = None
+        self.ways: ZoneAllocation | None = None
         self.notes: deque[tuple[int, str, dict[str, str | int]]] = deque(maxlen=site.notes)
         self.tally = site.tallies.get(name) if site.tallies is not None else None
 
@@ -109,17 +119,17 @@
     def collect(self, now: int) -> list[tuple[str, Any]]:
         begun = thread_time_ns() if self.tally is not None and self.tally.weighed else 0
         out: list[tuple[str, Any]] = []
-        for order in self.core.take():
+        for order in self.core.take_actions():
             self._order(order, out)
-        while durable := self.core.take_durable():
+        while durable := self.core.take_durable_actions():
             for step in durable:
                 if isinstance(step, Write):
-                    if step.anew:
+                    if step.replace_all:
                         self.shelf.clear()
                     self.shelf.extend(step.records)
-                elif isinstance(step, Done):
+                elif isinstance(step, NotifyApplied):
                     self.core.applied(now, step.order)
-                    for one in self.core.take():
+                    for one in self.core.take_actions():
                         self._order(one, out)
                 else:
                     self._order(step, out)
@@ -130,10 +140,10 @@
     def _order(self, order: Immediate | Durable, out: list[tuple[str, Any]]) -> None:
         if isinstance(order, Send):
             out.append((order.to, order.message))
-        elif isinstance(order, Act):
-            self.site.allow(self, order.ways)
+        elif isinstance(order, ApplyZoneAllocation):
+            self.site.allow(self, order.allocation)
         else:
-            assert isinstance(order, Note)
+            assert isinstance(order, LogLine)
             if self.site.notes:
                 self.notes.append((self.site.net.now, order.event, dict(order.fields)))
             if order.event == "plan":
@@ -181,13 +191,13 @@
         self.roster = {f"g{z}-{n}": z for z in range(zones) for n in range(self.sizes[z])}
         self.voters = voters or (("g0-0", "g2-0", "g4-0") if zones > 4 else ("g0-0", "g1-0", "g2-0"))
         self.cells = CellMap(self.roster, zones)
-        self._places: dict[str, CommonPlace] = {}
+        self._places: dict[str, CoordinatorConfig] = {}
         self.zone_names = tuple(f"z{z}" for z in range(zones))
         self.rooms = [room] * zones
         self.demand = [asked] * zones
         self.notes = notes
         self.tallies = {name: Tally() for name in self.roster} if measured else None
-        self.noted: Callable[[Front, Note], None] | None = None
+        self.noted: Callable[[Front, LogLine], None] | None = None
         self.net = Events(seed, manner or Manner(delay=(1 * MS, 30 * MS)))
         self.shelves: dict[str, list[Record]] = {name: [] for name in self.roster}
         self.starts = 0
@@ -204,11 +214,13 @@
         for name in self.roster if begin else ():
             self.start(name)
 
-    def place(self, name: str) -> CommonPlace:
+    def place(self, name: str) -> CoordinatorConfig:
         """What a gateway knows from its settings, as each works it out for itself."""
         found = self._places.get(name)
         if found is None:
-            found = self._places[name] = CommonPlace.of(name, self.cells, self.zone_names, self.voters, self.terms)
+            found = self._places[name] = CoordinatorConfig.of(
+                name, self.cells, self.zone_names, self.voters, self.terms
+            )
         return found
 
     def time(self, name: str) -> int:
@@ -241,8 +253,8 @@
         for name in self.voters:
             if name in self.net.nodes:
                 council = self.front(name).core.council
-                assert isinstance(council, Council)
-                if council.lease(self.time(name)):
+                assert isinstance(council, Replica)
+                if council.holds_lease(self.time(name)):
                     return name
         return None
 
@@ -263,9 +275,9 @@
                 {
                     z: SimpleNamespace(
                         gone=False,
-                        bad=0.0,
+                        failure_rate=0.0,
                         entry=SimpleNamespace(zone=z),
-                        link=SimpleNamespace(cap=room, load=lambda now: 0.5),
+                        link=SimpleNamespace(capacity_kb=room, load=lambda now: 0.5),
                     )
                     for z, room in enumerate(rooms)
                     if room > 0
@@ -277,7 +289,7 @@
         """Those of one of its gateways: what its viewers ask, split evenly over those that run."""
         count = round(self.demand[zone] / RATE / self.living(zone))
         if count not in self._sessions:
-            one = SimpleNamespace(r=SimpleNamespace(cls=0))
+            one = SimpleNamespace(request=SimpleNamespace(cls=0))
             self._sessions[count] = dict.fromkeys(range(count), one)
         return self._sessions[count]
 
@@ -288,7 +300,10 @@
         if known is plan:
             self.committed.append((self.net.now, plan))
             self._free.append(
-                (self.net.now, tuple(max(0.0, zone.room * zone.part - zone.own - zone.reserve) for zone in plan.zones))
+                (
+                    self.net.now,
+                    tuple(max(0.0, zone.room * zone.usable_ratio - zone.own - zone.reserve) for zone in plan.zones),
+                )
             )
         elif known != plan:
             raise Broken(f"two plans of epoch {plan.epoch}")
@@ -300,7 +315,7 @@
         self._living[self.roster[name]] -= 1
         self._count(core, -1)
 
-    def allow(self, front: Front, ways: Ways) -> None:
+    def allow(self, front: Front, ways: ZoneAllocation) -> None:
         """What a front may do from now on."""
         before = front.ways
         self._count(front, -1)
@@ -334,10 +349,10 @@
                 raise Broken(f"{self.allowed(z):.0f} kB/s of zone {z} allowed, {free:.0f} were free")
 
     def strengths(self, names: Iterable[str]) -> list[float]:
-        return [self.front(name).core.book.strength(self.time(name)) for name in names if name in self.net.nodes]
+        return [self.front(name).core.active_plan.strength(self.time(name)) for name in names if name in self.net.nodes]
 
-    def standing(self, z: int) -> Standing | None:
-        return max(self.plans.items())[1].zones[z].standing if self.plans else None
+    def standing(self, z: int) -> ZoneStatus | None:
+        return max(self.plans.items())[1].zones[z].status if self.plans else None
 
 
 class Gateway:
@@ -345,11 +360,11 @@
 
     def __init__(self, world: World, name: str, incarnation: int) -> None:
         self.world, self.name = world, name
-        self.core = Members(
+        self.core = Membership(
             name,
             world.roster,
             world.zones,
-            Pace(),
+            ProbeTiming(),
             world.seed * 7919 + hash_of(name) + incarnation,
             world.net.now,
             incarnation,
@@ -366,13 +381,13 @@
 
     def collect(self, now: int) -> list[tuple[str, Any]]:
         out: list[tuple[str, Any]] = []
-        for action in self.core.take():
-            if isinstance(action, Say):
+        for action in self.core.take_actions():
+            if isinstance(action, SendMessage):
                 out.append((action.to, action.message))
-            elif isinstance(action, Changed):
-                self.world.changes.append((self.world.net.now, self.name, action.name, action.life))
+            elif isinstance(action, StateChanged):
+                self.world.changes.append((self.world.net.now, self.name, action.name, action.state))
             else:
-                assert isinstance(action, Stood)
+                assert isinstance(action, Stalled)
         return out
 
 
@@ -387,14 +402,14 @@
         self.seed, self.zones = seed, zones
         self.roster = {f"g{n}": n % zones for n in range(gateways)}
         self.net = Events(seed, manner or Manner(delay=(1 * MS, 20 * MS)))
-        self.changes: list[tuple[int, str, str, Life]] = []
+        self.changes: list[tuple[int, str, str, MemberState]] = []
         for name in self.roster:
             self.start(name, 1000)
 
     def start(self, name: str, incarnation: int) -> None:
         self.net.add(name, Gateway(self, name, incarnation))
 
-    def core(self, name: str) -> Members:
+    def core(self, name: str) -> Membership:
         found = self.net.nodes[name].core
         assert isinstance(found, Gateway)
         return found.core
@@ -406,7 +421,7 @@
         self.net.run(self.net.now + round(seconds * SECOND))
 
     def deaths(self, since: int = 0) -> list[tuple[int, str, str]]:
-        return [(at, who, whom) for at, who, whom, life in self.changes if life is Life.DEAD and at >= since]
+        return [(at, who, whom) for at, who, whom, life in self.changes if life is MemberState.DEAD and at >= since]
 
-    def all_hold(self, name: str, life: Life) -> bool:
-        return all(self.core(x).members[name].life is life for x in self.net.nodes if x != name)
+    def all_hold(self, name: str, life: MemberState) -> bool:
+        return all(self.core(x).members[name].state is life for x in self.net.nodes if x != name)
--- a/copperyard/lab/viewers.py
+++ b/copperyard/lab/viewers.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ..gateway.net import CLOSED, Network, Stream, now
+from ..gateway.net import CONNECTION_ERRORS, Network, Stream, now
 from ..protocol import sdp
 from ..protocol.rtp import Bye, parse, parse_compound
 from ..protocol.rtsp import Connection, Frame, Limits, Malformed, Reply, Response
@@ -160,7 +160,7 @@
                 return await self._visit(client, watch)
             self.visit.ended = "gave up"
             return None
-        except (Broken, *CLOSED) as error:
+        except (Broken, *CONNECTION_ERRORS) as error:
             if not client.side.end:
                 client.side.ended(now(), bool(getattr(client.stream, "fell", False)))
             self.visit.ended = f"broken: {error}"
@@ -205,7 +205,7 @@
             broken: Exception | None = None
             try:
                 answer = await client.answer(cseq)
-            except (Broken, *CLOSED) as error:
+            except (Broken, *CONNECTION_ERRORS) as error:
                 broken = error
             nursery.cancel_scope.cancel()
         if broken is not None:
@@ -243,7 +243,7 @@
         if second is not None:
             try:
                 await self._claim(second, url)
-            except (Broken, *CLOSED):
+            except (Broken, *CONNECTION_ERRORS):
                 second.side.ended(now(), bool(getattr(second.stream, "fell", False)))
             finally:
                 second.close()
--- a/copperyard/lab/world.py
+++ b/copperyard/lab/world.py
@@ -188,11 +188,11 @@
         if one.gateway is None:
             continue
         core, gateway = one.gateway.core, one.gateway
-        module = core.plays.controller
+        module = core.session_table.controller
         for what, held in (
-            ("wishes", core.plays.plays),
-            ("sessions", core.visits.sessions),
-            ("visitors", core.visits.visitors),
+            ("wishes", core.session_table.requests),
+            ("sessions", core.rtsp_server.sessions),
+            ("visitors", core.rtsp_server.connections),
             ("links", gateway._links),
             ("module sessions", module.sessions),
             ("module holds", module.held),
@@ -200,9 +200,9 @@
         ):
             if held:
                 found.append(f"{one.name}: {len(held)} {what} left")
-        if core.plays.waiting:
-            found.append(f"{one.name}: {core.plays.waiting} wishes counted as waiting")
-        if any(code.ref is not None for code in core.plays.codes._codes.values()):
+        if core.session_table.unanswered:
+            found.append(f"{one.name}: {core.session_table.unanswered} wishes counted as waiting")
+        if any(code.ref is not None for code in core.session_table.codes._codes.values()):
             found.append(f"{one.name}: a code is still bound to a request")
         if any(server.streams or server.buckets for server in module.servers.values()):
             found.append(f"{one.name}: the module's ledger still holds streams")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -63,7 +63,7 @@
         deaf, other = await connect(fleet), await connect(fleet)
         await opened(deaf)
         await opened(other)
-        visitors = list(core.visits.visitors.values())
+        visitors = list(core.rtsp_server.connections.values())
         most, frames = 0, 0
         with trio.move_on_after(5):
             while True:
@@ -74,8 +74,8 @@
         seen.update(
             most=most,
             frames=frames,
-            sessions=len(core.visits.sessions),
-            plays=len(core.plays.plays),
+            sessions=len(core.rtsp_server.sessions),
+            plays=len(core.session_table.requests),
             hosts=sum(len(h.sessions) for h in fleet.hosts),
         )
 
@@ -140,7 +140,7 @@
         fleet.lists.later(fleet.hosts[0], "draining")
         await trio.sleep(2)
         core = fleet.gateways[0].gateway.core
-        assert not core.plays.hosts.may_start(core.roster.numbers["h0"])
+        assert not core.session_table.hosts.may_start(core.roster.numbers["h0"])
 
     within(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
     assert any(event == "list not taken" and "two hosts" in fields["text"] for event, fields in lines)
@@ -152,10 +152,10 @@
         fleet.lists.publish(fleet.hosts[1], "draining")
         await trio.sleep(5)
         core = fleet.gateways[0].gateway.core
-        assert core.plays.hosts.may_start(core.roster.numbers["h1"])  # nobody could tell it
+        assert core.session_table.hosts.may_start(core.roster.numbers["h1"])  # nobody could tell it
         fleet.lists.fail(False)
         await trio.sleep(2)
-        assert not core.plays.hosts.may_start(core.roster.numbers["h1"])
+        assert not core.session_table.hosts.may_start(core.roster.numbers["h1"])
 
     within(site(), body)
 
@@ -166,7 +166,7 @@
             host.crash()  # and the list service does not know yet
         _, answer = await opened(await connect(fleet))
         assert answer.status in (200, 453)
-        assert fleet.gateways[0].gateway.core.plays.counts.outcomes.get("RESET", 0) == 0
+        assert fleet.gateways[0].gateway.core.session_table.counts.outcomes.get("RESET", 0) == 0
 
     rules_kept(within(site(), body))
 
@@ -190,7 +190,7 @@
             except ConnectionRefusedError:
                 pass
             assert (await client.call("TEARDOWN", f"rtsp://{client.stream.peer}/f/0", named)).status == 200
-        assert not gateway.core.plays.plays
+        assert not gateway.core.session_table.requests
 
     within(site(), body)
 
@@ -220,7 +220,7 @@
         client = await connect(fleet)
         _, answer = await opened(client)
         core = fleet.gateways[0].gateway.core
-        whole, core.visits.received = core.visits.received, lambda *words: 1 / 0
+        whole, core.rtsp_server.received = core.rtsp_server.received, lambda *words: 1 / 0
         bad = await connect(fleet)
         await bad.write(b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n")
         try:
@@ -228,7 +228,7 @@
             raise AssertionError("the connection went on")
         except Broken:
             pass
-        core.visits.received = whole
+        core.rtsp_server.received = whole
         assert (await client.call("OPTIONS", "*")).status == 200
 
     within(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,7 +22,7 @@
 from copperyard.lab.sites.hollow import Wire, plan_digest
 from copperyard.lab.sites.scalefaults import Trouble, read_troubles, usual_troubles
 from copperyard.lab.sites.tally import GRACE, Death, Down, Plan, Tally, Used, quantile, rates, traffic, weighted
-from copperyard.protocol.peers import Hello, hello
+from copperyard.protocol.peers import Hello, encode_hello
 
 ROOT = Path(__file__).parents[2]
 SITES = ROOT / "examples" / "sites.xml"
@@ -435,7 +435,7 @@
         one.close()
     address = {name: one for one, name in names.items()}
     listener = await wires["b"].listen(address["b"])
-    first = hello(Hello(b"f", "a", "b", 1, 1))
+    first = encode_hello(Hello(b"f", "a", "b", 1, 1))
 
     async def link():
         out = await wires["a"].connect(address["b"])
