--- a/copperyard/control/common.py
+++ b/copperyard/control/common.py
@@ -554,7 +554,7 @@
         ]
         self._actions.append(Note("plan", tuple(fields)))
         kb = ";".join(
-            " ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.outstanding, strict=True))
+            " ".join(f"{max(cap, old):.0f}" for cap, old in zip(zone.caps, zone.outstanding, strict=True))
             for zone in content.zones
         )
         self._actions.append(Note("caps", (("epoch", content.epoch), ("kb", kb))))
--- a/copperyard/control/zones/check.py
+++ b/copperyard/control/zones/check.py
@@ -40,10 +40,10 @@
                 or sum(part for _, part in shares) > 1 + TOLERANCE
                 or len({z for z, _ in shares}) != len(shares)
             ):
-                return f"zone {h}, class {cls}: shares that are none"
+                return f"zone {h}, class {cls}: invalid shares"
             for z, part in shares:
                 if part > TOLERANCE and z != h and terms.prices[h][z] < 0:
-                    return f"zone {h}: no way to zone {z}"
+                    return f"zone {h}: no path to zone {z}"
                 if part > TOLERANCE and plan.zones[z].standing is Standing.CLOSED:
                     return f"zone {h}: a share of {part:.2f} for zone {z}, which is closed"
         if zone.caps[h]:
@@ -52,7 +52,7 @@
         free = max(0.0, zone.room * zone.part - zone.own - zone.reserve)
         caps = [plan.zones[h].caps[z] for h in range(n) if h != z]
         if sum(caps) > free + TOLERANCE * max(1.0, zone.room):
-            return f"zone {z}: {sum(caps):.0f} kB/s for strangers, {free:.0f} are free"
+            return f"zone {z}: {sum(caps):.0f} kB/s for other zones, {free:.0f} are free"
         # a cap above that of the previous plan counts as growth even if an earlier plan gave as much: the room may have
         # been granted to another zone since
         earlier = [previous.zones[h].caps[z] if previous is not None else 0.0 for h in range(n) if h != z]
--- a/copperyard/control/zones/facts.py
+++ b/copperyard/control/zones/facts.py
@@ -220,7 +220,7 @@
             for z, hosts in enumerate(one.zones):
                 sums[self.zone_of[one.name]][z][0] += hosts.setups
                 sums[self.zone_of[one.name]][z][1] += hosts.failed_setups
-        return [[path_health(tried, broke) for tried, broke in row] for row in sums]
+        return [[path_health(setups, failed) for setups, failed in row] for row in sums]
 
     def oldest_epochs(self, now: int) -> list[int]:
         """Return by zone the oldest epoch that any of its fronts may still follow: 0 if one of them does not report."""
--- a/copperyard/control/zones/rollup.py
+++ b/copperyard/control/zones/rollup.py
@@ -274,7 +274,7 @@
             for z, one in enumerate(report.zones):
                 sums[zone][z][0] += one.setups
                 sums[zone][z][1] += one.failed_setups
-        return [[path_health(tried, broke) for tried, broke in row] for row in sums]
+        return [[path_health(setups, failed) for setups, failed in row] for row in sums]
 
     def oldest_epochs(self, now: int) -> list[int]:
         """Return by zone the oldest epoch that any of its fronts may still follow: 0 if a front or a cell was not heard
--- a/copperyard/membership/gateways/reachability.py
+++ b/copperyard/membership/gateways/reachability.py
@@ -143,9 +143,9 @@
         sums = [[[0, 0, 0, 0] for _ in range(self.zones)] for _ in range(self.zones)]
         for at, row in self.rows.values():
             if now - at <= self._row_max_age:
-                for total, (asked, reached, heard, late) in zip(sums[self.zone_of[row.name]], row.zones, strict=True):
-                    total[0] += asked
-                    total[1] += reached
+                for total, (probed, answered, heard, late) in zip(sums[self.zone_of[row.name]], row.zones, strict=True):
+                    total[0] += probed
+                    total[1] += answered
                     total[2] += heard
                     total[3] += late
         return [[_path_state(*sums[x][y]) for y in range(self.zones)] for x in range(self.zones)]
@@ -177,11 +177,11 @@
         return len(last) > 1 and all(0 <= at < now - self.window for at in last.values())
 
 
-def _path_state(asked: int, reached: int, heard: int, late: int) -> PathState:
-    if not asked:
+def _path_state(probed: int, answered: int, heard: int, late: int) -> PathState:
+    if not probed:
         return PathState.UNKNOWN
-    if reached >= GOOD_RATIO * asked:
-        return PathState.SLOW if late >= GOOD_RATIO * reached and late else PathState.GOOD
-    if reached:
+    if answered >= GOOD_RATIO * probed:
+        return PathState.SLOW if late >= GOOD_RATIO * answered and late else PathState.GOOD
+    if answered:
         return PathState.SLOW  # some answers are lost, so the zone is reachable
     return PathState.DEAF if heard else PathState.SILENT
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -196,8 +196,8 @@
 
 @pytest.mark.parametrize("seed", [1])
 def test_a_delegate_cut_off_from_all_voters_only_resigns_and_another_takes_its_place(seed):
-    """Its cell still hears it, so SWIM does not suspect it. It resigns 6 to 7 s after the cut and its cell hears that at
-    once; it gets plans from the others of its cell. The second delegate keeps reporting all the time."""
+    """Its cell still hears it, so SWIM does not suspect it. It resigns 6 to 7 s after the cut and its cell hears that
+    at once; it gets plans from the others of its cell. The second delegate keeps reporting all the time."""
     site = ready(seed)
     one = cell(site)
     cut, _, third = one.ranks()[:3]
@@ -310,7 +310,7 @@
 
 
 def test_the_region_with_the_minority_while_changes_go_on_in_the_other_and_back():
-    """Its plans expire within 20 s (16 measured), and it uses only its own zones. The other region agrees on new plans."""
+    """Its plans expire within 20 s (16 measured): each front uses its own zone. The other region agrees on new ones."""
     site = ready(1)
     small, large = site.of(3, 4), site.of(0, 1, 2)
     site.net.part(small, large)
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -96,8 +96,8 @@
 
 
 def test_a_site_cut_in_two_with_the_leader_on_the_small_side():
-    """The small side's plan expires and it uses only its own zone; the large side elects a leader and goes on. Site checks
-    after every event that the sides never use the same room."""
+    """The small side's plan expires and it uses only its own zone; the large side elects a leader and goes on. Site
+    checks after every event that the sides never use the same room."""
     site = ready()
     leader = site.leader()
     small = site.of(site.roster[leader])
--- a/tests/control/zones/test_planner.py
+++ b/tests/control/zones/test_planner.py
@@ -250,13 +250,13 @@
 @pytest.mark.parametrize(
     ("z", "more", "word"),
     [
-        (0, {"caps": (0.0, 5000.0, 0.0)}, "5000 kB/s for strangers"),
-        (2, {"caps": (0.0, 200.0, 0.0)}, "for strangers"),
+        (0, {"caps": (0.0, 5000.0, 0.0)}, "5000 kB/s for other zones"),
+        (2, {"caps": (0.0, 200.0, 0.0)}, "for other zones"),
         (0, {"caps": (5.0, 0.0, 0.0)}, "a cap for its own hosts"),
         (0, {"caps": (0.0, float("nan"), 0.0)}, "shape"),
         (0, {"caps": (0.0, 0.0)}, "shape"),
-        (0, {"shares": (((0, 0.7), (1, 0.7)), ())}, "shares that are none"),
-        (0, {"shares": (((7, 0.7),), ())}, "shares that are none"),
+        (0, {"shares": (((0, 0.7), (1, 0.7)), ())}, "invalid shares"),
+        (0, {"shares": (((7, 0.7),), ())}, "invalid shares"),
         (1, {"standing": Standing.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
     ],
 )
@@ -269,7 +269,7 @@
     one, plan = planned()
     assert "does not follow" in (plan_error(one, plan, plan) or "")
     closed = replace(one, prices=((0.0, -1.0, 1.0), *one.prices[1:]))
-    assert "no way to zone 1" in (plan_error(closed, plan, replace(plan, epoch=plan.epoch + 1)) or "")
+    assert "no path to zone 1" in (plan_error(closed, plan, replace(plan, epoch=plan.epoch + 1)) or "")
     assert "shape" in (plan_error(one, plan, replace(plan, epoch=plan.epoch + 1, zones=plan.zones[:2])) or "")
 
 
@@ -281,8 +281,8 @@
 
 
 def test_a_cap_raised_again_within_its_outstanding_one_counts_as_growth():
-    """Found by random fault run 456: zone 4 had 4,210 outstanding of an earlier plan, its cap was lowered and raised again
-    to all free room, while a front of zone 0 still had what the plan in between had granted it."""
+    """Found by random fault run 456: zone 4 had 4,210 outstanding of an earlier plan, its cap was lowered and raised
+    again to all free room, while a front of zone 0 still had what the plan in between had granted it."""
     one, plan = planned()
     first = replace(
         plan,
--- a/tests/control/zones/test_rollup.py
+++ b/tests/control/zones/test_rollup.py
@@ -92,8 +92,8 @@
 
 
 class Drawn:
-    """A site whose fronts report, restart and fall silent at random; some reports are lost, late or duplicated. `flat` gets
-    at once each summary that any delegate gets."""
+    """A site whose fronts report, restart and fall silent at random; some reports are lost, late or duplicated. `flat`
+    gets at once each summary that any delegate gets."""
 
     def __init__(self, sizes, prompt):
         self.terms, self.prompt = terms(len(sizes)), prompt
--- a/tests/membership/test_cells.py
+++ b/tests/membership/test_cells.py
@@ -108,8 +108,8 @@
 
 
 def test_one_that_joins_or_goes_moves_few_others():
-    """None in most cases; a change of the size limit of a cell moves a few; one cell more or less moves about as many as
-    a cell has."""
+    """None in most cases; a change of the size limit of a cell moves a few; one cell more or less moves about as many
+    as a cell has."""
     rng = random.Random(7)
     same, other = [], []
     for size in [*range(20, 1500, 60), 24, 48, 240, 480, 960, 1440, 1480]:
