--- a/copperyard/control/zones/planner.py
+++ b/copperyard/control/zones/planner.py
@@ -4,7 +4,7 @@
 class first, to the nearest zone that has room after its own demand and its reserve; two zones that want the same room
 share it in proportion to what they want. Demand that fits nowhere is refused. This is a water-filling over pairs of
 zones in the order of their distance; its distance from the optimal cost, which a linear program finds, is measured in
-benchmarks/zones.py.
+benchmarks/sites.py.
 
 A plan builds on the previous one: the caps of other zones at a zone grow by a limited part per second, shares that
 hardly changed are kept, and a zone that returns does so in steps, more slowly the more often it was lost.
