--- a/copperyard/control/coordinator.py
+++ b/copperyard/control/coordinator.py
@@ -577,7 +577,7 @@
         ]
         self._actions.append(LogLine("plan", tuple(fields)))
         kb = ";".join(
-            " ".join(f"{max(cap, owed):.0f}" for cap, owed in zip(zone.caps, zone.outstanding, strict=True))
+            " ".join(f"{max(cap, old):.0f}" for cap, old in zip(zone.caps, zone.outstanding, strict=True))
             for zone in content.zones
         )
         self._actions.append(LogLine("caps", (("epoch", content.epoch), ("kb", kb))))
