--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -121,7 +121,7 @@
 
 def relays(front: Front) -> bool:
     """Whether a gateway stands between others and the council. Nobody does in a flat site."""
-    duty: Any = getattr(front.core, "duty", None)
+    duty: Any = getattr(front.core, "delegate_role", None)
     return duty is not None and front.name in duty.delegates(front.site.time(front.name))
 
 
--- a/copperyard/control/session_table.py
+++ b/copperyard/control/session_table.py
@@ -41,8 +41,7 @@
     ZoneAllocation,
 )
 from ..protocol.rtp import Block
-from ..state.facts import CodeCleared, CodeSent, digest
-from ..state.facts import CodeRedeemed as CodeRedeemed
+from ..state.facts import CodeCleared, CodeRedeemed, CodeSent, digest
 from .attempt import (
     Attempt,
     AttemptEnded,
--- a/tests/agreement/helpers.py
+++ b/tests/agreement/helpers.py
@@ -169,6 +169,6 @@
     "Manner",
     "ReplicaNode",
     "World",
-    "council",
-    "follow",
+    "replica",
+    "learner",
 ]
--- a/tests/agreement/test_learner.py
+++ b/tests/agreement/test_learner.py
@@ -20,7 +20,7 @@
 )
 from copperyard.state.agreement.replica import PersistentState, ProposalTime, Replica, SendMessage, fetch_reply
 from copperyard.state.agreement.subscribers import Subscribers
-from tests.agreement.helpers import MS, SECOND, Manner, World, council
+from tests.agreement.helpers import MS, SECOND, Manner, World, replica
 
 
 class Node:
@@ -206,7 +206,7 @@
 
 
 def test_a_voter_hints_only_at_committed_entries():
-    core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), council.ElectionTiming(), 1, 0, trusted=True)
+    core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), replica.ElectionTiming(), 1, 0, trusted=True)
     core.hear(9 * SECOND, "v1", AppendEntries(1, 0, 0, entries(1, 2), 1, 1))
     core.proposal_time.record(1, 9 * SECOND)
     core.hear(9 * SECOND, "f", FetchRequest(0, 7))
@@ -242,7 +242,7 @@
 
 def test_a_voter_ignores_hints():
     for trusted in (True, False):
-        core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), council.ElectionTiming(), 1, 0, trusted=trusted)
+        core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), replica.ElectionTiming(), 1, 0, trusted=trusted)
         core.take()
         core.hear(SECOND, "v1", CommitHint(99))
         assert core.take() == []
@@ -656,7 +656,7 @@
     node = world.follow("f", "r")
     world.run(1.5)
     assert node.core.applied == relay.core.applied
-    assert len(asked(node)) <= 1 + learner.RETAINED_ENTRIES // council.MAX_BATCH_ENTRIES + 1
+    assert len(asked(node)) <= 1 + learner.RETAINED_ENTRIES // replica.MAX_BATCH_ENTRIES + 1
 
 
 def test_a_learner_that_lacks_few_entries_gets_only_these():
--- a/tests/agreement/test_replica.py
+++ b/tests/agreement/test_replica.py
@@ -13,7 +13,7 @@
     VoteReply,
 )
 from copperyard.state.agreement.replica import PersistentState, Replica, Role
-from tests.agreement.helpers import MS, SECOND, LearnerNode, Manner, World, council
+from tests.agreement.helpers import MS, SECOND, LearnerNode, Manner, World, replica
 from tests.agreement.random_faults import run_random_faults
 
 
@@ -240,7 +240,7 @@
 
 def one(name="v0", records=(), voters=("v0", "v1", "v2")):
     """One recovered voter without a network."""
-    core = Replica(name, voters, PersistentState.read(records), council.ElectionTiming(), 1, 0, trusted=True)
+    core = Replica(name, voters, PersistentState.read(records), replica.ElectionTiming(), 1, 0, trusted=True)
     core.take()
     return core
 
@@ -249,24 +249,24 @@
     core = one()
     core.hear(9 * SECOND, "v1", RequestVote(5, 0, 0, False, 77))
     keep, say = core.take()
-    assert isinstance(keep, council.Persist) and keep.records[-1] == Promise(5, "v1", 1)
-    assert say == council.SendMessage("v1", VoteReply(5, False, True, 77))
+    assert isinstance(keep, replica.Persist) and keep.records[-1] == Promise(5, "v1", 1)
+    assert say == replica.SendMessage("v1", VoteReply(5, False, True, 77))
     core.hear(9 * SECOND, "v1", AppendEntries(5, 0, 0, (Entry(5, EntryKind.NOOP, b""),), 0, 1))
     keep, say = core.take()
-    assert keep == council.Persist((EntryRecord(1, Entry(5, EntryKind.NOOP, b"")),))
-    assert isinstance(say, council.SendMessage)
+    assert keep == replica.Persist((EntryRecord(1, Entry(5, EntryKind.NOOP, b"")),))
+    assert isinstance(say, replica.SendMessage)
 
 
 def test_one_vote_per_term_also_after_a_restart_with_the_same_store():
     core = one(records=[Promise(5, "v1", 1)])
     core.hear(9 * SECOND, "v2", RequestVote(5, 9, 9, False, 1))
-    assert core.take() == [council.SendMessage("v2", VoteReply(5, False, False, 1))]
+    assert core.take() == [replica.SendMessage("v2", VoteReply(5, False, False, 1))]
 
 
 def test_a_vote_reply_with_another_nonce_does_not_count():
     core = one()
     core.wake(core.next_wake())
-    poll = next(o.message for o in core.take() if isinstance(o, council.SendMessage))
+    poll = next(o.message for o in core.take() if isinstance(o, replica.SendMessage))
     assert poll.pre_vote
     core.hear(20 * SECOND, "v1", VoteReply(poll.term, True, True, poll.nonce + 1))
     assert core.role is Role.PRE_CANDIDATE
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -35,7 +35,7 @@
 def facts(site):
     """The leader's table of cell reports, and its clock."""
     leader = site.leader()
-    return site.front(leader).core.facts, site.time(leader)
+    return site.front(leader).core.cell_reports, site.time(leader)
 
 
 def unheard(site):
@@ -97,7 +97,9 @@
 def oldest(site, names):
     """Age in virtual seconds of the oldest proposal time by which any of them follows its plan."""
     return max(
-        (site.time(name) - site.front(name).core.book.proposed_at) / SECOND for name in names if name in site.net.nodes
+        (site.time(name) - site.front(name).core.active_plan.proposed_at) / SECOND
+        for name in names
+        if name in site.net.nodes
     )
 
 
@@ -116,7 +118,7 @@
     ]
     for name in site.voters:
         if name in site.net.nodes:
-            told = site.front(name).core.facts.oldest_epochs(site.time(name))
+            told = site.front(name).core.cell_reports.oldest_epochs(site.time(name))
             assert all(one <= least for one, least in zip(told, learner, strict=True)), (name, told, learner)
 
 
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -137,7 +137,7 @@
     assert pair.numbers() == list(range(500))
     # and the links' own counts say so
     await pair.until(lambda: pair.links["a"].written == 510)
-    assert (pair.links["a"].taken, pair.links["b"].taken, pair.links["c"].taken) == (0, 500, 10)
+    assert (pair.links["a"].received, pair.links["b"].received, pair.links["c"].received) == (0, 500, 10)
 
 
 async def large(pair, nursery):
--- a/tests/gateway/peers/test_neighbours.py
+++ b/tests/gateway/peers/test_neighbours.py
@@ -71,7 +71,7 @@
             (
                 n
                 for n, one in self.running.items()
-                if one.common.council.holds_lease(now()) and not self.scopes[n].cancel_called
+                if one.coordinator.council.holds_lease(now()) and not self.scopes[n].cancel_called
             ),
             None,
         )
@@ -87,7 +87,7 @@
             for name in NAMES:
                 await world.start(nursery, name)
             await trio.sleep(15)
-            assert {one.common.plan.epoch for one in world.running.values()} and world.leader()
+            assert {one.coordinator.plan.epoch for one in world.running.values()} and world.leader()
             await test(world, nursery)
             nursery.cancel_scope.cancel()
 
@@ -96,7 +96,7 @@
 
 def test_three_gateways_agree_and_each_is_told_what_it_may_do():
     async def test(world, nursery):
-        epochs = {one.common.plan.epoch for one in world.running.values()}
+        epochs = {one.coordinator.plan.epoch for one in world.running.values()}
         assert len(epochs) == 1
         assert all(
             world.ways[name].caps[n] is None and sum(c or 0 for c in world.ways[name].caps) > 0
@@ -116,7 +116,7 @@
         world.plates[leader].full = None
         await trio.sleep(5)
         assert len(world.events(leader, "shelf well again")) == 1
-        assert len({one.common.plan.epoch for one in world.running.values()}) == 1
+        assert len({one.coordinator.plan.epoch for one in world.running.values()}) == 1
 
     play(test)
 
@@ -132,7 +132,7 @@
         await trio.sleep(6)
         assert world.events(name, "shelf damaged")
         assert world.events(name, "voter recovered")[-1]["folder"] == "an older copy, or none"
-        assert world.running[name].common.plan == world.running[world.leader()].common.plan
+        assert world.running[name].coordinator.plan == world.running[world.leader()].coordinator.plan
         # the damaged records were replaced, and the next life starts from a good log store
         world.scopes[name].cancel()
         await trio.sleep(1)
@@ -147,7 +147,7 @@
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
         world.plates[name].full = 0
-        common = world.running[name].common
+        common = world.running[name].coordinator
         common.council._set_term(common.council.term + 1, "")  # something that has to become durable
         for _ in range(2):  # the first ones are taken by the durable task, which then waits for the disk
             for _ in range(4 * MAX_PENDING_WRITES):
@@ -157,7 +157,7 @@
         assert common.disk_behind
         world.plates[name].full = None
         await trio.sleep(12)
-        assert len(common._durable_actions) < 10 and common.plan == world.running[world.leader()].common.plan
+        assert len(common._durable_actions) < 10 and common.plan == world.running[world.leader()].coordinator.plan
         assert not common.disk_behind and common.council.leader == world.leader()
 
     play(test)
@@ -170,7 +170,7 @@
         def wrong(when):
             raise AssertionError("planted")
 
-        world.running[name].common.members.wake = wrong
+        world.running[name].coordinator.members.wake = wrong
         await trio.sleep(5)
         assert "planted" in world.events(name, "defect")[0]["error"]
         assert [c for c in world.ways[name].caps if c] == []
@@ -187,6 +187,6 @@
         assert world.plates["a"].holder == ""
         await world.start(nursery, "a")
         await trio.sleep(8)
-        assert world.running["a"].common.plan is not None
+        assert world.running["a"].coordinator.plan is not None
 
     play(test)
--- a/tests/state/test_journal_writer.py
+++ b/tests/state/test_journal_writer.py
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("end", ["done", "failed"])
 @pytest.mark.parametrize("out", [Create, Append])
 def test_pending_bytes_are_bounded_while_a_disk_hangs_and_nothing_is_lost(end, out, monkeypatch):
-    monkeypatch.setattr("copperyard.state.book.MAX_PENDING_BYTES", 2000)
+    monkeypatch.setattr("copperyard.state.journal_writer.MAX_PENDING_BYTES", 2000)
     folder, book = open_journal()
     if out is Append:
         folder.do(book.commit_step(0))
