--- a/copperyard/control/coordinator.py
+++ b/copperyard/control/coordinator.py
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Action: make these records durable before any later action; with `anew` they replace all earlier records."""
+    """Action: make these records durable before any later action; with `replace_all` they replace all earlier ones."""
 
     records: tuple[Record, ...]
     replace_all: bool
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyZoneAllocation:
-    """Action: these ways apply to this front from now on."""
+    """Action: this allocation applies to this front from now on."""
 
     allocation: ZoneAllocation
 
@@ -222,7 +222,7 @@
         self.next_age_query_at = now  # when a voter next asks the leader for the age of its entries
         self._questions = PendingRequests(self.random.getrandbits(31))
         self.allocation: ZoneAllocation | None = None
-        self._allocation_basis: tuple[int, float] | None = None  # (epoch, strength) that `ways` was derived from
+        self._allocation_basis: tuple[int, float] | None = None  # (epoch, strength) that `allocation` was derived from
         self.allocation_change_at: int | None = now
         self.epochs = 0
         self.histories: list[tuple[int, int]] = []  # (index, epoch) of the last plans adopted
@@ -588,7 +588,7 @@
         return core.proposal_time
 
     def _update(self, now: int) -> None:
-        """Collect new actions and update the ways of this front; called after each event."""
+        """Collect new actions and update the allocation of this front; called after each event."""
         self._collect_actions(now)
         dates = self._entry_dates()
         if self.plan is not None and not self._pending_entries and dates.index >= self.plan_index:
--- a/copperyard/control/host_reports.py
+++ b/copperyard/control/host_reports.py
@@ -1,7 +1,7 @@
 """Load reports and notes from hosts, parsed for the controller.
 
 A report is a header, `Load-Report: link=0.52; uplink=0.31; streams=12`. A note is an RTCP APP packet named CPYD whose
-subtype is interface.NoteKind and whose data is a value in units of 1/65536 (docs/host-protocol.md).
+subtype is interface.NoticeKind and whose data is a value in units of 1/65536 (docs/host-protocol.md).
 """
 
 from __future__ import annotations
--- a/copperyard/control/session_table.py
+++ b/copperyard/control/session_table.py
@@ -758,7 +758,7 @@
     # ---- updates and timers
 
     def set_zone_allocation(self, now: int, ways: ZoneAllocation) -> None:
-        """Pass on the ways between zones that the gateways agreed on."""
+        """Pass on the allocation between zones that the gateways agreed on."""
         self._notify_controller(now, ways)
 
     def list_updated(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
--- a/copperyard/control/zones/follow.py
+++ b/copperyard/control/zones/follow.py
@@ -1,9 +1,10 @@
 """What one front may do under its current plan.
 
 A plan is valid for some time after it was proposed or renewed. The front counts this time on its own clock, from the
-greatest known lower bound of the time of the proposal (state.agreement.council.Dates), less the allowed clock drift.
-After that the caps for other zones shrink to zero evenly over the same time again, until only the own zone is left. A
-front without a plan uses only its own zone as well: two halves of a partitioned site must not both fill a third zone.
+greatest known lower bound of the time of the proposal (state.agreement.replica.ProposalTime), less the allowed clock
+drift. After that the caps for other zones shrink to zero evenly over the same time again, until only the own zone is
+left. A front without a plan uses only its own zone as well: two halves of a partitioned site must not both fill a third
+zone.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def own_zone_only(terms: Terms, zone: int) -> ZoneAllocation:
-    """Return the ways of a front without a plan: all requests to its own zone, without a cap there."""
+    """Return the allocation of a front without a plan: all requests to its own zone, without a cap there."""
     return ZoneAllocation(
         tuple(((zone, 1.0),) for _ in terms.loads), tuple(None if z == zone else 0.0 for z in range(terms.zones))
     )
@@ -55,7 +56,7 @@
         return max(0.0, 1 - (1 + late * EXPIRY_STEPS // validity) / EXPIRY_STEPS)
 
     def next_change(self, now: int) -> int | None:
-        """Return when `ways` next changes merely by the passing of time; None if it does not."""
+        """Return when `allocation` next changes merely by the passing of time; None if it does not."""
         strength = self.strength(now)
         if self.plan is None or self.proposed_at is None or strength <= 0:
             return None
--- a/copperyard/gateway/peers/log_store.py
+++ b/copperyard/gateway/peers/log_store.py
@@ -31,7 +31,9 @@
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
-        """Lock the store and return its records. LockedError if another process holds it, Damaged if it is corrupt."""
+        """Lock the store and return its records. LockedError if another process holds it,
+        DamagedStoreError if it is corrupt.
+        """
         self._lock.lock(owner)
         (self.folder / NEW_LOG_NAME).unlink(missing_ok=True)
         path = self.folder / LOG_NAME
@@ -136,7 +138,9 @@
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
-        """Lock the store and return its records. LockedError if another process holds it, Damaged if it is corrupt."""
+        """Lock the store and return its records. LockedError if another process holds it,
+        DamagedStoreError if it is corrupt.
+        """
         self._lock.lock(owner)
         path = self.folder / "votes.db"
         found: list[bytes] = []
--- a/copperyard/gateway/peers/service.py
+++ b/copperyard/gateway/peers/service.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """What a gateway has to know at its start. `shelf`: log store of a voter, None for others; `fleet`: digest of the
+    """What a gateway has to know at its start. `log_store`: of a voter, None for others; `fleet`: digest of the
     settings that all gateways have to agree on; `trusted`: an operator asserts that the log store is the newest.
     """
 
@@ -49,7 +49,9 @@
 
 
 class PeerService:
-    """Runs the coordination of one gateway. `act` gets the ways of its front on each change; `unix_ms` is the date."""
+    """Runs the coordination of one gateway. `on_allocation` gets the allocation of its front on each change; `unix_ms`
+    is the date.
+    """
 
     def __init__(
         self,
@@ -183,7 +185,7 @@
                     assert isinstance(order, LogLine)
                     self.log(order.event, dict(order.fields))
             if orders:
-                self._run_actions()  # a council that waited for the disk resumes its timers
+                self._run_actions()  # a replica that waited for the disk resumes its timers
 
     async def _write(self, order: Write) -> None:
         """Write until it succeeds: a voter whose disk fails sends nothing, and counts as dead until it works again."""
--- a/copperyard/interface.py
+++ b/copperyard/interface.py
@@ -62,8 +62,8 @@
 class ClassSettings:
     """One class of sessions.
 
-    `answer_target`: ns within which its answers should come; `rate_scale`: factor on the rungs' rates; `seats`: most sessions of
-    one title, 0 for no limit; `live`: viewers of a title share a stream.
+    `answer_target`: ns within which its answers should come; `rate_scale`: factor on the rungs' rates; `seats`: most
+    sessions of one title, 0 for no limit; `live`: viewers of a title share a stream.
     """
 
     name: str
--- a/copperyard/membership/roster.py
+++ b/copperyard/membership/roster.py
@@ -54,8 +54,8 @@
     def apply_body(self, now: int, body: bytes) -> ServerList | None:
         """Apply one answer of the service; return None if it brings nothing new.
 
-        An invalid body raises BadList, and so does one that does not follow the known generation; then `generation` is
-        None and the full list has to be requested.
+        An invalid body raises ListError, and so does one that does not follow the known generation; then `generation`
+        is None and the full list has to be requested.
         """
         try:
             raw = json.loads(body.decode("utf-8"))
--- a/copperyard/protocol/peers/frames.py
+++ b/copperyard/protocol/peers/frames.py
@@ -61,7 +61,7 @@
 
 
 def parse_hello(body: bytes) -> Hello:
-    """Parse a hello. BadFrame for anything but a hello of this version."""
+    """Parse a hello. FrameError for anything but a hello of this version."""
     found = _unpack(body)
     if not isinstance(found, list) or len(found) < 2 or found[0] != MAGIC:
         raise FrameError("the link does not begin with a hello of ours")
@@ -105,7 +105,7 @@
         self._buffer = bytearray()
 
     def receive(self, data: bytes) -> Iterator[bytes]:
-        """Add bytes; yield the bodies that are complete. BadFrame for a length of 0 or above `max_bytes`."""
+        """Add bytes; yield the bodies that are complete. FrameError for a length of 0 or above `max_bytes`."""
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             length = _LENGTH.unpack_from(self._buffer)[0]
@@ -147,7 +147,7 @@
         return _LENGTH.pack(len(body)) + body
 
     def read(self, body: bytes) -> Any:
-        """Decode a body. BadFrame for a kind that is not in the table or a field of a wrong type."""
+        """Decode a body. FrameError for a kind that is not in the table or a field of a wrong type."""
         found = _unpack(body)
         if not isinstance(found, list) or not found or type(found[0]) is not int:
             raise FrameError("a body that is no list with a kind")
--- a/copperyard/state/file_format.py
+++ b/copperyard/state/file_format.py
@@ -1,15 +1,15 @@
 """The file formats of the journal: segments of records, and snapshots. Pure encoding, no I/O.
 
-    segment   MAGIC_S | major u8 | minor u8 | number u64 | first sequence u64 | check u64 | records
-    record    length u32 | check u64 | sequence u64 | payload | END
-    snapshot  MAGIC_P | major u8 | minor u8 | 0 u64 | last sequence u64 | check u64 | records | trailer
-    trailer   MAGIC_E | count of records u64 | check u64
+    segment   SEGMENT_MAGIC | major u8 | minor u8 | number u64 | first sequence u64 | check u64 | records
+    record    length u32 | check u64 | sequence u64 | payload | RECORD_END
+    snapshot  SNAPSHOT_MAGIC | major u8 | minor u8 | 0 u64 | last sequence u64 | check u64 | records | trailer
+    trailer   TRAILER_MAGIC | count of records u64 | check u64
 
 All numbers are little endian. A check is an XXH3-64 checksum: in a header of all bytes before it, in a record of its
-sequence and payload, so a record that was copied to another place or has a damaged length fails it. END distinguishes a
-torn write (the file grew, but the data was not written) from a complete one that was damaged later. Sequences run
-without gaps over all segments, which reveals missing and duplicated segments. A snapshot without its trailer is
-unfinished and ignored. Its records are numbered from 1.
+sequence and payload, so a record that was copied to another place or has a damaged length fails it. RECORD_END
+distinguishes a torn write (the file grew, but the data was not written) from a complete one that was damaged later.
+Sequences run without gaps over all segments, which reveals missing and duplicated segments. A snapshot without its
+trailer is unfinished and ignored. Its records are numbered from 1.
 """
 
 from __future__ import annotations
--- a/copperyard/state/recovery.py
+++ b/copperyard/state/recovery.py
@@ -1,9 +1,9 @@
 """Recovers the state from the files of a stopped gateway. Does no I/O but for the `read` that is passed in.
 
-Kept is the longest prefix of facts that is certain: the newest complete snapshot, and all records after it without a
-gap. Everything dropped is reported with its file and the reason. A torn tail is no loss: nothing was done yet that
-relied on it. Any other loss could break a rule (a code sent twice); it is reported as such, and the gateway starts only
-if the operator accepts it.
+The recovered state is the longest prefix of facts that is certain: the newest complete snapshot, and all records after
+it without a gap. Everything dropped is reported with its file and the reason. A torn tail is no loss: nothing was done
+yet that relied on it. Any other loss could break a rule (a code sent twice); it is reported as such, and the gateway
+starts only if the operator accepts it.
 """
 
 from __future__ import annotations
--- a/tests/control/zones/test_follow.py
+++ b/tests/control/zones/test_follow.py
@@ -71,7 +71,7 @@
 
 
 def front(caps=(None, 300.0), shares=((0, 0.0), (1, 1.0)), zones=2, price=0.0):
-    """A controller of zone 0 that knows hosts in two zones and follows such ways."""
+    """A controller of zone 0 that knows hosts in two zones and follows such an allocation."""
     one = Controller(settings(zone=0, price_cross_zone=price), 3)
     one.handle(0, hosts(entry(0, zone=0), entry(1, zone=1), entry(2, zone=1)))
     one.handle(0, api.ZoneAllocation((shares,) * len(settings().classes), caps))
