--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -125,9 +125,9 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Short timeouts for tests on the wall clock."""
-    monkeypatch.setattr(bounds, "SILENT", 0.8)
-    monkeypatch.setattr(bounds, "HELLO", 0.5)
-    monkeypatch.setattr(bounds, "IDLE", 0.6)
+    monkeypatch.setattr(bounds, "ACK_TIMEOUT_S", 0.8)
+    monkeypatch.setattr(bounds, "HELLO_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(bounds, "IDLE_TIMEOUT_S", 0.6)
 
 
 async def order(pair, nursery):
