--- a/copperyard/control/coordinator.py
+++ b/copperyard/control/coordinator.py
@@ -90,8 +90,8 @@
     zones: tuple[str, ...]
     voters: Mapping[str, int]
     terms: Terms
-    pace: ProbeTiming = ProbeTiming()
-    beat: ElectionTiming = ElectionTiming()
+    probe_timing: ProbeTiming = ProbeTiming()
+    election_timing: ElectionTiming = ElectionTiming()
 
     @classmethod
     def of(
@@ -101,13 +101,19 @@
         zones: tuple[str, ...],
         voters: Sequence[str],
         terms: Terms,
-        pace: ProbeTiming = ProbeTiming(),  # noqa: B008 - frozen
-        beat: ElectionTiming = ElectionTiming(),  # noqa: B008 - frozen
+        probe_timing: ProbeTiming = ProbeTiming(),  # noqa: B008 - frozen
+        election_timing: ElectionTiming = ElectionTiming(),  # noqa: B008 - frozen
     ) -> CoordinatorConfig:
         """Build it for the gateway of that name. KeyError for a name that is not of the site."""
         votes = name in voters
         return cls(
-            name, cells.place(name, votes), zones, {voter: cells.roster[voter] for voter in voters}, terms, pace, beat
+            name,
+            cells.place(name, votes),
+            zones,
+            {voter: cells.roster[voter] for voter in voters},
+            terms,
+            probe_timing,
+            election_timing,
         )
 
     def peers(self) -> set[str]:
@@ -169,7 +175,7 @@
         place: CoordinatorConfig,
         gauge: Gauge,
         controller: Callable[[], Controller],
-        kept: PersistentState | None,
+        stored: PersistentState | None,
         seed: int,
         now: int,
         unix_ms: int,
@@ -182,7 +188,7 @@
             place.name,
             place.cells.roster,
             len(place.zones),
-            place.pace,
+            place.probe_timing,
             self.random.getrandbits(62),
             now,
             unix_ms,
@@ -202,13 +208,19 @@
         )
         self._now = now
         self.council: Replica | None = None
-        self.follower: Learner | None = None
-        if kept is not None:
+        self.learner: Learner | None = None
+        if stored is not None:
             self.council = Replica(
-                place.name, tuple(place.voters), kept, place.beat, self.random.getrandbits(62), now, trusted
+                place.name,
+                tuple(place.voters),
+                stored,
+                place.election_timing,
+                self.random.getrandbits(62),
+                now,
+                trusted,
             )
         else:
-            self.follower = Learner(self._news_sources, self.random.getrandbits(62), now)
+            self.learner = Learner(self._fetch_sources, self.random.getrandbits(62), now)
         self.cell_reports = CellReportTable(place.cells.sizes, place.terms)  # used at a voter
         self.planner: Planner | None = None
         self.active_plan = ActivePlan(place.terms, self.zone)
@@ -220,7 +232,7 @@
         self.plan_at = now
         self.next_broadcast_at = now
         self.next_age_query_at = now  # when a voter next asks the leader for the age of its entries
-        self._questions = PendingRequests(self.random.getrandbits(31))
+        self._fetch_requests = PendingRequests(self.random.getrandbits(31))
         self.allocation: ZoneAllocation | None = None
         self._allocation_basis: tuple[int, float] | None = None  # (epoch, strength) that `allocation` was derived from
         self.allocation_change_at: int | None = now
@@ -253,10 +265,10 @@
     def _collect_actions(self, now: int) -> None:
         while actions := self.members.take_actions():
             self._add_swim_actions(now, actions)
-        core = self.council or self.follower
+        core = self.council or self.learner
         assert core is not None
-        for order in core.take():
-            self._add_durable_action(order)
+        for action in core.take():
+            self._add_durable_action(action)
 
     def _add_swim_actions(self, now: int, actions: Sequence[SwimSendMessage | StateChanged | Stalled]) -> None:
         for action in actions:
@@ -295,16 +307,16 @@
                 now, [other for other in self.place.cells.cell.names if self._alive(other)], name
             )
 
-    def _add_durable_action(self, order: ReplicaAction) -> None:
-        if isinstance(order, SendMessage):
-            self._durable_actions.append(Send(order.to, order.message))
-        elif isinstance(order, Persist):
-            self._durable_actions.append(Write(order.records, order.replace_all))
-        elif isinstance(order, ReplicaLogLine):
-            self._durable_actions.append(LogLine(order.event, order.fields))
+    def _add_durable_action(self, action: ReplicaAction) -> None:
+        if isinstance(action, SendMessage):
+            self._durable_actions.append(Send(action.to, action.message))
+        elif isinstance(action, Persist):
+            self._durable_actions.append(Write(action.records, action.replace_all))
+        elif isinstance(action, ReplicaLogLine):
+            self._durable_actions.append(LogLine(action.event, action.fields))
         else:
             self._pending_entries += 1
-            self._durable_actions.append(NotifyApplied(order))
+            self._durable_actions.append(NotifyApplied(action))
 
     # ---- messages
 
@@ -333,22 +345,22 @@
             self.delegate_role.delegate_resigned(now, sender, message)
         elif isinstance(message, agreed.Message):
             if self.council is not None and isinstance(message, agreed.FetchReply):
-                asked = self._questions.complete(sender, message.request_id)
+                asked = self._fetch_requests.complete(sender, message.request_id)
                 if asked is not None:
                     record_age(self.council.proposal_time, asked, self.council.applied, message)
             elif self.council is not None:
                 if not self.disk_behind:
                     self.council.hear(now, sender, message)
             else:
-                assert self.follower is not None
-                self.follower.hear(now, sender, message)
+                assert self.learner is not None
+                self.learner.hear(now, sender, message)
         self._update(now)
 
     # ---- time
 
     def next_wake(self) -> int:
         """Return when `wake` is due."""
-        core = self.council or self.follower
+        core = self.council or self.learner
         assert core is not None
         times = [
             self.members.next_wake(),
@@ -367,7 +379,7 @@
         self._now = now
         if now >= self.members.next_wake():
             self.members.wake(now)
-        core = self.council or self.follower
+        core = self.council or self.learner
         assert core is not None
         if now >= core.next_wake() and not self.disk_behind:
             core.wake(now)
@@ -391,7 +403,7 @@
         member = self.members.members.get(name)
         return member is not None and member.state is swim.MemberState.ALIVE
 
-    def _news_sources(self) -> list[str]:
+    def _fetch_sources(self) -> list[str]:
         """Return whom to ask for new log entries, best first.
 
         A delegate asks two collectors, the cell's other delegate, then the other voters. Any other member asks the
@@ -407,13 +419,13 @@
         return others + voters if stale or not others else others
 
     def _leader(self) -> str:
-        return self.council.leader if self.council is not None else self.follower.leader if self.follower else ""
+        return self.council.leader if self.council is not None else self.learner.leader if self.learner else ""
 
     # ---- reports: from members to delegates, on to voters, on to the leader
 
     def _report(self, now: int) -> None:
         summary = self.gauge.summary(now, self.controller(), self.plan.epoch if self.plan is not None else 0)
-        period = self.place.pace.period
+        period = self.place.probe_timing.period
         report = MemberReport(
             summary, tuple(self.members.reachability.counts_since(now, now - REACHABILITY_PERIODS * period, period))
         )
@@ -433,10 +445,12 @@
             self.cell_reports.update(now, report)
         else:
             self._actions.append(Send(to, report))
-        resign = self.delegate_role.resign_if_unheard(now)
-        if resign is not None:
+        resignation = self.delegate_role.resign_if_unheard(now)
+        if resignation is not None:
             self._actions.append(LogLine("delegate resigns", (("cell", self.place.cells.cell.key),)))
-            self._actions.extend(Send(name, resign) for name in self.place.cells.cell.names if name != self.place.name)
+            self._actions.extend(
+                Send(name, resignation) for name in self.place.cells.cell.names if name != self.place.name
+            )
 
     def _cell_report_received(self, now: int, sender: str, report: CellReport) -> None:
         """Handle a cell's report from one of its delegates, if this gateway is a voter."""
@@ -456,21 +470,21 @@
 
     def _ask_for_age(self, now: int) -> None:
         """Ask the leader for the age of this voter's entries: they may have been delayed in a socket buffer."""
-        council = self.council
-        assert council is not None
-        if council.leader in ("", self.place.name) or now < self.next_age_query_at:
+        replica = self.council
+        assert replica is not None
+        if replica.leader in ("", self.place.name) or now < self.next_age_query_at:
             return
         self.next_age_query_at = now + SECOND // 2
-        ask = self._questions.add(now, council.leader)
-        self._actions.append(Send(council.leader, agreed.FetchRequest(council.applied, ask)))
+        request_id = self._fetch_requests.add(now, replica.leader)
+        self._actions.append(Send(replica.leader, agreed.FetchRequest(replica.applied, request_id)))
 
     # ---- leading
 
     def _lead(self, now: int) -> None:
-        council = self.council
-        assert council is not None
-        if not council.holds_lease(now):
-            if council.leader != self.place.name:
+        replica = self.council
+        assert replica is not None
+        if not replica.holds_lease(now):
+            if replica.leader != self.place.name:
                 self.planner = None
             return
         if self.planner is None:
@@ -478,10 +492,10 @@
             if self.plan is not None:
                 self.planner.committed(now, self.plan)
                 self.renewed_at = now - self.plan.holds  # the time without a leader counts: renew at once
-        if council.commit < council.last_index or self._pending_entries:
+        if replica.commit < replica.last_index or self._pending_entries:
             return  # the next proposal depends on the last one
         if self.plan is not None and now - self.renewed_at >= self.plan.holds // RENEWALS_PER_PLAN:
-            if council.propose(now, ENTRY_CODEC.body(Renewed(self.plan.epoch))) is not None:
+            if replica.propose(now, ENTRY_CODEC.body(Renewed(self.plan.epoch))) is not None:
                 self.renewed_at = now
             return
         if now - self.planner.started_at < 2 * REPORT_INTERVAL_NS or now < self.plan_at:
@@ -492,7 +506,7 @@
             reason = plan_error(self.place.terms, self.plan, plan)
             if reason is not None:
                 self._actions.append(LogLine("plan not proposed", (("why", reason),)))
-            elif council.propose(now, ENTRY_CODEC.body(plan)) is not None:
+            elif replica.propose(now, ENTRY_CODEC.body(plan)) is not None:
                 self.renewed_at = now
 
     def planner_input(self, now: int) -> PlannerInput:
@@ -504,7 +518,7 @@
         process, which may just not have received anything.
         """
         standings = self.members.reachability.zone_states(now)
-        silence_limit = ZONE_SILENT_PERIODS * max(REPORT_INTERVAL_NS, self.place.pace.period)
+        silence_limit = ZONE_SILENT_PERIODS * max(REPORT_INTERVAL_NS, self.place.probe_timing.period)
         unreached = self.cell_reports.unreachable(now)
         silent = [
             zone != self.zone
@@ -531,20 +545,20 @@
 
     # ---- committed entries
 
-    def applied(self, now: int, order: Apply | Restore) -> None:
+    def applied(self, now: int, action: Apply | Restore) -> None:
         """Apply a committed entry or snapshot; all earlier actions are complete."""
         self._pending_entries -= 1
-        if isinstance(order, Restore):
-            data, index = order.snapshot.data, order.snapshot.index
+        if isinstance(action, Restore):
+            data, index = action.snapshot.data, action.snapshot.index
             kind = EntryKind.DATA
         else:
-            data, index, kind = order.entry.data, order.index, order.entry.kind
+            data, index, kind = action.entry.data, action.index, action.entry.kind
         if kind is EntryKind.DATA and data:
             try:
-                self._adopt_entry(now, index, ENTRY_CODEC.read(data), isinstance(order, Restore))
+                self._adopt_entry(now, index, ENTRY_CODEC.read(data), isinstance(action, Restore))
             except FrameError as error:
                 self._actions.append(LogLine("entry not read", (("index", index), ("text", str(error)))))
-        core = self.council or self.follower
+        core = self.council or self.learner
         assert core is not None
         if core.wants_snapshot and not self._pending_entries:
             # the core counts entries as applied once it has handed them out: a snapshot made while some still wait
@@ -583,7 +597,7 @@
         self._actions.append(LogLine("caps", (("epoch", content.epoch), ("kb", kb))))
 
     def _entry_dates(self) -> ProposalTime:
-        core = self.council or self.follower
+        core = self.council or self.learner
         assert core is not None
         return core.proposal_time
 
@@ -597,10 +611,10 @@
         basis = (self.plan.epoch if self.plan is not None else 0, self.active_plan.strength(now))
         if basis != self._allocation_basis:
             self._allocation_basis = basis
-            ways = self.active_plan.allocation(now)
-            if ways != self.allocation:
-                self.allocation = ways
-                self._actions.append(ApplyZoneAllocation(ways))
+            allocation = self.active_plan.allocation(now)
+            if allocation != self.allocation:
+                self.allocation = allocation
+                self._actions.append(ApplyZoneAllocation(allocation))
         self.allocation_change_at = self.active_plan.next_change(now)
 
     def _log_zone_states(self, now: int) -> None:
--- a/copperyard/control/core.py
+++ b/copperyard/control/core.py
@@ -41,21 +41,21 @@
 
     def take_io_actions(self) -> list[IoAction]:
         """Return the pending I/O actions in order and clear them."""
-        orders = self._io_actions[:]
+        actions = self._io_actions[:]
         self._io_actions.clear()
-        return orders
+        return actions
 
     def restore(self, now: int, journal: Journal, spent: tuple[int, ...] | None) -> None:
         """Take over the state of an earlier run, before the start. `spent` are the ages of its last further attempts,
         None if it did not end as planned.
         """
-        plays = self.session_table
-        plays.journal = journal
-        plays.restore(now)
+        table = self.session_table
+        table.journal = journal
+        table.restore(now)
         if spent is None:
-            plays.budget.assume_spent(now)
+            table.budget.assume_spent(now)
         else:
-            plays.budget.restore(now, spent)
+            table.budget.restore(now, spent)
         self._cached_list = journal.state.body
 
     def _use_cached_list(self, now: int) -> None:
@@ -66,13 +66,13 @@
         if not body or self.roster.generation is not None:
             return
         try:
-            news = self.roster.apply_body(now, body)
+            update = self.roster.apply_body(now, body)
         except ListError as error:
             self._io_actions.append(LogLine("list not taken", (("text", f"kept from before: {error}"),)))
             return
-        if news is not None:
+        if update is not None:
             self._io_actions.append(LogLine("list kept from before", (("generation", self.roster.generation or 0),)))
-            self.session_table.list_updated(now, ServerList(ListKind.CACHED, news.entries), self.roster.addresses)
+            self.session_table.list_updated(now, ServerList(ListKind.CACHED, update.entries), self.roster.addresses)
 
     def start(self, now: int) -> None:
         """Start without a server list; the controller asks to follow it with its first event."""
@@ -81,15 +81,15 @@
     def list_received(self, now: int, body: bytes) -> bool:
         """Take an answer of the list service. Returns False if it is invalid and the full list is needed."""
         try:
-            news = self.roster.apply_body(now, body)
+            update = self.roster.apply_body(now, body)
         except ListError as error:
             self._io_actions.append(LogLine("list not taken", (("text", str(error)),)))
             return False
-        if news is not None:
+        if update is not None:
             self._io_actions.append(
-                LogLine("list", (("generation", self.roster.generation or 0), ("lines", len(news.entries))))
+                LogLine("list", (("generation", self.roster.generation or 0), ("lines", len(update.entries))))
             )
-            self.session_table.list_updated(now, news, self.roster.addresses)
+            self.session_table.list_updated(now, update, self.roster.addresses)
             self.list_changed = True
         return True
 
--- a/copperyard/control/redemption.py
+++ b/copperyard/control/redemption.py
@@ -57,9 +57,9 @@
 
     def restore(self, codes: Mapping[bytes, CodeRecord]) -> None:
         """Take over the codes of an earlier run; those without a receipt are unclear."""
-        for code, kept in codes.items():
-            state = CodeState.UNCLEAR if kept.receipt is None else CodeState.REDEEMED
-            self._codes[code] = _CodeRecord(state, None, kept.receipt or "", True)
+        for code, record in codes.items():
+            state = CodeState.UNCLEAR if record.receipt is None else CodeState.REDEEMED
+            self._codes[code] = _CodeRecord(state, None, record.receipt or "", True)
 
     def claim(self, code: str, ref: int) -> ClaimResult:
         """Claim a code for the request `ref`. REDEEM and RESUME bind the code to the request until `release`."""
--- a/copperyard/control/session_table.py
+++ b/copperyard/control/session_table.py
@@ -345,21 +345,21 @@
             return None
         fresh = True
         if request.code is not None:
-            verdict = self.codes.claim(request.code, ref)
-            if verdict is ClaimResult.UNCLEAR:
+            result = self.codes.claim(request.code, ref)
+            if result is ClaimResult.UNCLEAR:
                 self.unresolved_codes.query_soon(now, digest(request.code))
                 self.schedule_code_queries(now)
-            elif verdict is ClaimResult.REDEEM and not self.journal.healthy:
+            elif result is ClaimResult.REDEEM and not self.journal.healthy:
                 # Without a working journal a redemption would be lost if the process were killed, so none is started.
                 # Free sessions and sessions whose code is already redeemed are not affected.
                 self.codes.release(request.code, ref)
                 self.counts.denied += 1
                 owner.denied(now, 503, "codes cannot be taken just now")
                 return None
-            fresh = verdict is ClaimResult.REDEEM
-            if verdict in _CODE_DENIALS:
+            fresh = result is ClaimResult.REDEEM
+            if result in _CODE_DENIALS:
                 self.counts.denied += 1
-                owner.denied(now, *_CODE_DENIALS[verdict])
+                owner.denied(now, *_CODE_DENIALS[result])
                 return None
         state = RequestState(ref, request, owner, now + kind.deadline, fresh)
         self.requests[ref] = state
@@ -757,9 +757,9 @@
 
     # ---- updates and timers
 
-    def set_zone_allocation(self, now: int, ways: ZoneAllocation) -> None:
+    def set_zone_allocation(self, now: int, allocation: ZoneAllocation) -> None:
         """Pass on the allocation between zones that the gateways agreed on."""
-        self._notify_controller(now, ways)
+        self._notify_controller(now, allocation)
 
     def list_updated(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
         """Take an update of the server list."""
--- a/copperyard/control/zones/facts.py
+++ b/copperyard/control/zones/facts.py
@@ -61,9 +61,9 @@
             counts[cls] += 1
         span = max(SECOND, min(MEASURE_WINDOW_NS, now - self.started_at)) / SECOND
         found = []
-        for n, ns, kb, standing in zip(counts, self.lengths, self.terms.loads, playing, strict=True):
+        for n, ns, kb, current in zip(counts, self.lengths, self.terms.loads, playing, strict=True):
             arriving = n / span * kb
-            found.append(max(standing, min(arriving * ns / SECOND, standing + arriving * LOOKAHEAD_NS / SECOND)))
+            found.append(max(current, min(arriving * ns / SECOND, current + arriving * LOOKAHEAD_NS / SECOND)))
         return tuple(found)
 
     def playing(self, controller: Controller) -> list[float]:
--- a/copperyard/gateway/peers/place.py
+++ b/copperyard/gateway/peers/place.py
@@ -12,9 +12,9 @@
 def peer_settings(plan: CommonPlan, name: str, base: Path, trusted: bool) -> PeerSettings:
     """Build the settings of the gateway of that name; log stores are in folders under `base`."""
     folder = base / plan.folder / name
-    shelf = None
+    log_store = None
     if name in plan.voters:
-        shelf = SqliteLogStore(folder) if plan.store == "sqlite" else FileLogStore(folder)
+        log_store = SqliteLogStore(folder) if plan.store == "sqlite" else FileLogStore(folder)
     place = plan.place(name)
-    reach = {other: plan.reach[other] for other in sorted(place.peers())}
-    return PeerSettings(place, plan.listen[name], reach, plan.fleet, shelf, trusted)
+    addresses = {other: plan.reach[other] for other in sorted(place.peers())}
+    return PeerSettings(place, plan.listen[name], addresses, plan.fleet, log_store, trusted)
--- a/copperyard/gateway/peers/service.py
+++ b/copperyard/gateway/peers/service.py
@@ -68,9 +68,9 @@
         self._timer_wake, self._durable_wake = AutoResetEvent(), AutoResetEvent()
         self._wake_at: int | None = None
         self._rewrite = False  # the content of the log store is unusable: replace it with the next write
-        kept = self._open() if settings.log_store is not None else None
+        stored = self._open() if settings.log_store is not None else None
         self.coordinator = Coordinator(
-            settings.place, gauge, controller, kept, rng.getrandbits(62), now(), unix_ms, settings.trusted
+            settings.place, gauge, controller, stored, rng.getrandbits(62), now(), unix_ms, settings.trusted
         )
         self.links = Links(
             network,
@@ -88,10 +88,10 @@
         """Read the log store. A damaged one counts as empty: a voter without its log recovers from the others, but with
         a part of it the voter might not notice that it has to.
         """
-        shelf = self.settings.log_store
-        assert shelf is not None
+        store = self.settings.log_store
+        assert store is not None
         try:
-            return from_bytes(shelf.open(self.settings.place.name))
+            return from_bytes(store.open(self.settings.place.name))
         except DamagedStoreError as error:
             self.log("shelf damaged", {"text": str(error)[:200]})
             self._rewrite = True
@@ -141,20 +141,20 @@
         self._run_actions()
 
     def _run_actions(self) -> None:
-        for order in self.coordinator.take_actions():
-            self._run_action(order)
+        for action in self.coordinator.take_actions():
+            self._run_action(action)
         self._durable_wake.set()
         wake = self.coordinator.next_wake()
         if self._wake_at is None or wake < self._wake_at:
             self._timer_wake.set()
 
-    def _run_action(self, order: Immediate) -> None:
-        if isinstance(order, Send):
-            self.links.send(order.to, order.message)
-        elif isinstance(order, ApplyZoneAllocation):
-            self.on_allocation(order.allocation)
+    def _run_action(self, action: Immediate) -> None:
+        if isinstance(action, Send):
+            self.links.send(action.to, action.message)
+        elif isinstance(action, ApplyZoneAllocation):
+            self.on_allocation(action.allocation)
         else:
-            self.log(order.event, dict(order.fields))
+            self.log(action.event, dict(action.fields))
 
     async def _timer_loop(self) -> None:
         while True:
@@ -170,32 +170,32 @@
     async def _durable_loop(self) -> None:
         """Carry out durable actions in order: a message is sent after all earlier records are durable."""
         while True:
-            orders = self.coordinator.take_durable_actions()
-            if not orders:
+            actions = self.coordinator.take_durable_actions()
+            if not actions:
                 await self._durable_wake.wait()
-            for order in orders:
-                if isinstance(order, Write):
-                    await self._write(order)
-                elif isinstance(order, NotifyApplied):
-                    self.coordinator.applied(now(), order.order)
+            for action in actions:
+                if isinstance(action, Write):
+                    await self._write(action)
+                elif isinstance(action, NotifyApplied):
+                    self.coordinator.applied(now(), action.order)
                     self._run_actions()
-                elif isinstance(order, Send):
-                    self.links.send(order.to, order.message)
+                elif isinstance(action, Send):
+                    self.links.send(action.to, action.message)
                 else:
-                    assert isinstance(order, LogLine)
-                    self.log(order.event, dict(order.fields))
-            if orders:
+                    assert isinstance(action, LogLine)
+                    self.log(action.event, dict(action.fields))
+            if actions:
                 self._run_actions()  # a replica that waited for the disk resumes its timers
 
-    async def _write(self, order: Write) -> None:
+    async def _write(self, action: Write) -> None:
         """Write until it succeeds: a voter whose disk fails sends nothing, and counts as dead until it works again."""
-        shelf = self.settings.log_store
-        assert shelf is not None
-        records = to_bytes(order.records)
+        store = self.settings.log_store
+        assert store is not None
+        records = to_bytes(action.records)
         failed = False
         while True:
             try:
-                await (shelf.replace_all(records) if order.replace_all or self._rewrite else shelf.append(records))
+                await (store.replace_all(records) if action.replace_all or self._rewrite else store.append(records))
             except OSError as error:
                 if not failed:
                     self.log("shelf failed", {"text": str(error)[:200]})
--- a/copperyard/membership/gateways/members.py
+++ b/copperyard/membership/gateways/members.py
@@ -124,13 +124,13 @@
         me: str,
         roster: Mapping[str, int],
         zones: int,
-        pace: ProbeTiming,
+        timing: ProbeTiming,
         seed: int,
         now: int,
         incarnation: int,
         watchers: Mapping[str, int] | None = None,
     ) -> None:
-        self.me, self.zone, self.pace = me, roster[me], pace
+        self.me, self.zone, self.timing = me, roster[me], timing
         self.watchers = watchers if watchers is not None else {}
         self.random = random.Random(seed)
         self.incarnation = incarnation
@@ -147,7 +147,7 @@
         self._urgent_targets: deque[str] = deque()
         self._urgent_left = 0
         self._period_count = 0
-        self._next_period_at = now + int(self.random.random() * pace.period)
+        self._next_period_at = now + int(self.random.random() * timing.period)
         self._updates: dict[str, list[int]] = {}  # by name: [transmissions left]; the content is the current state
         self._actions: list[Action] = []
         self.sent = self.sent_updates = 0
@@ -224,7 +224,7 @@
             if now >= member.suspicion_ends_at:
                 self._set_state(now, member, MemberState.DEAD, member.incarnation, self.me)
         if now >= self._next_period_at and not self.leaving:
-            self._next_period_at = now + self._scaled(self.pace.period)
+            self._next_period_at = now + self._scaled(self.timing.period)
             self._urgent_left = MAX_URGENT_PROBES
             self._start_period(now)
         while self._urgent_targets and self._urgent_left and not self.leaving:
@@ -249,7 +249,7 @@
 
     def _start_period(self, now: int) -> None:
         self._period_count += 1
-        self.reachability.start_period(now, self.incarnation, self.pace.period)
+        self.reachability.start_period(now, self.incarnation, self.timing.period)
         name = self._next_target()
         if name is not None:
             self._probe(now, name)
@@ -274,7 +274,7 @@
     def _probe(self, now: int, name: str) -> None:
         self._number += 1
         self._probes[self._number] = Probe(
-            name, now, now + self._scaled(self.pace.timeout), now + self._scaled(self.pace.period)
+            name, now, now + self._scaled(self.timing.timeout), now + self._scaled(self.timing.period)
         )
         self.reachability.probe_sent(now, name)
         self._send(
@@ -402,7 +402,7 @@
             return
         self._number += 1
         self._indirect_probes[self._number] = IndirectProbe(
-            sender, message.number, now + self.pace.timeout * 4 // 5, now + self.pace.period
+            sender, message.number, now + self.timing.timeout * 4 // 5, now + self.timing.period
         )
         self._send(message.target, Ping(self._number, self.incarnation, self._piggyback(message.target), ()))
 
@@ -416,7 +416,7 @@
             return
         del self._probes[message.number]
         if message.target == sender:
-            self.reachability.probe_answered(now, sender, now - probe.sent_at > self.pace.timeout)
+            self.reachability.probe_answered(now, sender, now - probe.sent_at > self.timing.timeout)
         self.local_health = max(0, self.local_health - 1)
 
     def _update_received(self, now: int, update: GossipUpdate) -> None:
@@ -469,7 +469,7 @@
 
     def _suspicion_timeout(self, confirmations: int) -> int:
         """Return how long a suspicion lasts that `confirmations` others confirm, ns."""
-        shortest = SUSPICION_PERIODS * max(1.0, math.log10(len(self.members) + 1)) * self.pace.period
+        shortest = SUSPICION_PERIODS * max(1.0, math.log10(len(self.members) + 1)) * self.timing.period
         longest = SUSPICION_MAX_FACTOR * shortest
         part = math.log(min(confirmations, MAX_CONFIRMATIONS) + 1) / math.log(MAX_CONFIRMATIONS + 1)
         return self._scaled(int(max(shortest, longest - (longest - shortest) * part)))
--- a/tests/agreement/helpers.py
+++ b/tests/agreement/helpers.py
@@ -21,7 +21,7 @@
             name,
             world.voters,
             PersistentState.read(store),
-            world.beat,
+            world.timing,
             world.seed * 1009 + world.starts,
             world.time(name),
             trusted,
@@ -93,10 +93,10 @@
     `stores` are the stored records of each voter, `copies` older states of them.
     """
 
-    def __init__(self, seed=1, voters=3, manner=None, beat=None, make=Replica):
+    def __init__(self, seed=1, voters=3, manner=None, timing=None, make=Replica):
         self.seed, self.make = seed, make
         self.voters = tuple(f"v{n}" for n in range(voters))
-        self.beat = beat or ElectionTiming()
+        self.timing = timing or ElectionTiming()
         self.net = Events(seed, manner or Manner())
         self.stores: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.copies: dict[str, list[Any]] = {name: [] for name in self.voters}
--- a/tests/agreement/test_learner.py
+++ b/tests/agreement/test_learner.py
@@ -56,15 +56,15 @@
     def __init__(self, seed=1, manner=None, voters=1):
         super().__init__(seed, voters, manner)
         self.begun = {}  # index: when it was proposed
-        self.followers = {}
-        self.asks = self.news_heard = 0
+        self.learners = {}
+        self.asks = self.hints_received = 0
         self.net.run(8 * SECOND)
         assert self.leader()
 
     def follow(self, name, *sources, make=Learner):
         """Add a learner with these sources, the best first."""
-        node = Node(make(lambda: list(sources), self.seed * 1009 + len(self.followers), self.net.now), [])
-        self.followers[name] = node
+        node = Node(make(lambda: list(sources), self.seed * 1009 + len(self.learners), self.net.now), [])
+        self.learners[name] = node
         self.net.add(name, node)
         return node
 
@@ -78,7 +78,7 @@
 
     def check(self, now):
         super().check(now)
-        for name, node in getattr(self, "followers", {}).items():
+        for name, node in getattr(self, "learners", {}).items():
             dates = node.core.proposal_time
             if dates.index in self.begun:
                 assert dates.at <= self.begun[dates.index], f"{name} takes {dates.index} for younger than it is"
@@ -94,11 +94,11 @@
             self.run(every)
         return found
 
-    def late(self, node, begun):
+    def late(self, node, proposed_at):
         """For each index the seconds until the learner held it, or a later one, with its age."""
         return [
             min((at for i, at in node.held.items() if i >= index), default=1 << 62) / SECOND - since / SECOND
-            for index, since in begun.items()
+            for index, since in proposed_at.items()
         ]
 
 
@@ -125,7 +125,7 @@
     return Learner(lambda: list(names), seed, now)
 
 
-def questions(core):
+def fetch_requests(core):
     return [
         (order.to, order.message)
         for order in core.take()
@@ -155,7 +155,7 @@
     """Let it send its first request and receive the entries up to `index`; the time of that."""
     now = max(now, core.request_at)
     core.wake(now)
-    [(name, since)] = questions(core)
+    [(name, since)] = fetch_requests(core)
     answer(core, now, name, since.request_id, index)
     core.take()
     return now
@@ -255,12 +255,12 @@
     core = alone()
     now = told(core) + SECOND
     core.hear(now, "c", CommitHint(7))
-    [(name, since)] = questions(core)
+    [(name, since)] = fetch_requests(core)
     assert name == "c" and since.index == 5
     answer(core, now + 9 * MS, "c", since.request_id, 7)
     assert core.applied == 7 and core.proposal_time.index == 7
     core.hear(now + 10 * MS, "c", CommitHint(8))  # a sender whose hint brought entries may be asked again at once
-    assert [name for name, _ in questions(core)] == ["c"]
+    assert [name for name, _ in fetch_requests(core)] == ["c"]
 
 
 def test_repeated_late_and_reordered_hints_cause_one_request():
@@ -268,22 +268,22 @@
     now = told(core) + SECOND
     for sender, index in (("a", 7), ("a", 7), ("b", 6), ("b", 7), ("a", 5), ("b", 2)):
         core.hear(now, sender, CommitHint(index))
-    [(name, since)] = questions(core)
+    [(name, since)] = fetch_requests(core)
     answer(core, now + 9 * MS, name, since.request_id, 7)
     core.take()
     for sender, index in (("a", 7), ("b", 6), ("a", 1), ("c", 7)):
         core.hear(now + 20 * MS, sender, CommitHint(index))
-    assert questions(core) == []
+    assert fetch_requests(core) == []
 
 
 def test_a_hint_at_an_entry_held_without_its_age_causes_a_request():
     core = alone()
     now = told(core) + SECOND
     core.hear(now, "a", CommitHint(6))
-    [(_, since)] = questions(core)
+    [(_, since)] = fetch_requests(core)
     answer(core, now, "a", since.request_id, 6, dated=5, age=2 * SECOND)
     core.hear(now + 300 * MS, "a", CommitHint(6))
-    [(_, since)] = questions(core)
+    [(_, since)] = fetch_requests(core)
     answer(core, now + 310 * MS, "a", since.request_id, 6)
     assert core.proposal_time.index == 6
 
@@ -293,9 +293,9 @@
     now = told(core)
     now = core.request_at
     core.wake(now)
-    [(name, since)] = questions(core)
+    [(name, since)] = fetch_requests(core)
     core.hear(now + MS, name, CommitHint(6))
-    assert questions(core) == []
+    assert fetch_requests(core) == []
     answer(core, now + 2 * MS, name, since.request_id, 5)  # sent before there was more
     assert core.next_wake() <= now + 650 * MS
 
@@ -310,7 +310,7 @@
         core.hear(now, "liar", CommitHint(1000 + (now - begin) // (10 * MS)))
         if now >= core.next_wake():
             core.wake(now)
-        for name, since in questions(core):
+        for name, since in fetch_requests(core):
             count += 1
             liar += name == "liar"
             if name != "liar" or answers:
@@ -325,7 +325,7 @@
     now = told(core) + SECOND
     for n in range(100):
         core.hear(now + n, f"n{n}", CommitHint(10 + n))
-    assert len(questions(core)) == learner.MAX_HINTED_REQUESTS
+    assert len(fetch_requests(core)) == learner.MAX_HINTED_REQUESTS
 
 
 def test_two_learners_that_fetch_from_each_other_do_not_hint_forever():
@@ -355,9 +355,9 @@
     world.run(1)
     assert node.core.applied
     node.said.clear()
-    begun = world.renew(30)
+    proposed_at = world.renew(30)
     assert 0.45 <= counts(node) <= 0.6
-    assert max(world.late(node, begun)) < 0.05
+    assert max(world.late(node, proposed_at)) < 0.05
 
 
 @pytest.mark.parametrize("answers", [False, True])
@@ -367,7 +367,7 @@
     while now < 60 * SECOND:
         now = core.request_at
         core.wake(now)
-        for name, since in questions(core):
+        for name, since in fetch_requests(core):
             count += 1
             if answers:
                 core.progress_at = now  # so that it is not stalled
@@ -380,13 +380,13 @@
     now = told(core)
     now = core.request_at
     core.wake(now)
-    first = questions(core)[0][0]
+    first = fetch_requests(core)[0][0]
     order = [name for name in "abcd" if name != first]
     for name in order:
         assert 375 * MS <= core.request_at - now <= 625 * MS
         now = core.request_at
         core.wake(now)
-        assert [to for to, _ in questions(core)] == [name]
+        assert [to for to, _ in fetch_requests(core)] == [name]
 
 
 def test_a_thousand_learners_starting_at_once_are_spread_over_half_a_second():
@@ -436,7 +436,7 @@
     world.renew(5)
     for name in ("d1", "d2"):
         world.net.kill(name)
-        del world.followers[name]
+        del world.learners[name]
     late = world.late(node, world.renew(10))
     # an idle interval, and two unanswered requests
     assert max(late) < 2.5 + 2 * 0.625 + 0.1 and max(late[3:]) < 1.3
@@ -474,14 +474,14 @@
     while core.applied == 5 and now - begin < 30 * SECOND:
         now = core.request_at
         core.wake(now)
-        [(name, since)] = questions(core)
+        [(name, since)] = fetch_requests(core)
         asked_of.append((now - begin, name))
         answer(core, now, name, since.request_id, 6 if name == good else 5)
     assert now - begin <= learner.STALL_THRESHOLD + learner.IDLE_INTERVAL * 5 // 4 + 1250 * MS
     assert {name for at, name in asked_of if at < learner.STALL_THRESHOLD} == {"a"}
     now = core.request_at
     core.wake(now)
-    assert questions(core)[0][0] == "a"
+    assert fetch_requests(core)[0][0] == "a"
 
 
 def test_a_source_that_lacks_long_held_entries_is_avoided():
@@ -490,7 +490,7 @@
     while now < 20 * SECOND:
         now = core.request_at
         core.wake(now)
-        [(name, since)] = questions(core)
+        [(name, since)] = fetch_requests(core)
         answer(core, now, name, since.request_id, core.applied + 1 if name == "b" else 5, commit=None)
         if name == "a" and core.applied > 5:
             assert core._choose_source(now, ["a", "b"], True) == "b" or now - core.progress_at < learner.SETTLED_PERIOD
@@ -504,7 +504,7 @@
     assert core.last_reply_at(name) == now
     for n in range(200):
         core._request(now + n, f"n{n}")
-        [(to, since)] = questions(core)
+        [(to, since)] = fetch_requests(core)
         answer(core, now + n, to, since.request_id, 5)
     assert core.last_reply_at("n199") == now + 199 and core.last_reply_at("n0") is None
     assert (
@@ -559,12 +559,12 @@
 
 def test_entries_arriving_by_two_paths_in_different_order_are_applied_once():
     core = alone()
-    ways = {name: core.requests.add(SECOND, name) for name in "abc"}
-    answer(core, 2 * SECOND, "b", ways["b"], 6, age=100 * MS)
+    request_ids = {name: core.requests.add(SECOND, name) for name in "abc"}
+    answer(core, 2 * SECOND, "b", request_ids["b"], 6, age=100 * MS)
     held, dates = list(core.log), (core.proposal_time.index, core.proposal_time.at)
     core.take()
-    core.hear(3 * SECOND, "a", FetchReply(None, 0, entries(1, 2, 3, 4, 5), 5, "v0", 5, 0, ways["a"]))
-    core.hear(3 * SECOND, "c", FetchReply(Snapshot(4, 1, (), b"s"), 4, entries(5), 5, "v0", 5, 0, ways["c"]))
+    core.hear(3 * SECOND, "a", FetchReply(None, 0, entries(1, 2, 3, 4, 5), 5, "v0", 5, 0, request_ids["a"]))
+    core.hear(3 * SECOND, "c", FetchReply(Snapshot(4, 1, (), b"s"), 4, entries(5), 5, "v0", 5, 0, request_ids["c"]))
     assert core.log == held and (core.proposal_time.index, core.proposal_time.at) == dates
     assert not [order for order in core.take() if not isinstance(order, SendMessage)]
 
--- a/tests/agreement/test_replica.py
+++ b/tests/agreement/test_replica.py
@@ -132,8 +132,8 @@
 class Trusting(Replica):
     """Defect: a voter trusts any log store to be its newest."""
 
-    def __init__(self, me, voters, kept, beat, seed, now, trusted=False):
-        super().__init__(me, voters, kept, beat, seed, now, True)
+    def __init__(self, me, voters, stored, timing, seed, now, trusted=False):
+        super().__init__(me, voters, stored, timing, seed, now, True)
 
 
 def test_a_voter_that_trusts_a_lost_store_loses_an_entry():
@@ -248,13 +248,13 @@
 def test_a_reply_that_promises_something_follows_the_write_of_the_promise():
     core = one()
     core.hear(9 * SECOND, "v1", RequestVote(5, 0, 0, False, 77))
-    keep, say = core.take()
-    assert isinstance(keep, replica.Persist) and keep.records[-1] == Promise(5, "v1", 1)
-    assert say == replica.SendMessage("v1", VoteReply(5, False, True, 77))
+    persist, send = core.take()
+    assert isinstance(persist, replica.Persist) and persist.records[-1] == Promise(5, "v1", 1)
+    assert send == replica.SendMessage("v1", VoteReply(5, False, True, 77))
     core.hear(9 * SECOND, "v1", AppendEntries(5, 0, 0, (Entry(5, EntryKind.NOOP, b""),), 0, 1))
-    keep, say = core.take()
-    assert keep == replica.Persist((EntryRecord(1, Entry(5, EntryKind.NOOP, b"")),))
-    assert isinstance(say, replica.SendMessage)
+    persist, send = core.take()
+    assert persist == replica.Persist((EntryRecord(1, Entry(5, EntryKind.NOOP, b"")),))
+    assert isinstance(send, replica.SendMessage)
 
 
 def test_one_vote_per_term_also_after_a_restart_with_the_same_store():
@@ -266,18 +266,18 @@
 def test_a_vote_reply_with_another_nonce_does_not_count():
     core = one()
     core.wake(core.next_wake())
-    poll = next(o.message for o in core.take() if isinstance(o, replica.SendMessage))
-    assert poll.pre_vote
-    core.hear(20 * SECOND, "v1", VoteReply(poll.term, True, True, poll.nonce + 1))
+    request = next(o.message for o in core.take() if isinstance(o, replica.SendMessage))
+    assert request.pre_vote
+    core.hear(20 * SECOND, "v1", VoteReply(request.term, True, True, request.nonce + 1))
     assert core.role is Role.PRE_CANDIDATE
-    core.hear(20 * SECOND, "v1", VoteReply(poll.term, True, True, poll.nonce))
+    core.hear(20 * SECOND, "v1", VoteReply(request.term, True, True, request.nonce))
     assert core.role is Role.CANDIDATE
 
 
 def test_records_with_a_gap_are_refused():
     with pytest.raises(ValueError, match="entry 5 follows on 0"):
         PersistentState.read([EntryRecord(5, Entry(1, EntryKind.DATA, b""))])
-    kept = PersistentState.read(
+    stored = PersistentState.read(
         [
             EntryRecord(1, Entry(1, EntryKind.DATA, b"a")),
             EntryRecord(2, Entry(1, EntryKind.DATA, b"b")),
@@ -285,7 +285,7 @@
             Snapshot(1, 1, (), b"s"),
         ]
     )
-    assert [e.data for e in kept.log] == [b"c"] and kept.snapshot.index == 1
+    assert [e.data for e in stored.log] == [b"c"] and stored.snapshot.index == 1
 
 
 class Forgets(Replica):
--- a/tests/cli/test_state.py
+++ b/tests/cli/test_state.py
@@ -28,16 +28,16 @@
     async def main():
         disk = FolderDisk(folder)
         disk.lock("a test")
-        book = JournalWriter(recover(disk.names(), disk.read), "gw.1", "g1", 0, 0)
+        writer = JournalWriter(recover(disk.names(), disk.read), "gw.1", "g1", 0, 0)
         for n in range(first, first + count):
-            book.write(n, CodeSent(n, digest(str(n)), f"gw.1/{n}", "h1"))
+            writer.write(n, CodeSent(n, digest(str(n)), f"gw.1/{n}", "h1"))
             if n % 3:
-                book.write(n, CodeRedeemed(n, digest(str(n)), f"r{n}"))
+                writer.write(n, CodeRedeemed(n, digest(str(n)), f"r{n}"))
         if planned:
-            book.close(99, (5,))
-        while (step := book.commit_step(0)) is not None:
+            writer.close(99, (5,))
+        while (step := writer.commit_step(0)) is not None:
             await disk.do(step)
-            book.done("commit", 0)
+            writer.done("commit", 0)
         disk.close()
 
     trio.run(main)
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -372,7 +372,7 @@
     )
 
 
-def test_one_dead_gateway_is_known_in_its_cell_in_8_seconds_and_to_the_council_in_12():
+def test_one_dead_gateway_is_known_in_its_cell_in_8_seconds_and_to_the_voters_in_12():
     told = []
     for seed in (1, 2):
         site = ready(seed, 48)
@@ -449,9 +449,9 @@
     site.run(5)
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name) + SECOND
-    follower, plan = core.follower, core.plan
+    learner, plan = core.learner, core.plan
     assert plan is not None
-    at = follower.applied
+    at = learner.applied
     first, second = (ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + n)) for n in (1, 2))
     entries = Entry(1, EntryKind.DATA, first), Entry(1, EntryKind.DATA, second)
     answers = [
@@ -462,7 +462,7 @@
         lambda ask: FetchReply(None, at + 1, entries[1:], at + 2, "x", at + 2, 2 * SECOND, ask),
         lambda ask: FetchReply(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask),
     ]
-    asks = [follower.requests.add(now, f"s{n}") for n in range(4)]
+    asks = [learner.requests.add(now, f"s{n}") for n in range(4)]
     epochs = [plan.epoch]
     for n in order:
         core.hear(now, f"s{n}", answers[n](asks[n]))
@@ -470,7 +470,7 @@
             if isinstance(step, NotifyApplied):
                 core.applied(now, step.order)
         epochs.append(core.plan.epoch)
-    assert epochs == sorted(epochs) and epochs[-1] == plan.epoch + 2 and follower.applied == at + 2
+    assert epochs == sorted(epochs) and epochs[-1] == plan.epoch + 2 and learner.applied == at + 2
     assert core.histories[-1] == (at + 2, plan.epoch + 2)
     assert core.active_plan.proposed_at == now - SECOND  # the latest proposal time known of the newest plan
 
@@ -491,10 +491,10 @@
     site = ready(1)
     name = next(n for n in site.roster if n not in site.voters and n not in site.cells.of(n).ranks()[:3])
     got = answered(site, name)
-    held = site.front(name).core.follower.applied
+    held = site.front(name).core.learner.applied
     site.run(12)
     # an up-to-date gateway gets each entry once (two answers to the same hint may both contain the last one)
-    grown = site.front(name).core.follower.applied - held
+    grown = site.front(name).core.learner.applied - held
     assert 0 < grown <= sum(len(one.entries) for one in got) <= grown + 2 and not any(one.snapshot for one in got)
     got.clear()
     site.net.kill(name)
@@ -502,7 +502,7 @@
     site.start(name)
     until(site, lambda: site.strengths([name]) == [1.0], 3)
     site.run(8)
-    applied = site.front(name).core.follower.applied
+    applied = site.front(name).core.learner.applied
     assert applied <= sum(len(one.entries) for one in got) <= applied + 3
 
 
@@ -518,7 +518,7 @@
     until(site, lambda: site.strengths([name]) == [1.0], 2)
     found = [one.snapshot for one in got if one.snapshot]
     assert len(found) == 1 and ENTRY_CODEC.read(found[0].data) == site.plans[newest(site)]
-    applied = site.front(name).core.follower.applied
+    applied = site.front(name).core.learner.applied
     assert applied > 14 and applied - found[0].index <= sum(len(one.entries) for one in got) <= 6 + 1
 
 
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -201,21 +201,21 @@
     site = ready()
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name)
-    follower, plan = core.follower, core.plan
+    learner, plan = core.learner, core.plan
     renewed = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(Renewed(plan.epoch)))
     newer = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
-    count, at = 300 - len(follower.log), follower.applied
-    ask = follower.requests.add(now, "x")
+    count, at = 300 - len(learner.log), learner.applied
+    ask = learner.requests.add(now, "x")
     core.hear(now, "x", FetchReply(None, at, (renewed,) * count + (newer,), at + count + 1, "x", 0, 0, ask))
     for step in core.take_durable_actions():
         if isinstance(step, NotifyApplied):
             core.applied(now, step.order)
     assert core.plan.epoch == plan.epoch + 1
-    assert follower.snapshot.index == at + count + 1
-    assert ENTRY_CODEC.read(follower.snapshot.data).epoch == plan.epoch + 1
+    assert learner.snapshot.index == at + count + 1
+    assert ENTRY_CODEC.read(learner.snapshot.data).epoch == plan.epoch + 1
 
 
-def test_a_voters_age_is_counted_from_the_question_that_was_answered():
+def test_a_voters_age_is_counted_from_the_request_that_was_answered():
     site = ready()
     leader = site.leader()
     name = next(n for n in site.voters if n != leader)
@@ -230,11 +230,11 @@
             if isinstance(order, Send) and isinstance(order.message, FetchRequest)
         ]
     assert len(asked) == 2
-    council = core.council
-    index = council.applied
-    council.proposal_time.index = council.proposal_time.at = 0
+    replica = core.council
+    index = replica.applied
+    replica.proposal_time.index = replica.proposal_time.at = 0
     core.hear(now + 3 * SECOND, leader, FetchReply(None, index, (), index, leader, index, SECOND, asked[0].request_id))
-    assert (council.proposal_time.index, council.proposal_time.at) == (index, now - SECOND)
+    assert (replica.proposal_time.index, replica.proposal_time.at) == (index, now - SECOND)
 
 
 def test_the_date_of_an_entry_that_is_not_applied_does_not_renew_the_older_plan():
@@ -242,12 +242,12 @@
     site = ready()
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name) + 5 * SECOND
-    follower, plan, since = core.follower, core.plan, core.active_plan.proposed_at
+    learner, plan, since = core.learner, core.plan, core.active_plan.proposed_at
     newer = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
-    at = follower.applied
-    ask = follower.requests.add(now, "x")
+    at = learner.applied
+    ask = learner.requests.add(now, "x")
     core.hear(now, "x", FetchReply(None, at, (newer,), at + 1, "x", at + 1, 0, ask))
-    assert follower.proposal_time.index == at + 1 and core.plan is plan
+    assert learner.proposal_time.index == at + 1 and core.plan is plan
     assert core.active_plan.proposed_at == since < now - 2 * SECOND
     late = since + 2 * plan.holds
     core.hear(late, "y", FetchRequest(at, 1))  # any message makes the front check its plan
--- a/tests/contracts/test_shelves.py
+++ b/tests/contracts/test_shelves.py
@@ -23,7 +23,7 @@
         self.folder, self.make = folder, make
         self.monkeys = pytest.MonkeyPatch()
 
-    def shelf(self):
+    def store(self):
         return self.make(self.folder)
 
     def file(self):
@@ -45,9 +45,9 @@
     def free_disk(self):
         self.monkeys.undo()
 
-    def died(self, shelf):
+    def died(self, store):
         """The process is killed; leaves a torn tail if the store can have one."""
-        shelf.close()
+        store.close()
         with open(self.file(), "ab") as out:
             out.write(b"\x07\x00\x00\x00torn")
 
@@ -77,15 +77,15 @@
         self.pages = max(1, after // 4096)
         real = module.SqliteLogStore._connect
 
-        def connect(shelf, path):
-            base = real(shelf, path)
+        def connect(store, path):
+            base = real(store, path)
             base.execute(f"PRAGMA max_page_count={self.pages}")
             return base
 
         self.monkeys.setattr(module.SqliteLogStore, "_connect", connect)
 
-    def died(self, shelf):
-        shelf.close()
+    def died(self, store):
+        store.close()
         wal = self.folder / "votes.db-wal"
         wal.write_bytes(b"\x37\x7f\x06\x82torn" * 5)
 
@@ -97,7 +97,7 @@
     def __init__(self, folder, make=MemoryShelf):
         self.plate, self.make = Plate(), make
 
-    def shelf(self):
+    def store(self):
         return self.make(self.plate)
 
     def fill_disk(self, after):
@@ -106,8 +106,8 @@
     def free_disk(self):
         self.plate.full = None
 
-    def died(self, shelf):
-        shelf.close()
+    def died(self, store):
+        store.close()
         self.plate.torn.append(b"torn")
 
     def flips(self):
@@ -123,92 +123,92 @@
 
 
 def read(kind):
-    shelf = kind.shelf()
+    store = kind.store()
     try:
-        return shelf.open("reader")
+        return store.open("reader")
     finally:
-        shelf.close()
+        store.close()
 
 
 async def kept(kind):
     """Appended records are there, complete, in order, once; also after a replacement and further records."""
-    shelf = kind.shelf()
-    assert shelf.open("a") == []
-    await shelf.append([b"one", b"two"])
-    await shelf.append([b"three" * 100])
-    shelf.close()
+    store = kind.store()
+    assert store.open("a") == []
+    await store.append([b"one", b"two"])
+    await store.append([b"three" * 100])
+    store.close()
     assert read(kind) == [b"one", b"two", b"three" * 100]
-    shelf = kind.shelf()
-    shelf.open("a")
-    await shelf.append([b"four"])
-    await shelf.replace_all([b"new", b""])
-    await shelf.append([b"five"])
-    shelf.close()
+    store = kind.store()
+    store.open("a")
+    await store.append([b"four"])
+    await store.replace_all([b"new", b""])
+    await store.append([b"five"])
+    store.close()
     assert read(kind) == [b"new", b"", b"five"]
 
 
 async def torn(kind):
     """A torn write leaves the earlier records, and the next write works."""
-    shelf = kind.shelf()
-    shelf.open("a")
-    await shelf.append([b"one", b"two"])
-    kind.died(shelf)
-    shelf = kind.shelf()
-    assert shelf.open("a") == [b"one", b"two"]
-    await shelf.append([b"three"])
-    shelf.close()
+    store = kind.store()
+    store.open("a")
+    await store.append([b"one", b"two"])
+    kind.died(store)
+    store = kind.store()
+    assert store.open("a") == [b"one", b"two"]
+    await store.append([b"three"])
+    store.close()
     assert read(kind) == [b"one", b"two", b"three"]
 
 
 async def full(kind):
     """A full disk gives OSError, loses nothing, and writes work again once there is room."""
-    shelf = kind.shelf()
-    shelf.open("a")
-    await shelf.append([b"one"])
-    shelf.close()
+    store = kind.store()
+    store.open("a")
+    await store.append([b"one"])
+    store.close()
     kind.fill_disk(9000)
-    shelf = kind.shelf()
-    shelf.open("a")
+    store = kind.store()
+    store.open("a")
     with pytest.raises(OSError):
-        await shelf.append([b"x" * 30_000] * 3)
+        await store.append([b"x" * 30_000] * 3)
     with pytest.raises(OSError):
-        await shelf.replace_all([b"y" * 100_000])
+        await store.replace_all([b"y" * 100_000])
     kind.free_disk()
-    shelf.close()
+    store.close()
     found = read(kind)
     assert found == [b"one"] or found[1:] == [b"x" * 30_000] * (len(found) - 1)
-    shelf = kind.shelf()
-    before = shelf.open("a")
-    await shelf.append([b"two"])
-    shelf.close()
+    store = kind.store()
+    before = store.open("a")
+    await store.append([b"two"])
+    store.close()
     assert read(kind) == [*before, b"two"] and before[0] == b"one"
 
 
 async def full_and_on(kind):
     """The same log store goes on after a write that failed half-way."""
-    shelf = kind.shelf()
-    shelf.open("a")
-    await shelf.append([b"one"])
+    store = kind.store()
+    store.open("a")
+    await store.append([b"one"])
     kind.fill_disk(20)
     with pytest.raises(OSError):
-        await shelf.append([b"x" * 300])
+        await store.append([b"x" * 300])
     kind.free_disk()
-    await shelf.append([b"two"])
-    shelf.close()
+    await store.append([b"two"])
+    store.close()
     assert read(kind) in ([b"one", b"two"], [b"one", b"x" * 300, b"two"])
 
 
 async def flipped(kind):
     """A flipped bit is detected or without effect; it never gives a different or shorter history."""
-    shelf = kind.shelf()
-    shelf.open("a")
+    store = kind.store()
+    store.open("a")
     rows = [bytes([65 + n]) * 40 for n in range(6)]
-    await shelf.append(rows)
-    shelf.close()
+    await store.append(rows)
+    store.close()
     damaged = 0
     for at in kind.flips():
         kind.flip(at)
-        one = kind.shelf()
+        one = kind.store()
         try:
             assert one.open("a") == rows, f"bit {at}"
         except DamagedStoreError:
@@ -221,12 +221,12 @@
 
 async def held(kind):
     """One process at a time; the lock ends with its holder."""
-    shelf, other = kind.shelf(), kind.shelf()
-    shelf.open("first")
+    store, other = kind.store(), kind.store()
+    store.open("first")
     with pytest.raises(LockedError, match="first"):
         other.open("second")
-    await shelf.append([b"one"])
-    shelf.close()
+    await store.append([b"one"])
+    store.close()
     other.open("second")
     other.close()
     assert read(kind) == [b"one"]
@@ -234,15 +234,15 @@
 
 async def cancelled(kind):
     """A cancelled write is complete or absent, and the log store goes on."""
-    shelf = kind.shelf()
-    shelf.open("a")
+    store = kind.store()
+    store.open("a")
     if isinstance(kind, OfMemory):
         kind.plate.pause = 0.01
     for n in range(10):
         with trio.move_on_after(0.0002 * n):
-            await shelf.append([b"%d" % n, b"%d" % n])
-    await shelf.append([b"end"])
-    shelf.close()
+            await store.append([b"%d" % n, b"%d" % n])
+    await store.append([b"end"])
+    store.close()
     found = read(kind)
     assert found[-1] == b"end" and found[:-1:2] == found[1:-1:2]
 
@@ -264,10 +264,10 @@
 def test_a_replacement_that_was_not_renamed_is_ignored(tmp_path):
     async def main():
         kind = OfFolder(tmp_path)
-        shelf = kind.shelf()
-        shelf.open("a")
-        await shelf.append([b"one"])
-        shelf.close()
+        store = kind.store()
+        store.open("a")
+        await store.append([b"one"])
+        store.close()
         shutil.copy(tmp_path / "votes.log", tmp_path / "votes.next")
         assert read(kind) == [b"one"] and not (tmp_path / "votes.next").exists()
 
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -142,8 +142,8 @@
         return headers
 
 
-def starts(orders):
-    return [o.attempt for o in orders if isinstance(o, StartAttempt)]
+def starts(actions):
+    return [o.attempt for o in actions if isinstance(o, StartAttempt)]
 
 
 def play_through(core, attempt, now=MS):
--- a/tests/control/test_cells.py
+++ b/tests/control/test_cells.py
@@ -45,7 +45,7 @@
 NONE = ((0, 0, 0, 0),) * 5
 
 
-def duty(name=RANKS[0], dead=(), voters=VOTERS, life=7):
+def delegate_role(name=RANKS[0], dead=(), voters=VOTERS, life=7):
     return DelegateRole(name, CELLS.place(name), TERMS, voters, life, lambda other: other not in dead, 0)
 
 
@@ -65,14 +65,14 @@
 
 def test_two_of_a_cell_are_delegates_by_rank_and_all_say_the_same():
     for name in CELL.names:
-        one = duty(name)
+        one = delegate_role(name)
         assert one.delegates(0) == RANKS[:2]
         assert one.is_delegate(0) == (name in RANKS[:2])
 
 
 def test_a_delegate_that_dies_is_replaced_by_the_next_and_takes_its_place_again_when_it_lives():
     dead = {RANKS[0]}
-    one = duty(RANKS[2], dead)
+    one = delegate_role(RANKS[2], dead)
     assert one.delegates(0) == RANKS[1:3] and one.is_delegate(0)
     dead.add(RANKS[1])
     assert one.delegates(0) == RANKS[2:4]
@@ -81,18 +81,18 @@
 
 
 def test_a_delegate_that_resigns_is_replaced_for_the_time_it_states():
-    one = duty(RANKS[2])
+    one = delegate_role(RANKS[2])
     one.delegate_resigned(SECOND, RANKS[0], DelegateResignation(RESIGNATION_NS))
     assert one.delegates(SECOND) == RANKS[1:3] and one.is_delegate(SECOND + RESIGNATION_NS - 1)
     assert one.delegates(SECOND + RESIGNATION_NS) == RANKS[:2]
 
 
 def test_two_members_report_even_if_the_whole_cell_has_resigned():
-    one = duty(RANKS[0])
+    one = delegate_role(RANKS[0])
     for name in CELL.names:
         one.delegate_resigned(0, name, DelegateResignation(RESIGNATION_NS))
     assert one.delegates(1) == RANKS[:2] and one.is_delegate(1)
-    both = duty(RANKS[2])
+    both = delegate_role(RANKS[2])
     for name in RANKS[:2]:
         both.delegate_resigned(0, name, DelegateResignation(RESIGNATION_NS))
     assert both.delegates(1) == RANKS[2:4]
@@ -110,13 +110,13 @@
     ],
 )
 def test_a_resignation_of_a_foreign_gateway_or_for_too_long_is_ignored(sender, ns):
-    one = duty(RANKS[2])
+    one = delegate_role(RANKS[2])
     one.delegate_resigned(0, sender, DelegateResignation(ns))
     assert one.delegates(1) == RANKS[:2] and not one._resigned_until
 
 
 def test_a_gateway_that_gets_reports_acts_as_a_delegate_for_a_while():
-    one = duty(RANKS[5])
+    one = delegate_role(RANKS[5])
     assert sent(one, 0) is None
     one.member_reported(SECOND, RANKS[6], told(RANKS[6]))
     assert one.is_delegate(SECOND) and sent(one, SECOND) is not None
@@ -125,7 +125,7 @@
 
 
 def test_its_own_report_does_not_make_a_gateway_a_delegate():
-    one = duty(RANKS[5])
+    one = delegate_role(RANKS[5])
     one.member_reported(SECOND, RANKS[5], told(RANKS[5]))
     assert not one.is_delegate(SECOND)
 
@@ -145,21 +145,21 @@
     ],
 )
 def test_a_report_of_another_cell_of_anothers_name_or_of_a_wrong_shape_is_passed_over(sender, report):
-    one = duty(RANKS[5])
+    one = delegate_role(RANKS[5])
     one.member_reported(SECOND, sender, report)
     assert not one.is_delegate(SECOND)
     assert not one.aggregate.summaries.known
 
 
 def test_a_summary_for_another_number_of_zones_says_nothing_of_its_member():
-    one = duty()
+    one = delegate_role()
     one.member_reported(SECOND, RANKS[6], told(RANKS[6], zones=4, asked=((9, 9, 9, 9),) * 5))
     _, report = one.make_report(SECOND, {})
     assert report.heard == 0 and {zone.probed for zone in report.zones} == {0}
 
 
 def test_reports_that_come_twice_late_or_out_of_order_change_nothing():
-    one = duty()
+    one = delegate_role()
     newest = told(RANKS[6], 9, life=6, epoch=8, asked=((4, 3, 2, 1),) * 5)
     one.member_reported(SECOND, RANKS[6], newest)
     _, before = one.make_report(SECOND, {})
@@ -176,7 +176,7 @@
 
 
 def test_the_least_epoch_of_all_members_is_reported_and_none_while_one_was_not_heard():
-    one = duty()
+    one = delegate_role()
     for n, name in enumerate(CELL.names[:-1]):
         one.member_reported(SECOND, name, told(name, epoch=4 + n))
     assert one.make_report(SECOND, {})[1].epoch == 0
@@ -187,11 +187,11 @@
 
 
 def test_a_member_whose_reports_stop_is_overdue_at_a_delegate_for_a_while_only():
-    one = duty()
+    one = delegate_role()
     one.member_reported(0, RANKS[6], told(RANKS[6]))
     assert one.overdue_members(REPORT_OVERDUE_NS) == [] and one.overdue_members(REPORT_OVERDUE_NS + 1) == [RANKS[6]]
     assert one.overdue_members(DELEGATE_BY_REPORT_NS + REPORT_OVERDUE_NS + 1) == []
-    other = duty(RANKS[5])
+    other = delegate_role(RANKS[5])
     other.member_reported(0, RANKS[6], told(RANKS[6]))
     assert other.overdue_members(DELEGATE_BY_REPORT_NS + 1) == []  # it is no delegate any more
 
@@ -229,20 +229,20 @@
 
 
 def test_the_two_delegates_begin_with_different_collectors_and_a_voter_with_itself():
-    assert sent(duty(RANKS[0]), 0) == "v1" and sent(duty(RANKS[1]), 0) == "v2"
-    one = duty(RANKS[1], voters=[RANKS[1], "v1", "v2"])
+    assert sent(delegate_role(RANKS[0]), 0) == "v1" and sent(delegate_role(RANKS[1]), 0) == "v2"
+    one = delegate_role(RANKS[1], voters=[RANKS[1], "v1", "v2"])
     for n in range(20):
         assert sent(one, n * SECOND) == RANKS[1] and one.resign_if_unheard(n * SECOND) is None
 
 
 def test_without_an_ack_it_switches_collectors_at_its_first_report_after_2_5_seconds():
-    one = duty()
+    one = delegate_role()
     assert [sent(one, n * SECOND) for n in range(7)] == ["v1"] * 3 + ["v2"] * 3 + ["v3"]
     assert 2 * SECOND < COLLECTOR_ACK_TIMEOUT_NS < 3 * SECOND
 
 
 def test_a_collector_that_answers_is_kept_and_one_that_stops_is_left():
-    one = duty()
+    one = delegate_role()
     for n in range(10):
         to, report = one.make_report(n * SECOND, {})
         assert to == "v1"
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize("sender, off", [("v1", 1), ("v1", -1), ("v2", 0), (RANKS[1], 0)])
 def test_an_ack_of_another_report_or_from_another_sender_does_not_count(sender, off):
-    one = duty()
+    one = delegate_role()
     tos = []
     for n in range(4):
         to, report = one.make_report(n * SECOND, {})
@@ -262,7 +262,7 @@
 
 
 def test_an_ack_from_the_previous_collector_does_not_delay_the_next_switch():
-    one = duty()
+    one = delegate_role()
     _, report = one.make_report(0, {})
     for n in (1, 2, 3):
         assert sent(one, n * SECOND) == ("v1" if n < 3 else "v2")
@@ -271,7 +271,7 @@
 
 
 def test_after_a_minute_it_tries_its_first_collector_again():
-    one = duty()
+    one = delegate_role()
     tos = []
     for n in range(70):
         to, report = one.make_report(n * SECOND, {})
@@ -300,7 +300,7 @@
 
 
 def test_a_delegate_that_no_collector_hears_resigns_once_and_reports_nothing_for_20_seconds():
-    one = duty()
+    one = delegate_role()
     tos, resigned = played(one, 28)
     at = RESIGN_AFTER_NS // SECOND + 1
     assert resigned == [(at, DelegateResignation(RESIGNATION_NS))] and len({*tos[: at + 1]}) >= 2
@@ -309,7 +309,7 @@
 
 
 def test_a_delegate_only_by_the_view_of_others_can_resign_as_well():
-    one = duty(RANKS[5])
+    one = delegate_role(RANKS[5])
     for n in range(RESIGN_AFTER_NS // SECOND + 1):
         one.member_reported(n * SECOND, RANKS[6], told(RANKS[6], n))
         assert sent(one, n * SECOND) is not None and one.resign_if_unheard(n * SECOND) is None
@@ -319,12 +319,12 @@
 
 
 def test_one_that_a_second_collector_hears_does_not_resign():
-    tos, resigned = played(duty(), 40, hears=("v2",))
+    tos, resigned = played(delegate_role(), 40, hears=("v2",))
     assert not resigned and None not in tos
 
 
 def test_one_whose_collectors_hear_it_again_after_it_resigned_goes_on():
-    one = duty()
+    one = delegate_role()
     assert len(played(one, 8)[1]) == 1
     for n in range(40, 60):
         to, report = one.make_report(n * SECOND, {})
@@ -342,7 +342,7 @@
 
 
 def test_numbers_of_its_reports_grow_also_within_one_nanosecond():
-    one = duty()
+    one = delegate_role()
     numbers = [one.make_report(at, {})[1].number for at in (5, 5, 5, 6, REPORT_INTERVAL_NS)]
     assert numbers == sorted(set(numbers))
 
@@ -353,25 +353,25 @@
     have, the first two living ones."""
     rng = random.Random(seed)
     dead, until = set(), {}
-    duties = [duty(name, dead) for name in CELL.names]
+    roles = [delegate_role(name, dead) for name in CELL.names]
     for n in range(200):
         name = rng.choice(CELL.names)
         (dead.discard if name in dead else dead.add)(name)
         if rng.random() < 0.5:
             until[name] = n * SECOND + RESIGNATION_NS
-            for one in duties:
+            for one in roles:
                 one.delegate_resigned(n * SECOND, name, DelegateResignation(RESIGNATION_NS))
-        for one in duties:
+        for one in roles:
             living = [other for other in RANKS if other not in dead or other == one.name]
             fit = [other for other in living if until.get(other, 0) <= n * SECOND]
             assert one.delegates(n * SECOND) == (fit or living)[:2]
         if len(dead) < len(CELL.names):
-            assert any(one.is_delegate(n * SECOND) for one in duties if one.name not in dead)
+            assert any(one.is_delegate(n * SECOND) for one in roles if one.name not in dead)
 
 
 @pytest.mark.parametrize("row", [(1 << 62, 0, 0, 0), (-1, 0, 0, 0), (0, 0, 0, 1 << 41)])
 def test_a_report_with_absurd_counts_is_ignored_and_does_no_harm(row):
-    one = duty()
+    one = delegate_role()
     for name in CELL.names[1:]:
         one.member_reported(0, name, told(name, asked=(row, *NONE[1:])))
     _, report = one.make_report(SECOND, {})
@@ -384,7 +384,7 @@
     gauge = Gauge("g0-0", 1, 5, (SECOND,), TERMS, 0)
     nobody: Any = SimpleNamespace(servers={}, sessions={})
     core = Coordinator(place, gauge, lambda: nobody, PersistentState(), 1, 0, 1000)
-    _, report = duty().make_report(SECOND, {})
+    _, report = delegate_role().make_report(SECOND, {})
     other = CELLS.zones[1][1].names[0]
     core.hear(SECOND, other, replace(report, by=other))
     assert not core.cell_reports.known
--- a/tests/control/test_plays.py
+++ b/tests/control/test_plays.py
@@ -62,9 +62,9 @@
 
 def test_a_host_not_heard_recently_is_checked_before_the_set_up():
     core, viewer, play, attempt, host = host_check_pending()
-    (question,) = host.read()
-    assert question.method == "GET_PARAMETER" and attempt.stage is Stage.CHECK and not attempt.sent
-    core.session_table.received(2 * MS, attempt, host.reply(question, 501))  # a host without support for the request
+    (query,) = host.read()
+    assert query.method == "GET_PARAMETER" and attempt.stage is Stage.CHECK and not attempt.sent
+    core.session_table.received(2 * MS, attempt, host.reply(query, 501))  # a host without support for the request
     assert [r.method for r in host.read()] == ["SETUP"] and attempt.sent
     # heard just now, so the next attempt skips the check; later ones do not
     assert core.session_table.hosts.heard_recently(50 * MS, attempt.plan.server)
@@ -75,8 +75,8 @@
     core, viewer, play, attempt, host = host_check_pending(cold_ratio=0.001)
     core.roster._entries[attempt.plan.server] = entry(attempt.plan.server)  # the list says it has been up for long
     core.roster.addresses[attempt.plan.server] = attempt.plan.address
-    (question,) = host.read()
-    core.session_table.received(2 * MS, attempt, host.reply(question, 200, (("Host-Up", "boot=9; ms=20"),)))
+    (query,) = host.read()
+    core.session_table.received(2 * MS, attempt, host.reply(query, 200, (("Host-Up", "boot=9; ms=20"),)))
     assert not host.read() and attempt.outcome is OutcomeCode.MOOT and not attempt.sent
     lines = [o.event for o in core.take_io_actions() if isinstance(o, LogLine)]
     assert "host began anew" in lines
@@ -127,9 +127,9 @@
     answer_setups(core, attempt)
     expire(core, attempt)
     core.wake(4 * SECOND)
-    orders = core.take_io_actions()
-    assert viewer.answer(play).status == 504 and not starts(orders)
-    lines = [o for o in orders if isinstance(o, LogLine) and o.event != "module"]
+    actions = core.take_io_actions()
+    assert viewer.answer(play).status == 504 and not starts(actions)
+    lines = [o for o in actions if isinstance(o, LogLine) and o.event != "module"]
     assert [line.event for line in lines] == ["attempt ended", "failed"]
     assert {dict(line.fields)["ref"] for line in lines} == {1} and "X1" not in str(lines)
     # the viewer returns with the same code: it is not redeemed a second time
@@ -217,8 +217,8 @@
     core = front()
     _, _, attempt = request_session(core)
     if drained:
-        news = (entry(attempt.plan.server, state=ServerState.DRAINING),)
-        core.session_table.list_updated(MS, ServerList(ListKind.DELTA, news), {})
+        update = (entry(attempt.plan.server, state=ServerState.DRAINING),)
+        core.session_table.list_updated(MS, ServerList(ListKind.DELTA, update), {})
     assert core.session_table.connected(2 * MS, attempt) is leaves
     assert bool(attempt.out) is leaves
     if drained:
@@ -341,15 +341,15 @@
         self.out = Counter()
         self.denied = set()
 
-    def orders(self):
-        for order in self.core.take_io_actions():
-            if type(order).__name__ == "StartAttempt":
-                attempt = order.attempt
+    def run_io_actions(self):
+        for action in self.core.take_io_actions():
+            if type(action).__name__ == "StartAttempt":
+                attempt = action.attempt
                 assert not self.out[attempt.plan.ref], "two attempts out at once"
                 self.out[attempt.plan.ref] += 1
                 self.live[attempt] = None
-            elif isinstance(order, ProbeHost):
-                self.core.session_table.probed(self.now, order.server, OutcomeCode.TIMEOUT, None)
+            elif isinstance(action, ProbeHost):
+                self.core.session_table.probed(self.now, action.server, OutcomeCode.TIMEOUT, None)
 
     def close(self, attempt):
         del self.live[attempt]
@@ -415,22 +415,22 @@
             self.viewer_step()
         elif self.live:
             self.host_step()
-        self.orders()
+        self.run_io_actions()
 
     def finish(self):
         for viewer, _ in self.viewers:
             if not viewer.connection.gone:
                 self.core.rtsp_server.closed(self.now, viewer.connection)
-        self.orders()
+        self.run_io_actions()
         for _ in range(200):
             self.now += 100 * MS
             self.core.wake(self.now)
-            self.orders()
+            self.run_io_actions()
             for attempt in list(self.live):
                 if attempt.outcome is not None or self.now >= attempt.deadline:
                     self.core.session_table.expired(self.now, attempt)
                     self.close(attempt)
-                    self.orders()
+                    self.run_io_actions()
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -446,7 +446,7 @@
             if attempt.outcome is not None or attempt.stage is not Stage.OPEN and io.now >= attempt.deadline:
                 io.core.session_table.expired(io.now, attempt)
                 io.close(attempt)
-        io.orders()
+        io.run_io_actions()
     for viewer, cseq in io.plays:
         viewer.hear()
         answers = [e for e in viewer.events if getattr(e, "cseq", None) == cseq]
--- a/tests/control/test_redemption.py
+++ b/tests/control/test_redemption.py
@@ -57,12 +57,12 @@
     for code, step in steps:
         if step == "claim":
             ref += 1
-            verdict = codes.claim(code, ref)
-            if verdict is ClaimResult.REDEEM:
+            result = codes.claim(code, ref)
+            if result is ClaimResult.REDEEM:
                 assert not may_have_run.get(code)
-            if verdict in (ClaimResult.REDEEM, ClaimResult.RESUME):
+            if result in (ClaimResult.REDEEM, ClaimResult.RESUME):
                 assert code not in open_refs
-                open_refs[code] = (ref, verdict)
+                open_refs[code] = (ref, result)
         elif code in open_refs and open_refs[code][1] is ClaimResult.REDEEM and step in ("carry", "prove", "redeem"):
             if step == "carry":
                 codes.mark_sent(code)
--- a/tests/control/test_visits.py
+++ b/tests/control/test_visits.py
@@ -182,9 +182,9 @@
     core.rtsp_server.closed(MS, viewer.connection)
     other = Viewer(core)
     other.send(b"DESCRIBE rtsp://gw/" + b"x" * 9000)
-    orders = core.take_io_actions()
-    assert [o.event for o in orders if hasattr(o, "event")] == ["viewer malformed"]
-    assert any(isinstance(o, CloseViewer) for o in orders) and not core.session_table.requests
+    actions = core.take_io_actions()
+    assert [o.event for o in actions if hasattr(o, "event")] == ["viewer malformed"]
+    assert any(isinstance(o, CloseViewer) for o in actions) and not core.session_table.requests
 
 
 def test_an_idle_session_ends_and_an_active_one_goes_on():
--- a/tests/control/zones/helpers.py
+++ b/tests/control/zones/helpers.py
@@ -14,12 +14,12 @@
     return Terms(**{"prices": prices, "worths": (1.0, 4.0), "loads": (100.0, 200.0), "fronts": (2,) * n, **more})
 
 
-def view(demand, rooms, silent=(), ways=None):
+def view(demand, rooms, silent=(), path_healths=None):
     n = len(rooms)
     return PlannerInput(
         [list(row) if isinstance(row, tuple) else [row, 0.0] for row in demand],
         rooms,
-        ways or [[1.0] * n for _ in range(n)],
+        path_healths or [[1.0] * n for _ in range(n)],
         [z in silent for z in range(n)],
     )
 
--- a/tests/control/zones/test_follow.py
+++ b/tests/control/zones/test_follow.py
@@ -135,7 +135,7 @@
 
 
 def summary(
-    name, number=1, demand=(10.0, 0.0), rooms=(100.0, 100.0, 100.0), life=1, epoch=0, tried=(0, 0, 0), broke=(0, 0, 0)
+    name, number=1, demand=(10.0, 0.0), rooms=(100.0, 100.0, 100.0), life=1, epoch=0, setups=(0, 0, 0), failed=(0, 0, 0)
 ):
     return FrontSummary(
         name,
@@ -143,7 +143,7 @@
         number,
         epoch,
         demand,
-        tuple(ZoneHosts(room, 0.0, 1, 0, t, b) for room, t, b in zip(rooms, tried, broke, strict=True)),
+        tuple(ZoneHosts(room, 0.0, 1, 0, t, b) for room, t, b in zip(rooms, setups, failed, strict=True)),
     )
 
 
@@ -169,7 +169,7 @@
 def test_a_report_of_an_unknown_name_or_another_shape_is_ignored():
     facts = SummaryTable(ROSTER, terms())
     assert not facts.update(0, summary("x"))
-    assert not facts.update(0, summary("a", rooms=(1.0, 1.0), tried=(0, 0), broke=(0, 0)))
+    assert not facts.update(0, summary("a", rooms=(1.0, 1.0), setups=(0, 0), failed=(0, 0)))
     assert not facts.update(0, summary("a", demand=(1.0,)))
     assert facts.update(0, summary("a")) and not facts.update(0, summary("a"))
 
@@ -193,7 +193,7 @@
 def test_path_health_is_the_part_of_successful_set_ups_if_there_were_enough():
     facts = SummaryTable(ROSTER, terms())
     facts.update_all(
-        0, [summary("a", tried=(8, 3, 8), broke=(0, 3, 4)), summary("b", tried=(2, 1, 2), broke=(0, 1, 1))]
+        0, [summary("a", setups=(8, 3, 8), failed=(0, 3, 4)), summary("b", setups=(2, 1, 2), failed=(0, 1, 1))]
     )
     assert facts.path_healths(0)[0] == [1.0, 1.0, 0.5]
 
--- a/tests/control/zones/test_planner.py
+++ b/tests/control/zones/test_planner.py
@@ -135,16 +135,16 @@
 def test_half_a_zone_slow_moves_a_share_and_not_all():
     site = Site()
     site.until_still(view([800, 300, 300], [1000, 1000, 1000]))
-    ways = [[0.5, 1, 1], [1, 1, 1], [1, 1, 1]]
-    site.until_still(view([800, 300, 300], [1000, 1000, 1000], ways=ways))
+    path_healths = [[0.5, 1, 1], [1, 1, 1], [1, 1, 1]]
+    site.until_still(view([800, 300, 300], [1000, 1000, 1000], path_healths=path_healths))
     assert 0.4 < site.share(0, 0) < 0.7 and sum(s for _, s in site.plan.zones[0].shares[0]) > 0.95
     assert site.plan.zones[0].status is ZoneStatus.SHEDDING
 
 
 def test_a_failing_path_gets_no_new_sessions():
     site = Site()
-    ways = [[1, 0.2, 1], [1, 1, 1], [1, 1, 1]]
-    site.until_still(view([1400, 300, 300], [1000, 1000, 1000], ways=ways))
+    path_healths = [[1, 0.2, 1], [1, 1, 1], [1, 1, 1]]
+    site.until_still(view([1400, 300, 300], [1000, 1000, 1000], path_healths=path_healths))
     assert site.share(0, 1) == 0 and site.share(0, 2) > 0.2
 
 
@@ -199,8 +199,8 @@
     one = terms(4)
     site = Site(one)
     rooms, demand = [1000.0] * 4, [(0.0, 0.0)] * 4
-    for n, (wish, room, gone, known) in enumerate(course):
-        demand[n % 4], rooms[(n + seed) % 4] = wish, room
+    for n, (wanted, room, gone, known) in enumerate(course):
+        demand[n % 4], rooms[(n + seed) % 4] = wanted, room
         before = site.plan
         plan = site.step(view(demand, rooms, silent=(n % 4,) if gone else ()), 2.0, known)
         if plan is not None:
--- a/tests/control/zones/test_rollup.py
+++ b/tests/control/zones/test_rollup.py
@@ -31,8 +31,8 @@
 SILENT = terms().silent
 
 
-def summary(name, number=1, epoch=0, demand=(10.0, 0.0), room=100.0, life=1, tried=0, broke=0, hosts=1, zones=3):
-    return FrontSummary(name, life, number, epoch, demand, (ZoneHosts(room, 0.0, hosts, 0, tried, broke),) * zones)
+def summary(name, number=1, epoch=0, demand=(10.0, 0.0), room=100.0, life=1, setups=0, failed=0, hosts=1, zones=3):
+    return FrontSummary(name, life, number, epoch, demand, (ZoneHosts(room, 0.0, hosts, 0, setups, failed),) * zones)
 
 
 class Cell:
@@ -41,19 +41,19 @@
     def __init__(self, size=4, zone=0, others=()):
         self.names = [f"m{n}" for n in range(size)]
         self.zone, self.digest, self.size = zone, 7, size
-        self.books = {by: self.book() for by in ("m0", "m1", "m2")}
-        self.council = CellReportTable({(zone, 0): (7, size), **dict(others)}, terms())
+        self.aggregates = {by: self.new_aggregate() for by in ("m0", "m1", "m2")}
+        self.table = CellReportTable({(zone, 0): (7, size), **dict(others)}, terms())
 
-    def book(self):
+    def new_aggregate(self):
         return CellAggregate(self.zone, 0, self.names, self.digest, terms())
 
     def tell(self, now, only=None, to=("m0", "m1"), **more):
         for name in self.names if only is None else only:
             for by in to:
-                assert self.books[by].update(now, summary(name, now, **more))
+                assert self.aggregates[by].update(now, summary(name, now, **more))
 
     def report(self, now, by="m0", life=1, lives=None, sight=(UNASKED,) * 3):
-        return self.books[by].report(now, by, life, lives or {}, sight)
+        return self.aggregates[by].report(now, by, life, lives or {}, sight)
 
 
 # ---- sketches
@@ -107,12 +107,12 @@
         self.lives, self.numbers, self.epochs = dict.fromkeys(self.names, 1), Counter(), dict.fromkeys(self.names, 0)
         self.said = {name: [] for name in self.names}  # (when, epoch) of what any delegate heard
         shape = {key: (hash(key) % 1000, len(names)) for key, names in self.cells.items()}
-        self.books = {(key, by): self.new_book(key) for key, names in self.cells.items() for by in names[:3]}
-        self.council = [CellReportTable(shape, self.terms) for _ in range(2)]
+        self.aggregates = {(key, by): self.new_aggregate(key) for key, names in self.cells.items() for by in names[:3]}
+        self.collector_tables = [CellReportTable(shape, self.terms) for _ in range(2)]
         self.leader = CellReportTable(shape, self.terms)
-        self.flights, self.gathered = [], []
+        self.flights, self.batches = [], []
 
-    def new_book(self, key):
+    def new_aggregate(self, key):
         return CellAggregate(key[0], key[1], self.cells[key], hash(key) % 1000, self.terms)
 
     def tell(self, name, mask, up, draw):
@@ -135,7 +135,7 @@
         key = self.cell_of[name]
         heard = [by for n, by in enumerate(self.cells[key][:3]) if mask >> n & 1]
         for by in heard:
-            self.books[key, by].update(self.now, one)
+            self.aggregates[key, by].update(self.now, one)
         if heard:
             self.flat.update(self.now, one)
             self.said[name].append((self.now, one.epoch))
@@ -145,22 +145,22 @@
             (
                 self.now,
                 collector,
-                self.books[key, by].report(self.now, by, self.lives[by], {}, (UNASKED,) * self.terms.zones),
+                self.aggregates[key, by].report(self.now, by, self.lives[by], {}, (UNASKED,) * self.terms.zones),
             )
         )
 
     def deliver(self, flight):
         at, collector, report = flight
-        if self.council[collector].update(self.now, report):
+        if self.collector_tables[collector].update(self.now, report):
             self.lags[0] = max(self.lags[0], self.now - at)
 
     def gather(self, collector):
-        self.gathered += [(self.now, one) for one in self.council[collector].take_new(self.now)]
+        self.batches += [(self.now, one) for one in self.collector_tables[collector].take_new(self.now)]
 
-    def pass_on(self, gathered):
-        at, one = gathered
-        for report, lay in gathered[1].reports:
-            if self.leader.update(self.now, report, lay):
+    def pass_on(self, batch):
+        at, one = batch
+        for report, held in batch[1].reports:
+            if self.leader.update(self.now, report, held):
                 self.lags[1] = max(self.lags[1], self.now - at)
 
     def step(self, op, a, b, c):
@@ -181,23 +181,23 @@
             if self.prompt and c % 5:
                 self.deliver(self.flights[-1])
                 self.gather(c % 2)
-                for one in self.gathered[-1:]:
+                for one in self.batches[-1:]:
                     self.pass_on(one)
         elif op == "again" and self.flights:
             flight = self.flights[a % len(self.flights)]
-            known = self.council[flight[1]].known.get((flight[2].zone, flight[2].cell), {}).get(flight[2].by)
+            known = self.collector_tables[flight[1]].known.get((flight[2].zone, flight[2].cell), {}).get(flight[2].by)
             if not self.prompt or known is not None and known.report.number >= flight[2].number:
                 self.deliver(flight)
         elif op == "gather" and not self.prompt:
             self.gather(a % 2)
-        elif op == "pass on" and self.gathered:
-            self.pass_on(self.gathered[a % len(self.gathered)])
+        elif op == "pass on" and self.batches:
+            self.pass_on(self.batches[a % len(self.batches)])
         elif op == "restart" and not self.prompt:
             self.lives[name] += 1
             # it may at once adopt an older plan than it had, from a peer that lags
             self.epochs[name] = b % 2 * max(0, self.committed - c % 3)
-            if (self.cell_of[name], name) in self.books:
-                self.books[self.cell_of[name], name] = self.new_book(self.cell_of[name])
+            if (self.cell_of[name], name) in self.aggregates:
+                self.aggregates[self.cell_of[name], name] = self.new_aggregate(self.cell_of[name])
         self.check()
 
     def check(self):
@@ -229,11 +229,11 @@
         rng = random.Random(orders)
         for one in rng.sample(flights, len(flights)) + flights:
             self.deliver(one)
-        begin = len(self.gathered)
+        begin = len(self.batches)
         for collector in (1, 0):
             self.gather(collector)
-        last = self.gathered[begin:]
-        for one in rng.sample(last, len(last)) + self.gathered:
+        last = self.batches[begin:]
+        for one in rng.sample(last, len(last)) + self.batches:
             self.pass_on(one)
 
 
@@ -326,12 +326,12 @@
             (ZoneAggregate(room, 9, number, 0, 0, 0, 0),) * 3,
         )
 
-    events = [(report(by, life, number), lay * SECOND) for by, life, number, lay in drawn]
+    events = [(report(by, life, number), held * SECOND) for by, life, number, held in drawn]
     found = []
     for order in (events, events[::-1], events + events, rng.sample(events, len(events)) + events[::2]):
         facts = CellReportTable({(0, 0): (7, 4)}, terms())
-        for one, lay in order:
-            facts.update(20 * SECOND, one, lay)
+        for one, held in order:
+            facts.update(20 * SECOND, one, held)
         now = 21 * SECOND
         found.append(
             (
@@ -352,13 +352,15 @@
 
 def test_an_aggregate_keeps_the_newest_of_each_member_and_rejects_figures_out_of_range():
     cell = Cell()
-    book = cell.books["m0"]
+    aggregate = cell.aggregates["m0"]
     assert (
-        book.update(0, summary("m1", 5)) and not book.update(0, summary("m1", 5)) and not book.update(0, summary("m1"))
+        aggregate.update(0, summary("m1", 5))
+        and not aggregate.update(0, summary("m1", 5))
+        and not aggregate.update(0, summary("m1"))
     )
-    assert book.update(0, summary("m1", 1, life=2)) and not book.update(0, summary("m1", 9))
-    assert not book.update(0, summary("x"))
-    assert not book.update(0, summary("m2", zones=2)) and not book.update(0, summary("m2", demand=(1.0,)))
+    assert aggregate.update(0, summary("m1", 1, life=2)) and not aggregate.update(0, summary("m1", 9))
+    assert not aggregate.update(0, summary("x"))
+    assert not aggregate.update(0, summary("m2", zones=2)) and not aggregate.update(0, summary("m2", demand=(1.0,)))
     for wrong in (
         {"demand": (-1.0, 0.0)},
         {"demand": (1e300, 0.0)},
@@ -368,16 +370,16 @@
         {"epoch": 1 << 62},
         {"life": 1 << 62},
         {"number": 1 << 62},
-        {"tried": 1 << 62},
-        {"tried": 1, "broke": 2},
+        {"setups": 1 << 62},
+        {"setups": 1, "failed": 2},
     ):
-        assert not book.update(0, summary("m2", **wrong)), wrong
+        assert not aggregate.update(0, summary("m2", **wrong)), wrong
     assert cell.report(SECOND).heard == 1
 
 
 def test_a_report_says_of_a_cell_what_its_members_say_together():
     cell = Cell()
-    cell.tell(0, ["m0", "m1"], epoch=4, room=30.0, tried=3, broke=1)
+    cell.tell(0, ["m0", "m1"], epoch=4, room=30.0, setups=3, failed=1)
     cell.tell(SECOND, ["m2"], epoch=6, room=50.0, demand=(1.0, 2.0))
     found = cell.report(3 * SECOND, lives={"m3": 2, "m1": 1, "x": 3}, sight=((0,) * 4, (9, 8, 7, 6), (0,) * 4))
     assert (found.heard, found.epoch, found.age, found.demand) == (3, 0, 3 * SECOND, (21.0, 2.0))
@@ -388,7 +390,7 @@
     assert (whole.heard, whole.epoch) == (4, 4) and whole.zones == replace(
         found, zones=tuple(replace(z, probed=0, answered=0, heard=0, late=0) for z in found.zones)
     ).zones
-    assert cell.council.update(3 * SECOND, found) and cell.council.update(3 * SECOND, whole)
+    assert cell.table.update(3 * SECOND, found) and cell.table.update(3 * SECOND, whole)
 
 
 def test_a_member_that_fell_silent_leaves_the_sums_and_takes_the_epoch_with_it():
@@ -404,10 +406,10 @@
     """After a roster changed and changed back, or a delegate resigned for a while."""
     cell = Cell()
     cell.tell(0, epoch=4)
-    assert cell.council.update(SECOND, cell.report(SECOND)) and cell.council.update(SECOND, cell.report(SECOND))
-    cell.books["m0"] = cell.book()
+    assert cell.table.update(SECOND, cell.report(SECOND)) and cell.table.update(SECOND, cell.report(SECOND))
+    cell.aggregates["m0"] = cell.new_aggregate()
     cell.tell(2 * SECOND, to=["m0"], epoch=5)
-    assert cell.council.update(2 * SECOND, cell.report(2 * SECOND)) and cell.council.oldest_epochs(2 * SECOND)[0] == 5
+    assert cell.table.update(2 * SECOND, cell.report(2 * SECOND)) and cell.table.oldest_epochs(2 * SECOND)[0] == 5
 
 
 def test_a_cell_of_more_names_than_a_mask_holds_is_refused():
@@ -425,9 +427,9 @@
     cell.tell(0, ["m0", "m1", "m2", "m3"], to=["m0"], epoch=4)
     cell.tell(0, ["m3", "m4", "m5"], to=["m1"], epoch=4)
     for by in ("m0", "m1"):
-        assert cell.council.update(0, cell.report(0, by))
-    assert cell.council.oldest_epochs(0)[0] == 0
-    assert cell.council.demand(0)[0] == [40.0, 0.0] and cell.council.state_counts(0)[0] == (6, 0, 0, 0, 2)
+        assert cell.table.update(0, cell.report(0, by))
+    assert cell.table.oldest_epochs(0)[0] == 0
+    assert cell.table.demand(0)[0] == [40.0, 0.0] and cell.table.state_counts(0)[0] == (6, 0, 0, 0, 2)
 
 
 def test_a_report_of_another_roster_counts_as_not_heard():
@@ -441,12 +443,15 @@
         after.oldest_epochs(0)[0] == 0 and after.silence(0, 0) == NEVER and after.state_counts(0)[0] == (6, 0, 0, 0, 6)
     )
     assert not after.update(0, replace(old, cell=2)) and not after.update(0, replace(old, zone=4))
-    books = [CellAggregate(0, 0, ["m0", "m1", "m3"], 8, terms()), CellAggregate(0, 1, ["m2", "n0", "n1"], 9, terms())]
-    for n, book in enumerate(books):
-        for name in book.names:
-            book.update(0, summary(name, epoch=4 - n))
+    aggregates = [
+        CellAggregate(0, 0, ["m0", "m1", "m3"], 8, terms()),
+        CellAggregate(0, 1, ["m2", "n0", "n1"], 9, terms()),
+    ]
+    for n, aggregate in enumerate(aggregates):
+        for name in aggregate.names:
+            aggregate.update(0, summary(name, epoch=4 - n))
         assert after.oldest_epochs(0)[0] == 0  # half of it is not heard
-        assert after.update(0, book.report(0, book.names[0], 1, {}, (UNASKED,) * 3))
+        assert after.update(0, aggregate.report(0, aggregate.names[0], 1, {}, (UNASKED,) * 3))
     assert after.oldest_epochs(0)[0] == 3
 
 
@@ -455,54 +460,52 @@
     cell.tell(0, epoch=4)
     first = cell.report(0)
     cell.tell(SECOND, epoch=5, demand=(20.0, 0.0))
-    second, council = cell.report(SECOND), cell.council
-    assert council.update(SECOND, second)
-    assert not council.update(SECOND, second) and not council.update(SECOND, first)
-    assert council.oldest_epochs(SECOND)[0] == 5 and council.demand(SECOND)[0] == [80.0, 0.0]
+    second, table = cell.report(SECOND), cell.table
+    assert table.update(SECOND, second)
+    assert not table.update(SECOND, second) and not table.update(SECOND, first)
+    assert table.oldest_epochs(SECOND)[0] == 5 and table.demand(SECOND)[0] == [80.0, 0.0]
     reborn = replace(first, life=2, number=1, heard=3, epoch=0)
-    assert council.update(2 * SECOND, reborn) and not council.update(2 * SECOND, replace(second, number=1 << 50))
-    assert council.oldest_epochs(2 * SECOND)[0] == 0
+    assert table.update(2 * SECOND, reborn) and not table.update(2 * SECOND, replace(second, number=1 << 50))
+    assert table.oldest_epochs(2 * SECOND)[0] == 0
 
 
 def test_a_delegate_that_dies_before_it_passes_a_report_on_is_replaced_by_what_the_other_heard():
     cell = Cell()
     cell.tell(0, epoch=4)
     for by in ("m0", "m1"):
-        cell.council.update(0, cell.report(0, by))
+        cell.table.update(0, cell.report(0, by))
     cell.tell(SECOND, epoch=5, demand=(20.0, 0.0))  # m0 takes these and dies
-    assert cell.council.update(SECOND, cell.report(SECOND, "m1"))
-    assert cell.council.oldest_epochs(SECOND)[0] == 5 and cell.council.demand(SECOND)[0] == [80.0, 0.0]
+    assert cell.table.update(SECOND, cell.report(SECOND, "m1"))
+    assert cell.table.oldest_epochs(SECOND)[0] == 5 and cell.table.demand(SECOND)[0] == [80.0, 0.0]
 
 
 def test_what_only_a_dead_delegate_heard_counts_until_it_is_too_old_and_then_as_nothing():
     cell = Cell()
     cell.tell(0, epoch=4, to=["m0"])
-    cell.council.update(2 * SECOND, cell.report(2 * SECOND))
+    cell.table.update(2 * SECOND, cell.report(2 * SECOND))
     for now in (3 * SECOND, 9 * SECOND, SILENT + 2 * SECOND):
         cell.tell(now, ["m1", "m2"], to=["m1"], epoch=9)
-        cell.council.update(now, cell.report(now, "m1"))
-        assert cell.council.oldest_epochs(now)[0] == (4 if now <= SILENT else 0)
-    assert cell.council.demand(9 * SECOND)[0] == [20.0, 0.0]  # who is left is behind by two, not everybody by seconds
+        cell.table.update(now, cell.report(now, "m1"))
+        assert cell.table.oldest_epochs(now)[0] == (4 if now <= SILENT else 0)
+    assert cell.table.demand(9 * SECOND)[0] == [20.0, 0.0]  # who is left is behind by two, not everybody by seconds
 
 
 def test_a_report_counts_as_as_old_as_its_oldest_word_however_long_it_lay_and_where():
     cell = Cell()
     cell.tell(0, ["m0"], epoch=4)
     cell.tell(3 * SECOND, ["m1", "m2", "m3"], epoch=4)
-    first = CellReportTable(cell.council.cells, terms())
+    first = CellReportTable(cell.table.cells, terms())
     first.update(4 * SECOND, cell.report(4 * SECOND), 0)
-    ((report, lay),) = first.take_new(6 * SECOND)[0].reports
-    assert (report.age, lay) == (4 * SECOND, 2 * SECOND)
-    cell.council.update(7 * SECOND, report, lay)  # a second in a socket, which nobody counts
-    assert cell.council.silence(7 * SECOND, 0) == 2 * SECOND
-    ((_, lay),) = cell.council.take_new(9 * SECOND)[0].reports
-    assert lay == 4 * SECOND
-    assert (
-        cell.council.oldest_epochs(SILENT + SECOND)[0] == 4 and cell.council.oldest_epochs(SILENT + SECOND + 1)[0] == 0
-    )
+    ((report, held),) = first.take_new(6 * SECOND)[0].reports
+    assert (report.age, held) == (4 * SECOND, 2 * SECOND)
+    cell.table.update(7 * SECOND, report, held)  # a second in a socket, which nobody counts
+    assert cell.table.silence(7 * SECOND, 0) == 2 * SECOND
+    ((_, held),) = cell.table.take_new(9 * SECOND)[0].reports
+    assert held == 4 * SECOND
+    assert cell.table.oldest_epochs(SILENT + SECOND)[0] == 4 and cell.table.oldest_epochs(SILENT + SECOND + 1)[0] == 0
     # its sums count until the report itself is too old: one silent member does not hide the others
-    assert cell.council.demand(SILENT + 5 * SECOND)[0] == [40.0, 0.0]
-    assert cell.council.demand(SILENT + 5 * SECOND + 1)[0] == [0.0, 0.0]
+    assert cell.table.demand(SILENT + 5 * SECOND)[0] == [40.0, 0.0]
+    assert cell.table.demand(SILENT + 5 * SECOND + 1)[0] == [0.0, 0.0]
 
 
 def test_of_two_proofs_the_younger_counts_since_a_front_may_have_restarted():
@@ -512,25 +515,22 @@
     cell.tell(4 * SECOND, ["m0", "m1", "m2"], epoch=5)
     cell.tell(4 * SECOND, ["m3"], to=["m0"], epoch=4, life=2)
     for by in ("m0", "m1"):
-        cell.council.update(4 * SECOND, cell.report(4 * SECOND, by))
-    assert cell.council.oldest_epochs(4 * SECOND)[0] == 4
-    assert (
-        cell.council.update(5 * SECOND, cell.report(5 * SECOND, "m1"))
-        and cell.council.oldest_epochs(5 * SECOND)[0] == 4
-    )
+        cell.table.update(4 * SECOND, cell.report(4 * SECOND, by))
+    assert cell.table.oldest_epochs(4 * SECOND)[0] == 4
+    assert cell.table.update(5 * SECOND, cell.report(5 * SECOND, "m1")) and cell.table.oldest_epochs(5 * SECOND)[0] == 4
 
 
 def test_a_report_that_heard_more_but_is_old_does_not_outweigh_who_goes_on_reporting():
     """m0 died after its last report; m3 died earlier, and m1 no longer counts it."""
     cell = Cell()
     cell.tell(0)
-    cell.council.update(0, cell.report(0, "m0"))
+    cell.table.update(0, cell.report(0, "m0"))
     cell.tell(SECOND, ["m1", "m2"], to=["m1"], demand=(70.0, 0.0))
-    cell.books["m1"].summaries.known.pop("m3")
+    cell.aggregates["m1"].summaries.known.pop("m3")
     for now in (SECOND, 2 * SECOND, SAME_TIME_NS, SAME_TIME_NS + 1):
-        cell.council.update(now, cell.report(now, "m1"))
-        assert cell.council.current(now)[0, 0].by == ("m0" if now <= SAME_TIME_NS else "m1")
-    assert cell.council.demand(SAME_TIME_NS + 1)[0] == [150.0, 0.0]
+        cell.table.update(now, cell.report(now, "m1"))
+        assert cell.table.current(now)[0, 0].by == ("m0" if now <= SAME_TIME_NS else "m1")
+    assert cell.table.demand(SAME_TIME_NS + 1)[0] == [150.0, 0.0]
 
 
 def test_a_delegate_that_has_just_begun_does_not_empty_its_cell():
@@ -538,28 +538,28 @@
     cell = Cell(8)
     cell.tell(0)
     for by in ("m0", "m1"):
-        cell.council.update(0, cell.report(0, by))
+        cell.table.update(0, cell.report(0, by))
     now = 5 * SECOND
     for heard, rolled in ((["m2"], 80.0), (["m3", "m4"], 80.0), (["m5"], 280.0), (["m6", "m7"], 420.0)):
         cell.tell(now, heard, to=["m2"], demand=(70.0, 0.0))
-        cell.council.update(now, cell.report(now, "m2", lives={"m0": 2, "m1": 2}))
-        assert cell.council.demand(now)[0][0] == rolled and cell.council.state_counts(now)[0][2] == 2
+        cell.table.update(now, cell.report(now, "m2", lives={"m0": 2, "m1": 2}))
+        assert cell.table.demand(now)[0][0] == rolled and cell.table.state_counts(now)[0][2] == 2
         now += SECOND
 
 
 def test_what_was_read_at_one_time_is_read_anew_once_there_is_more():
     cell = Cell()
     cell.tell(0)
-    assert cell.council.demand(0)[0] == [0.0, 0.0]
-    cell.council.update(0, cell.report(0))
-    assert cell.council.demand(0)[0] == [40.0, 0.0] and cell.council.demand(SILENT + 1)[0] == [0.0, 0.0]
-    assert cell.council.demand(0)[0] == [40.0, 0.0]
-    cell.council.update(0, cell.report(0), 2 * SILENT)  # the same by another route: it is older than assumed
-    assert cell.council.demand(0)[0] == [0.0, 0.0]
-    cell.council.update(0, cell.report(0))
-    assert cell.council.demand(0)[0] == [40.0, 0.0]
-    cell.council.clear()
-    assert cell.council.demand(0)[0] == [0.0, 0.0]
+    assert cell.table.demand(0)[0] == [0.0, 0.0]
+    cell.table.update(0, cell.report(0))
+    assert cell.table.demand(0)[0] == [40.0, 0.0] and cell.table.demand(SILENT + 1)[0] == [0.0, 0.0]
+    assert cell.table.demand(0)[0] == [40.0, 0.0]
+    cell.table.update(0, cell.report(0), 2 * SILENT)  # the same by another route: it is older than assumed
+    assert cell.table.demand(0)[0] == [0.0, 0.0]
+    cell.table.update(0, cell.report(0))
+    assert cell.table.demand(0)[0] == [40.0, 0.0]
+    cell.table.clear()
+    assert cell.table.demand(0)[0] == [0.0, 0.0]
 
 
 def test_no_more_than_a_few_delegates_of_a_cell_are_kept_and_the_oldest_learned_falls_out():
@@ -567,9 +567,9 @@
     cell.tell(0, epoch=4)
     one = cell.report(0)
     for n in range(MAX_REPORTERS + 2):
-        assert cell.council.update(n * SECOND, replace(one, by=f"d{n}"))
-    assert sorted(cell.council.known[0, 0]) == ["d2", "d3", "d4", "d5"]
-    assert [r.by for r, _ in cell.council.take_new(6 * SECOND)[0].reports] == ["d2", "d3", "d4", "d5"]
+        assert cell.table.update(n * SECOND, replace(one, by=f"d{n}"))
+    assert sorted(cell.table.known[0, 0]) == ["d2", "d3", "d4", "d5"]
+    assert [r.by for r, _ in cell.table.take_new(6 * SECOND)[0].reports] == ["d2", "d3", "d4", "d5"]
 
 
 @pytest.mark.parametrize(
@@ -597,8 +597,8 @@
 def test_a_report_that_no_cell_of_this_site_can_make_is_ignored(more):
     cell = Cell()
     cell.tell(0, epoch=4)
-    assert not cell.council.update(0, replace(cell.report(0), **more))
-    assert cell.council.oldest_epochs(0)[0] == 0 and cell.council.take_new(0) == []
+    assert not cell.table.update(0, replace(cell.report(0), **more))
+    assert cell.table.oldest_epochs(0)[0] == 0 and cell.table.take_new(0) == []
 
 
 @pytest.mark.parametrize(
@@ -624,32 +624,32 @@
     cell = Cell()
     cell.tell(0, epoch=4)
     report = cell.report(0)
-    assert cell.council.update(0, report)
+    assert cell.table.update(0, report)
     wrong = replace(report, number=9, zones=(replace(report.zones[0], **more), *report.zones[1:]))
-    assert not cell.council.update(0, wrong) and not cell.council.update(0, replace(wrong, zones=report.zones[:2]))
+    assert not cell.table.update(0, wrong) and not cell.table.update(0, replace(wrong, zones=report.zones[:2]))
 
 
 def test_a_report_with_an_impossible_held_time_is_ignored():
     cell = Cell()
     cell.tell(0, epoch=4)
     report = cell.report(0)
-    assert not cell.council.update(0, report, -1) and not cell.council.update(0, report, 1 << 60)
-    assert cell.council.update(0, report, (1 << 60) - 1) and cell.council.oldest_epochs(0)[0] == 0
+    assert not cell.table.update(0, report, -1) and not cell.table.update(0, report, 1 << 60)
+    assert cell.table.update(0, report, (1 << 60) - 1) and cell.table.oldest_epochs(0)[0] == 0
 
 
 # ---- evaluation of zones
 
 
 def test_own_cells_say_what_room_a_zone_has_and_all_others_where_it_has_none_that_reports():
-    council = CellReportTable({(z, 0): (7, 3) for z in range(3)}, terms())
+    table = CellReportTable({(z, 0): (7, 3) for z in range(3)}, terms())
     for z, rooms in ((0, (100.0, 50.0, 80.0)), (1, (10.0, 90.0, 80.0))):
-        book = CellAggregate(z, 0, ["a", "b", "c"], 7, terms())
-        book.update(
+        aggregate = CellAggregate(z, 0, ["a", "b", "c"], 7, terms())
+        aggregate.update(
             0, FrontSummary("a", 1, 1, 1, (1.0, 0.0), tuple(ZoneHosts(room, 0.0, 1, 0, 8, z) for room in rooms))
         )
-        council.update(0, book.report(0, "a", 1, {}, (UNASKED,) * 3))
-    assert council.rooms(0) == [100.0, 90.0, 80.0] and council.path_healths(0)[1] == [0.875] * 3
-    assert council.path_healths(0)[2] == [1.0] * 3 and council.rooms(SILENT + 1) == [0.0] * 3
+        table.update(0, aggregate.report(0, "a", 1, {}, (UNASKED,) * 3))
+    assert table.rooms(0) == [100.0, 90.0, 80.0] and table.path_healths(0)[1] == [0.875] * 3
+    assert table.path_healths(0)[2] == [1.0] * 3 and table.rooms(SILENT + 1) == [0.0] * 3
 
 
 def asked(zone, asked, reached, heard=4, by="m0", number=1):
@@ -658,45 +658,45 @@
 
 
 def test_a_zone_is_unreached_only_where_all_that_asked_it_got_no_answer():
-    def council(*reports):
+    def table(*reports):
         found = CellReportTable({(z, 0): (7, 4) for z in range(3)}, terms())
         for one in reports:
             assert found.update(0, one)
         return found
 
-    lost = council(asked(1, 4, 0), asked(2, 2, 0))
+    lost = table(asked(1, 4, 0), asked(2, 2, 0))
     assert lost.unreachable(0) == [True, False, False] and lost.silence(0, 0) == NEVER and lost.silence(0, 1) == 0
     assert (
         lost.unreachable(REACHABILITY_MAX_AGE_NS) == [True, False, False]
         and lost.unreachable(REACHABILITY_MAX_AGE_NS + 1) == [False] * 3
     )
-    assert council(asked(1, 40, 0), asked(2, 40, 1)).unreachable(0) == [False] * 3  # one bad link, or one bad contact
-    assert council(asked(1, 5, 0)).unreachable(0) == [False] * 3 and council().unreachable(0) == [False] * 3
-    assert council(asked(1, MIN_UNANSWERED_PROBES, 0)).unreachable(0)[0]
+    assert table(asked(1, 40, 0), asked(2, 40, 1)).unreachable(0) == [False] * 3  # one bad link, or one bad contact
+    assert table(asked(1, 5, 0)).unreachable(0) == [False] * 3 and table().unreachable(0) == [False] * 3
+    assert table(asked(1, MIN_UNANSWERED_PROBES, 0)).unreachable(0)[0]
     # a zone's own counts say nothing about who reaches it
-    assert council(asked(0, 40, 40), asked(1, 6, 0)).unreachable(0)[0]
-    assert not council(asked(0, 40, 0)).unreachable(0)[0]
+    assert table(asked(0, 40, 40), asked(1, 6, 0)).unreachable(0)[0]
+    assert not table(asked(0, 40, 0)).unreachable(0)[0]
     # an older report, from before the loss, does not count beside the newer one
-    two = council(asked(1, 40, 40, by="m1"))
+    two = table(asked(1, 40, 40, by="m1"))
     assert two.update(SAME_TIME_NS + 1, asked(1, 40, 0)) and two.unreachable(SAME_TIME_NS + 1)[0]
 
 
 def test_in_a_small_site_as_many_questions_as_there_can_be_are_enough():
-    council = CellReportTable({(z, 0): (7, 1) for z in range(3)}, terms())
+    table = CellReportTable({(z, 0): (7, 1) for z in range(3)}, terms())
     for z in (1, 2):
-        council.update(0, asked(z, 1, 0, heard=1))
-    assert council.unreachable(0) == [True, False, False]
+        table.update(0, asked(z, 1, 0, heard=1))
+    assert table.unreachable(0) == [True, False, False]
 
 
 def test_lives_are_counted_by_zone_with_those_that_were_not_heard():
     cell = Cell(others={(0, 1): (9, 5), (2, 0): (3, 2)}.items())
     cell.tell(0, ["m0", "m1"])
-    cell.council.update(0, cell.report(0, lives={"m1": 1, "m2": 2, "m3": 3}))
-    assert cell.council.state_counts(0) == [(9, 1, 1, 1, 7), (0, 0, 0, 0, 0), (2, 0, 0, 0, 2)]
-    assert cell.council.state_counts(SILENT + 1)[0] == (9, 0, 0, 0, 9)
-    cell.council.clear()
-    assert cell.council.state_counts(0)[0] == (9, 0, 0, 0, 9) and cell.council.take_new(0) == []
-    assert cell.council.silence(0, 0) == NEVER and cell.council.oldest_epochs(0) == [0, 1 << 60, 0]
+    cell.table.update(0, cell.report(0, lives={"m1": 1, "m2": 2, "m3": 3}))
+    assert cell.table.state_counts(0) == [(9, 1, 1, 1, 7), (0, 0, 0, 0, 0), (2, 0, 0, 0, 2)]
+    assert cell.table.state_counts(SILENT + 1)[0] == (9, 0, 0, 0, 9)
+    cell.table.clear()
+    assert cell.table.state_counts(0)[0] == (9, 0, 0, 0, 9) and cell.table.take_new(0) == []
+    assert cell.table.silence(0, 0) == NEVER and cell.table.oldest_epochs(0) == [0, 1 << 60, 0]
 
 
 # ---- forwarding, frames
@@ -707,22 +707,22 @@
     cell.tell(0, epoch=4)
     for now in (0, SECOND):
         for by in ("m1", "m0"):
-            cell.council.update(now, cell.report(now, by))
-    (found,) = cell.council.take_new(2 * SECOND)
-    assert [(r.by, r.number, lay) for r, lay in found.reports] == [("m0", SECOND, SECOND), ("m1", SECOND, SECOND)]
-    assert cell.council.take_new(2 * SECOND) == []
-    cell.council.update(2 * SECOND, cell.report(2 * SECOND))
-    assert [r.by for one in cell.council.take_new(2 * SECOND) for r, _ in one.reports] == ["m0"]
-    cell.council.update(3 * SECOND, cell.report(3 * SECOND))
-    assert cell.council.take_new(3 * SECOND + SILENT + 1) == []  # nobody counts it any more
+            cell.table.update(now, cell.report(now, by))
+    (found,) = cell.table.take_new(2 * SECOND)
+    assert [(r.by, r.number, held) for r, held in found.reports] == [("m0", SECOND, SECOND), ("m1", SECOND, SECOND)]
+    assert cell.table.take_new(2 * SECOND) == []
+    cell.table.update(2 * SECOND, cell.report(2 * SECOND))
+    assert [r.by for one in cell.table.take_new(2 * SECOND) for r, _ in one.reports] == ["m0"]
+    cell.table.update(3 * SECOND, cell.report(3 * SECOND))
+    assert cell.table.take_new(3 * SECOND + SILENT + 1) == []  # nobody counts it any more
 
 
 def full(size=24, zones=5, name="gateway-{:04d}.zone-0"):
     """The report of a cell whose fronts all report different rooms everywhere."""
     rng, names = random.Random(3), [name.format(n) for n in range(size)]
-    book = CellAggregate(0, 0, names, (1 << 62) + 1, terms(zones))
+    aggregate = CellAggregate(0, 0, names, (1 << 62) + 1, terms(zones))
     for n, one in enumerate(names):
-        assert book.update(
+        assert aggregate.update(
             1000 * SECOND - n,
             FrontSummary(
                 one,
@@ -733,7 +733,9 @@
                 tuple(ZoneHosts(rng.random() * 1e6, 1.0, 40, 0, 300, 7) for _ in range(zones)),
             ),
         )
-    return book.report(1001 * SECOND, names[3], 1764650000000, {names[0]: 1, names[-1]: 2}, ((72, 70, 71, 3),) * zones)
+    return aggregate.report(
+        1001 * SECOND, names[3], 1764650000000, {names[0]: 1, names[-1]: 2}, ((72, 70, 71, 3),) * zones
+    )
 
 
 def test_reports_go_through_frames_and_back():
@@ -751,9 +753,9 @@
 @pytest.mark.parametrize(("zones", "name", "cells"), [(5, "{}", 700), (64, "{:060d}", 120)])
 def test_what_is_passed_on_is_split_so_that_each_frame_stays_far_below_the_bound(zones, name, cells):
     report = full(30, zones, name)
-    council = CellReportTable({(0, n): (report.digest, 30) for n in range(cells)}, terms(zones))
+    table = CellReportTable({(0, n): (report.digest, 30) for n in range(cells)}, terms(zones))
     for n in range(cells):
-        assert council.update(0, replace(report, cell=n))
-    found = council.take_new(SILENT)
+        assert table.update(0, replace(report, cell=n))
+    found = table.take_new(SILENT)
     assert len(found) > 1 and all(len(CODEC.body(one)) <= MAX_BATCH_BYTES for one in found)
     assert sorted(r.cell for one in found for r, _ in one.reports) == list(range(cells))
--- a/tests/gateway/peers/test_neighbours.py
+++ b/tests/gateway/peers/test_neighbours.py
@@ -30,7 +30,7 @@
         self.network = MemoryNetwork(seed=5)
         self.addresses = {name: f"127.0.0.1:{7000 + n}" for n, name in enumerate(NAMES)}
         self.plates = {name: Plate() for name in NAMES}
-        self.lines, self.ways, self.running, self.scopes = [], {}, {}, {}
+        self.lines, self.allocations, self.running, self.scopes = [], {}, {}, {}
         self.lives = 0
         server = {
             z: SimpleNamespace(
@@ -46,14 +46,16 @@
     async def start(self, nursery, name):
         self.lives += 1
         place = CoordinatorConfig.of(name, CellMap(ROSTER, 3), NAMES, NAMES, TERMS)
-        hood = PeerSettings(place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name]))
+        peer_settings = PeerSettings(
+            place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name])
+        )
         gauge = Gauge(name, self.lives, 3, (SECOND,), TERMS, now())
         made = PeerService(
-            hood,
+            peer_settings,
             gauge,
             lambda: self.controller,
             self.network,
-            lambda ways: self.ways.__setitem__(name, ways),
+            lambda allocations: self.allocations.__setitem__(name, allocations),
             lambda event, fields: self.lines.append((name, event, dict(fields))),
             random.Random(self.lives),
             1000 + self.lives,
@@ -99,7 +101,7 @@
         epochs = {one.coordinator.plan.epoch for one in world.running.values()}
         assert len(epochs) == 1
         assert all(
-            world.ways[name].caps[n] is None and sum(c or 0 for c in world.ways[name].caps) > 0
+            world.allocations[name].caps[n] is None and sum(c or 0 for c in world.allocations[name].caps) > 0
             for n, name in enumerate(NAMES)
         )
 
@@ -147,18 +149,21 @@
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
         world.plates[name].full = 0
-        common = world.running[name].coordinator
-        common.council._set_term(common.council.term + 1, "")  # something that has to become durable
+        coordinator = world.running[name].coordinator
+        coordinator.council._set_term(coordinator.council.term + 1, "")  # something that has to become durable
         for _ in range(2):  # the first ones are taken by the durable task, which then waits for the disk
             for _ in range(4 * MAX_PENDING_WRITES):
-                common.hear(now(), "a" if name != "a" else "b", FetchRequest(0))
-            assert common.disk_behind and len(common._durable_actions) < MAX_PENDING_WRITES + 10
+                coordinator.hear(now(), "a" if name != "a" else "b", FetchRequest(0))
+            assert coordinator.disk_behind and len(coordinator._durable_actions) < MAX_PENDING_WRITES + 10
             await trio.sleep(15)
-        assert common.disk_behind
+        assert coordinator.disk_behind
         world.plates[name].full = None
         await trio.sleep(12)
-        assert len(common._durable_actions) < 10 and common.plan == world.running[world.leader()].coordinator.plan
-        assert not common.disk_behind and common.council.leader == world.leader()
+        assert (
+            len(coordinator._durable_actions) < 10
+            and coordinator.plan == world.running[world.leader()].coordinator.plan
+        )
+        assert not coordinator.disk_behind and coordinator.council.leader == world.leader()
 
     play(test)
 
@@ -173,7 +178,7 @@
         world.running[name].coordinator.members.wake = wrong
         await trio.sleep(5)
         assert "planted" in world.events(name, "defect")[0]["error"]
-        assert [c for c in world.ways[name].caps if c] == []
+        assert [c for c in world.allocations[name].caps if c] == []
         await trio.sleep(5)
         assert world.leader()
 
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -378,10 +378,10 @@
         wall = MemoryDisk.wall
         scenario.disk.wall = lambda: wall(scenario.disk) + jump
         await scenario.restart()
-        book = scenario.gateway.gateway._store.book
-        assert 0 <= book.state.service_time < 2 * 3600 * 10**9
+        writer = scenario.gateway.gateway._store.book
+        assert 0 <= writer.state.service_time < 2 * 3600 * 10**9
         await trio.sleep(61)
-        assert len(book.state.codes) == 1
+        assert len(writer.state.codes) == 1
         assert await scenario.ask() == 200
 
     assert check_rules(run(body)) == 1
@@ -426,10 +426,10 @@
         for n in range(6):
             await scenario.ask(f"?code=many{n}")
         for operation in (2, 4, 1, 5):
-            book = scenario.gateway.gateway._store.book
+            writer = scenario.gateway.gateway._store.book
             scenario.disk.operations, scenario.disk.crash_at = 0, operation
             crashed = scenario.disk.crashed
-            book.compact()
+            writer.compact()
             scenario.gateway.gateway._store.notify()
             with trio.move_on_after(1):
                 await crashed.wait()
--- a/tests/protocol/node/test_fleet.py
+++ b/tests/protocol/node/test_fleet.py
@@ -93,9 +93,9 @@
     )
     assert first.kind == ListKind.CACHED and [e.state for e in first.entries] == [ServerState.READY, 2]
     assert fleet.update(1, (line("a"),)) is None and fleet.update(0, ()) is None
-    news = fleet.update(4, (line("a", started=5), line("c"), line("d")))
-    assert news is not None and news.kind == ListKind.DELTA
-    assert [(e.server, e.state, e.started) for e in news.entries] == [(0, 1, 5_000_000 - 1_000), (2, 1, 0), (3, 1, 0)]
+    update = fleet.update(4, (line("a", started=5), line("c"), line("d")))
+    assert update is not None and update.kind == ListKind.DELTA
+    assert [(e.server, e.state, e.started) for e in update.entries] == [(0, 1, 5_000_000 - 1_000), (2, 1, 0), (3, 1, 0)]
     gone = fleet.update(5, (line("d"),))
     assert gone is not None and [(e.server, e.state) for e in gone.entries] == [(0, 0), (2, 0)]
     assert fleet.update(6, (line("d"),)) is None and fleet.serial == 6
