--- a/copperyard/__init__.py
+++ b/copperyard/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a session controller for streamed video."""
+"""A session controller for streamed video: its decisions, gateways and lab."""
--- a/copperyard/cli/__init__.py
+++ b/copperyard/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The `copperyard` command line."""
--- a/copperyard/cli/common.py
+++ b/copperyard/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: settings from a file, times with units, ending on a signal."""
+"""Shared by all commands: settings from a file, times with units, ending on a signal."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 from ..config import BadSettings, Site, load
 
-Settings = Annotated[Path, typer.Argument(help="The site's settings, XML.")]
-Form = Annotated[str, typer.Option("--log", help="json or console.")]
-_UNITS = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
+SettingsPath = Annotated[Path, typer.Argument(help="The site's settings, XML.")]
+LogFormat = Annotated[str, typer.Option("--log", help="json or console.")]
+_SECONDS_BY_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 
 
-def site_of(path: Path) -> Site:
+def load_site(path: Path) -> Site:
+    """Load settings; on an error print it and exit with status 2."""
     try:
         return load(str(path))
     except BadSettings as error:
@@ -29,35 +30,36 @@
     raise typer.Exit(2)
 
 
-def seconds(text: str | None) -> float:
+def parse_seconds(text: str | None) -> float:
+    """Return a time with a unit in seconds, infinity for None."""
     if text is None:
         return float("inf")
     found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(ms|s|min|h)", text)
     if not found:
         raise typer.BadParameter(f"'{text}' is not a number and ms, s, min or h")
-    return float(found[1]) * _UNITS[found[2]]
+    return float(found[1]) * _SECONDS_BY_UNIT[found[2]]
 
 
-async def until_told(
+async def wait_for_end(
     nursery: trio.Nursery,
-    most: float,
-    end: Callable[[], Awaitable[None]],
+    timeout_s: float,
+    shutdown: Callable[[], Awaitable[None]],
     task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Wait for SIGINT or SIGTERM, or `most` s; then end what runs."""
+    """Wait for SIGINT, SIGTERM or `timeout_s` seconds, then call `shutdown` and cancel the nursery."""
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
-        task_status.started()  # whoever reads that we are ready may send a signal at once
-        with trio.move_on_after(most):
+        task_status.started()  # a signal may arrive as soon as the caller reports that it is ready
+        with trio.move_on_after(timeout_s):
             async for _ in signals:
                 break
-        # a second signal does not wait for the drain
+        # a second signal cancels the shutdown
         async with trio.open_nursery() as ending:
-            ending.start_soon(_hurry, signals, nursery.cancel_scope)
-            await end()
+            ending.start_soon(_cancel_on_signal, signals, nursery.cancel_scope)
+            await shutdown()
             ending.cancel_scope.cancel()
     nursery.cancel_scope.cancel()
 
 
-async def _hurry(signals: object, scope: trio.CancelScope) -> None:
+async def _cancel_on_signal(signals: object, scope: trio.CancelScope) -> None:
     async for _ in signals:  # type: ignore[attr-defined]
         scope.cancel()
--- a/copperyard/cli/lab.py
+++ b/copperyard/cli/lab.py
@@ -1,4 +1,7 @@
-"""`copperyard lab`: rehearse with stand-in hosts. Plots and records are loaded only by the commands that make them."""
+"""`copperyard lab`: rehearsals with stand-in hosts.
+
+Plots and records are imported only by the commands that need them.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +23,21 @@
 from ..lab.run import MS, Result, run_rehearsal
 from ..lab.sites.evening import run_evening
 from ..lab.sites.faults import read_evening
-from ..telemetry.logs import Logs
-from .common import Form, Settings, seconds, site_of, until_told
+from ..telemetry.logs import LogWriter
+from .common import LogFormat, SettingsPath, load_site, parse_seconds, wait_for_end
 
-lab = typer.Typer(no_args_is_help=True, help="Rehearse with stand-in hosts, all of it simulated.")
+lab = typer.Typer(no_args_is_help=True, help="Run rehearsals with stand-in hosts, all of it simulated.")
 
 
 @lab.command("up")
 def up(
-    path: Settings,
-    last: Annotated[str | None, typer.Option("--for", help="End by itself after this time.")] = None,
+    path: SettingsPath,
+    duration: Annotated[str | None, typer.Option("--for", help="End after this time.")] = None,
     seed: int = 1,
-    log: Form = "json",
+    log: LogFormat = "json",
 ) -> None:
     """Start the list service, stand-in hosts and gateways of a site on loopback."""
-    site, most, logs = _lab_site(path), seconds(last), Logs(log)
+    site, timeout_s, logs = _load_lab_site(path), parse_seconds(duration), LogWriter(log)
 
     async def main() -> None:
         fleet = Fleet(site, TcpNetwork(), seed, logs)
@@ -46,7 +49,7 @@
             await nursery.start(fleet.run)
             with trio.move_on_after(10):
                 await fleet.ready()
-            await nursery.start(until_told, nursery, most, end)
+            await nursery.start(wait_for_end, nursery, timeout_s, end)
             typer.echo(
                 json.dumps(
                     {
@@ -61,19 +64,19 @@
     trio.run(main)
 
 
-def _lab_site(path: Path) -> Site:
-    site = site_of(path)
+def _load_lab_site(path: Path) -> Site:
+    site = load_site(path)
     if site.lab is None or not site.lab.hosts:
         typer.echo(f"{path}: no <lab> with hosts: there is nothing to rehearse with", err=True)
         raise typer.Exit(2)
     return site
 
 
-DAYS = ("bad", "calm")
-EVENINGS = ("short", "council", "sites")  # of gateways that are processes
+SCRIPTED_DAYS = ("bad", "calm")
+PROCESS_DAYS = ("short", "council", "sites")  # days on which each gateway is a process
 
 
-def _rehearsal(path: Path, site: Site) -> Rehearsal:
+def _load_rehearsal(path: Path, site: Site) -> Rehearsal:
     try:
         return load_rehearsal(str(path), site)
     except BadSettings as error:
@@ -85,25 +88,27 @@
 
 @lab.command("day")
 def day(
-    name: Annotated[str, typer.Argument(help=f"One of {', '.join(DAYS + EVENINGS)}.")],
+    name: Annotated[str, typer.Argument(help=f"One of {', '.join(SCRIPTED_DAYS + PROCESS_DAYS)}.")],
     settings: Annotated[Path | None, typer.Option(help="The site's settings.")] = None,
     seed: int = 1,
-    faults: Annotated[Path | None, typer.Option(help="Another evening than the named one, for processes.")] = None,
-    alone: Annotated[bool, typer.Option(help="Processes that decide nothing in common.")] = False,
+    faults: Annotated[
+        Path | None, typer.Option(help="Script of faults instead of the named one, for days of processes.")
+    ] = None,
+    alone: Annotated[bool, typer.Option(help="Processes that do not coordinate.")] = False,
     keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None,
     in_memory: Annotated[bool, typer.Option("--virtual", help="In memory, on a virtual clock.")] = False,
     report: Annotated[Path | None, typer.Option(help="Folder for the summary and the viewers' rows.")] = None,
     log: Annotated[str, typer.Option(help="json, console or none.")] = "none",
 ) -> None:
-    """Play a scripted day and audit it; the last line on stdout is the summary. Exit 1 where a rule broke."""
-    if name in EVENINGS:
-        return _evening(name, settings or Path("examples/sites.xml"), seed, faults, alone, keep)
-    if name not in DAYS:
-        typer.echo(f"no day is named '{name}': there are {', '.join(DAYS + EVENINGS)}", err=True)
+    """Run a scripted day and audit it; the last line on stdout is the summary. Exit 1 if a rule was broken."""
+    if name in PROCESS_DAYS:
+        return _run_process_day(name, settings or Path("examples/sites.xml"), seed, faults, alone, keep)
+    if name not in SCRIPTED_DAYS:
+        typer.echo(f"no day is named '{name}': there are {', '.join(SCRIPTED_DAYS + PROCESS_DAYS)}", err=True)
         raise typer.Exit(2)
-    site = _lab_site(settings or Path("examples/caruso.xml"))
-    rehearsal = _rehearsal(Path(str(files("copperyard.lab").joinpath("days", f"{name}.xml"))), site)
-    logs = Logs(log) if log != "none" else lambda event, fields: None
+    site = _load_lab_site(settings or Path("examples/caruso.xml"))
+    rehearsal = _load_rehearsal(Path(str(files("copperyard.lab").joinpath("days", f"{name}.xml"))), site)
+    logs = LogWriter(log) if log != "none" else lambda event, fields: None
 
     async def sockets() -> Result:
         return await run_rehearsal(site, rehearsal, TcpNetwork(), seed, 100 * MS, 300 * MS, logs)
@@ -114,17 +119,17 @@
     if not in_memory:
         typer.echo(f"{name}: {rehearsal.seconds:g} s of arrivals, then their ends", err=True)
     result = virtual.run(memory, seed) if in_memory else trio.run(sockets)
-    _tell(result)
+    _print_breaks(result)
     if report is not None:
-        _write(report, result)
+        _write_report(report, result)
     typer.echo(json.dumps(result.summary))
     if result.breaks:
         raise typer.Exit(1)
 
 
-def _evening(name: str, settings: Path, seed: int, faults: Path | None, alone: bool, keep: Path | None) -> None:
-    """Gateways as processes, a relay between them."""
-    site = _lab_site(settings)
+def _run_process_day(name: str, settings: Path, seed: int, faults: Path | None, alone: bool, keep: Path | None) -> None:
+    """Run a day on which gateways are processes with a relay between them."""
+    site = _load_lab_site(settings)
     if site.common is None:
         typer.echo(f"{settings}: no <common>: its gateways decide nothing together", err=True)
         raise typer.Exit(2)
@@ -151,25 +156,31 @@
 
 @lab.command("scale")
 def scale(
-    settings: Annotated[Path | None, typer.Argument(help="The site's settings; a drawn site else.")] = None,
-    gateways: Annotated[int, typer.Option(help="In all.")] = 60,
-    real: Annotated[int, typer.Option(help="Of them real ones, with viewers.")] = 4,
-    processes: Annotated[int | None, typer.Option(help="For hollow ones; voters have their own.")] = None,
-    last: Annotated[str, typer.Option("--for", help="From the first plan everywhere to the end.")] = "60s",
+    settings: Annotated[Path | None, typer.Argument(help="The site's settings; by default a random site.")] = None,
+    gateways: Annotated[int, typer.Option(help="Gateways in total.")] = 60,
+    real: Annotated[int, typer.Option(help="How many of them are real, with viewers.")] = 4,
+    processes: Annotated[
+        int | None, typer.Option(help="Processes for hollow gateways; each voter has its own.")
+    ] = None,
+    duration: Annotated[
+        str, typer.Option("--for", help="Time from the first plan in force everywhere to the end.")
+    ] = "60s",
     seed: int = 1,
-    faults: Annotated[Path | None, typer.Option(help="What fails, XML; else one gateway, then a zone.")] = None,
-    rate: Annotated[float | None, typer.Option(help="Viewers a second in all.", min=0, max=1000)] = None,
+    faults: Annotated[Path | None, typer.Option(help="What fails, XML; by default one gateway, then a zone.")] = None,
+    rate: Annotated[float | None, typer.Option(help="Viewers a second in total.", min=0, max=1000)] = None,
     keep: Annotated[Path | None, typer.Option(help="Folder for what the processes write.")] = None,
 ) -> None:
-    """Run real gateways beside hollow ones, which have no viewers; the last line on stdout is what it came to. Exit 1
-    where a rule broke, plans had more than one history, or a process ended by itself; 2 where it cannot be run."""
+    """Run real gateways beside hollow ones, which have no viewers; the last line on stdout is the result.
+
+    Exit 1 if a rule was broken, plans had more than one history, or a process ended by itself; 2 if it cannot run.
+    """
     from rich.console import Console
     from rich.progress import Progress
 
     from ..lab.sites import scale as runs
     from ..lab.sites.layout import Refused, Wish, machine_room, prepare
 
-    wish = Wish(gateways, real, processes, seconds(last), seed, rate)
+    wish = Wish(gateways, real, processes, parse_seconds(duration), seed, rate)
     place = settings
     try:
         text = settings.read_bytes() if settings is not None else None
@@ -212,7 +223,7 @@
             first: BaseException = group
             while isinstance(first, BaseExceptionGroup):
                 first = first.exceptions[0]
-            failed = f"the run did not come about: {type(first).__name__} {first}"
+            failed = f"the run failed: {type(first).__name__} {first}"
     if failed:
         typer.echo(failed, err=True)
         raise typer.Exit(1)
@@ -223,13 +234,13 @@
         raise typer.Exit(1)
 
 
-def _tell(result: Result) -> None:
+def _print_breaks(result: Result) -> None:
     for one in result.breaks[:50]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.3f} s by {one.front}: {one.text}", err=True)
 
 
-def _named_site(path: Path) -> Path:
-    """The settings that a rehearsal names, beside it."""
+def _settings_path_of(path: Path) -> Path:
+    """Return the path of the settings that a rehearsal names, relative to it, or of the default site."""
     try:
         found = re.search(r'<rehearsal[^>]*\ssite="([^"]+)"', path.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -241,16 +252,19 @@
 @lab.command("run")
 def run(
     path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
-    settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
+    settings: Annotated[
+        Path | None, typer.Option(help="The site's settings; by default those that the rehearsal names.")
+    ] = None,
     seed: int = 1,
-    repeat: Annotated[int, typer.Option(help="Seeds in a row.", min=1, max=10_000)] = 1,
+    repeat: Annotated[int, typer.Option(help="Number of consecutive seeds.", min=1, max=10_000)] = 1,
     policy: Annotated[list[str] | None, typer.Option(help="module, or a baseline; may be repeated.")] = None,
     change: Annotated[list[str] | None, typer.Option("--set", help="ELEMENT/ATTRIBUTE=VALUE in the settings.")] = None,
     jobs: Annotated[int, typer.Option(help="Worker processes.", min=1, max=256)] = 1,
-    report: Annotated[Path | None, typer.Option(help="Folder for the page and the records.")] = None,
+    report: Annotated[Path | None, typer.Option(help="Folder for the report page and the records.")] = None,
 ) -> None:
-    """Run a rehearsal in virtual time over seeds and policies; a JSON summary a line. Exit 1 where the module broke
-    a rule."""
+    """Run a rehearsal in virtual time over seeds and policies; each line is a JSON summary. Exit 1 if the module broke
+    a rule.
+    """
     from rich.console import Console
     from rich.progress import Progress
 
@@ -261,9 +275,9 @@
         if one not in ("module", *baselines.POLICIES):
             typer.echo(f"no policy is named '{one}': there are module, {', '.join(baselines.POLICIES)}", err=True)
             raise typer.Exit(2)
-    settings = settings if settings is not None else _named_site(path)
-    site = _lab_site(settings)
-    rehearsal = _rehearsal(path, site)
+    settings = settings if settings is not None else _settings_path_of(path)
+    site = _load_lab_site(settings)
+    rehearsal = _load_rehearsal(path, site)
     try:
         text = experiment.changed(settings.read_bytes(), change or (), str(settings))
         parse(text, str(settings))
@@ -290,17 +304,19 @@
 def sweep(
     path: Annotated[Path, typer.Argument(help="The rehearsal, XML.")],
     over: Annotated[str, typer.Option(help="ELEMENT/ATTRIBUTE=V1,V2,... of the settings.")],
-    settings: Annotated[Path | None, typer.Option(help="The site's settings; the rehearsal names some.")] = None,
+    settings: Annotated[
+        Path | None, typer.Option(help="The site's settings; by default those that the rehearsal names.")
+    ] = None,
     seed: int = 1,
     repeat: Annotated[int, typer.Option(min=1, max=10_000)] = 4,
     jobs: Annotated[int, typer.Option(min=1, max=256)] = 1,
 ) -> None:
-    """Run a rehearsal for each value of a setting, over the same seeds; a line a value, held against the first."""
+    """Run a rehearsal for each value of a setting, over the same seeds; each line compares one value with the first."""
     from ..lab import experiment
 
-    settings = settings if settings is not None else _named_site(path)
-    site = _lab_site(settings)
-    _rehearsal(path, site)
+    settings = settings if settings is not None else _settings_path_of(path)
+    site = _load_lab_site(settings)
+    _load_rehearsal(path, site)
     place, _, values = over.partition("=")
     texts = {}
     for value in values.split(","):
@@ -330,8 +346,10 @@
 
 @lab.command("seed")
 def seed_(number: Annotated[int, typer.Argument(help="The seed to replay.")]) -> None:
-    """Draw a world from a seed, run it on the virtual clock, and tell what broke with the last messages before it.
-    Exit 1 where something did."""
+    """Generate a scenario from a seed, run it on the virtual clock, and report broken rules with the last messages.
+
+    Exit 1 if a rule was broken.
+    """
     from ..lab import world
 
     scenario = world.draw(number)
@@ -352,10 +370,10 @@
 
 @lab.command("seeds")
 def seeds(
-    span: Annotated[str, typer.Argument(help="A..B, B included.")],
+    span: Annotated[str, typer.Argument(help="A..B, inclusive.")],
     jobs: Annotated[int, typer.Option(min=1, max=256)] = 1,
 ) -> None:
-    """Run many seeds; a line for each that broke something, and a count. Exit 1 where one did."""
+    """Run many seeds; print a line for each that broke a rule, and a count. Exit 1 if any did."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
@@ -363,7 +381,7 @@
 
     found = re.fullmatch(r"([0-9]{1,9})\.\.([0-9]{1,9})", span)
     if not found or int(found[2]) < int(found[1]):
-        typer.echo(f"'{span}' is no A..B with A up to B", err=True)
+        typer.echo(f"'{span}' is not A..B with A up to B", err=True)
         raise typer.Exit(2)
     numbers = range(int(found[1]), int(found[2]) + 1)
     bad = requests = 0
@@ -386,7 +404,7 @@
     titles: Annotated[int, typer.Option(min=1, max=10_000)] = 60,
     seed: int = 1,
 ) -> None:
-    """Print settings of a site of this size, to rehearse at large size."""
+    """Print the settings of a site of the given size, for rehearsals at scale."""
     from ..lab.sitegen import site_xml
 
     typer.echo(site_xml(hosts, gateways, racks, titles, seed).decode(), nl=False)
@@ -395,27 +413,35 @@
 @lab.command("load")
 def load(
     gateways: Annotated[list[str], typer.Argument(help="rtsp://HOST:PORT of each gateway; loopback only.")],
-    title: Annotated[list[str], typer.Option(help="A title's path; may be repeated, the most wanted first.")],
+    title: Annotated[list[str], typer.Option(help="A title's path; may be repeated, most popular first.")],
     rate: Annotated[float, typer.Option(help="Arrivals a second.", min=0.01, max=10_000)] = 10.0,
-    last: Annotated[str, typer.Option("--for", help="How long arrivals come.")] = "10s",
+    duration: Annotated[str, typer.Option("--for", help="How long viewers arrive.")] = "10s",
     watch: str = "5s",
     patience: str = "5s",
     zipf: float = 0.8,
-    paid: Annotated[float, typer.Option(help="Share that brings a code.", min=0, max=1)] = 0.0,
+    paid: Annotated[float, typer.Option(help="Share of viewers with a code.", min=0, max=1)] = 0.0,
     workers: Annotated[int, typer.Option(min=1, max=64)] = 1,
     seed: int = 1,
 ) -> None:
-    """Send open-loop load to running gateways; one JSON line. Exit 1 where the tool itself could not keep up."""
+    """Send open-loop load to running gateways; prints one JSON line. Exit 1 if the tool itself could not keep up."""
     from ..lab.loadtool import LoadSpec
     from ..lab.loadtool import run as run_load
 
     places = tuple(g.removeprefix("rtsp://").rstrip("/") for g in gateways)
     for place in places:
         if not re.fullmatch(r"(127(\.[0-9]{1,3}){3}|localhost|\[::1\]):[0-9]{1,5}", place):
-            typer.echo(f"'{place}' is no HOST:PORT on loopback: load is sent to this machine only", err=True)
+            typer.echo(f"'{place}' is not HOST:PORT on loopback: load is sent to this machine only", err=True)
             raise typer.Exit(2)
     spec = LoadSpec(
-        places, tuple(title), rate, min(3600.0, seconds(last)), seconds(watch), seconds(patience), zipf, paid, seed
+        places,
+        tuple(title),
+        rate,
+        min(3600.0, parse_seconds(duration)),
+        parse_seconds(watch),
+        parse_seconds(patience),
+        zipf,
+        paid,
+        seed,
     )
     found = run_load(spec, workers)
     typer.echo(json.dumps(found))
@@ -426,10 +452,10 @@
 @lab.command("compare")
 def compare(
     before: Annotated[Path, typer.Argument(help="A report folder.")],
-    after: Annotated[Path, typer.Argument(help="Another one, of the same seeds.")],
+    after: Annotated[Path, typer.Argument(help="Another report folder, of the same seeds.")],
     policy: str = "module",
 ) -> None:
-    """Compare two runs seed by seed: difference, standard error, and whether it is more than noise."""
+    """Compare two runs seed by seed: difference, standard error, and whether it is significant."""
     from ..lab import experiment
 
     try:
@@ -444,7 +470,7 @@
         raise typer.Exit(2) from None
 
 
-def _write(folder: Path, result: Result) -> None:
+def _write_report(folder: Path, result: Result) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "summary.json").write_text(json.dumps(result.summary, indent=1) + "\n")
     with (folder / "viewers.jsonl").open("w") as sink:
--- a/copperyard/cli/main.py
+++ b/copperyard/cli/main.py
@@ -1,4 +1,4 @@
-"""`copperyard`: check settings, serve, and rehearse in the laboratory."""
+"""`copperyard`: check settings, run a gateway, and run rehearsals in the lab."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from ..gateway.net import TcpNetwork, now
 from ..gateway.node.__main__ import main as run_node
 from ..gateway.peers.place import neighbourhood
-from ..telemetry.logs import Logs
-from .common import Form, Settings, seconds, site_of, until_told
+from ..telemetry.logs import LogWriter
+from .common import LogFormat, SettingsPath, load_site, parse_seconds, wait_for_end
 from .lab import lab
 from .state import state
 
@@ -29,9 +29,9 @@
 
 
 @app.command()
-def check(path: Settings) -> None:
-    """Check settings; every mistake is told with its line."""
-    site = site_of(path)
+def check(path: SettingsPath) -> None:
+    """Check settings; report every mistake with its line."""
+    site = load_site(path)
     typer.echo(
         f"{path}: {len(site.gateways)} gateways, {len(site.rules.settings.classes)} classes, "
         f"{len(site.titles)} titles: good"
@@ -40,28 +40,28 @@
 
 @app.command()
 def serve(
-    path: Settings,
-    name: Annotated[str | None, typer.Option(help="Which gateway of the site; the first one else.")] = None,
-    drain: Annotated[str, typer.Option(help="How long sessions may go on after the first signal.")] = "30s",
-    accept_loss: Annotated[bool, typer.Option(help="Start although facts on disk are damaged.")] = False,
-    trust_votes: Annotated[bool, typer.Option(help="A voter's folder is vouched for as its newest.")] = False,
-    log: Form = "json",
+    path: SettingsPath,
+    name: Annotated[str | None, typer.Option(help="Which gateway of the site; by default the first one.")] = None,
+    drain: Annotated[str, typer.Option(help="How long sessions may continue after the first signal.")] = "30s",
+    accept_loss: Annotated[bool, typer.Option(help="Start although the state on disk is damaged.")] = False,
+    trust_votes: Annotated[bool, typer.Option(help="Trust that a voter's folder is its newest.")] = False,
+    log: LogFormat = "json",
 ) -> None:
-    """Run one gateway until SIGINT or SIGTERM; then take nothing new and let sessions end."""
-    site = site_of(path)
-    place = next((g for g in site.gateways if name in (None, g.name)), None)
-    if place is None:
+    """Run one gateway until SIGINT or SIGTERM; then accept nothing new and let sessions end."""
+    site = load_site(path)
+    gateway_settings = next((g for g in site.gateways if name in (None, g.name)), None)
+    if gateway_settings is None:
         typer.echo(f"{path}: no gateway is named '{name}'", err=True)
         raise typer.Exit(2)
-    logs, most, list_url = Logs(log), seconds(drain), site.list_url
+    logs, drain_s, list_url = LogWriter(log), parse_seconds(drain), site.list_url
 
     async def main() -> None:
         nonlocal site
-        # the machine's clock is kept in step with the others'; the difference holds as long as this process runs
-        rules = site.rules_of(place.name, time.time_ns() - now())
+        # the clocks of the machines are synchronized; the offset is taken once and kept while this process runs
+        rules = site.rules_of(gateway_settings.name, time.time_ns() - now())
         station = Station(
-            place.name,
-            place.listen,
+            gateway_settings.name,
+            gateway_settings.listen,
             rules,
             site.catalogue(),
             site.zones,
@@ -69,21 +69,21 @@
         )
         unix_ms = time.time_ns() // 1_000_000
         if site.common is not None:
-            hood = neighbourhood(site.common, place.name, path.parent, trust_votes)
+            hood = neighbourhood(site.common, gateway_settings.name, path.parent, trust_votes)
             station = replace(station, hood=hood, lengths=site.common.lengths, unix_ms=unix_ms)
         if site.state is not None:
-            disk = FolderDisk(path.parent / site.state.folder / place.name)
+            disk = FolderDisk(path.parent / site.state.folder / gateway_settings.name)
             station = replace(station, disk=disk, generation=site.state.generation, accept_loss=accept_loss)
-        del site  # with the names of all gateways, of which this one needs few
+        del site  # frees the names of all gateways, of which this one needs few
         gateway = Gateway(station, TcpNetwork(), secrets.randbits(64), random.SystemRandom(), logs)
 
         async def end() -> None:
-            logs("draining", {"front": place.name})
-            await gateway.drain(most)
+            logs("draining", {"front": gateway_settings.name})
+            await gateway.drain(drain_s)
 
         async with trio.open_nursery() as nursery:
             address = await nursery.start(gateway.run)
-            await nursery.start(until_told, nursery, float("inf"), end)
+            await nursery.start(wait_for_end, nursery, float("inf"), end)
             peers = {"peers": gateway.neighbours.links.address} if gateway.neighbours is not None else {}
             typer.echo(json.dumps({"event": "ready", "gateways": [f"rtsp://{address}"], "list": list_url, **peers}))
 
@@ -91,7 +91,7 @@
         trio.run(main)
     except* StateRefused as refused:
         typer.echo(
-            f"{path}: the state of '{place.name}' must not be started on: {refused.exceptions[0]}; "
+            f"{path}: the state of '{gateway_settings.name}' must not be started on: {refused.exceptions[0]}; "
             "see 'copperyard state verify', or start with --accept-loss",
             err=True,
         )
@@ -103,7 +103,7 @@
 
 @app.command()
 def node() -> None:
-    """Run one node on the platform's protocol, told by NODE_NAME, NODE_LISTEN and NODE_CONFIG."""
+    """Run one node on the platform's protocol, configured by NODE_NAME, NODE_LISTEN and NODE_CONFIG."""
     raise typer.Exit(run_node())
 
 
--- a/copperyard/config/__init__.py
+++ b/copperyard/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings as XML, checked against an XSD and then against each other."""
+"""Settings as XML, validated by an XSD and then checked for consistency."""
 
 from .document import BadSettings, Mistake
 from .load import Site, load, parse
--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -1,4 +1,4 @@
-"""The settings of what gateways decide in common: regions, links, who votes, distances and budgets."""
+"""The settings of what the gateways decide in common: regions, links, voters, distances and budgets."""
 
 from __future__ import annotations
 
@@ -16,18 +16,20 @@
 from ..membership.gateways.cells import CellMap
 from ..membership.gateways.members import Pace
 from ..state.agreement.council import MOST_VOTERS, Beat
-from .units import duration, rate_kb
+from .units import duration, parse_rate_kb
 
-EVERYWHERE = ("0.0.0.0", "[::]")
+WILDCARD_ADDRESSES = ("0.0.0.0", "[::]")
 
-Wrong = Callable[[etree._Element, str], None]
+ReportMistake = Callable[[etree._Element, str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class CommonPlan:
-    """What the gateways of a site decide in common, and how they find each other. `cells`: who knows whom;
-    `listen` and `reach`: where each gateway's links listen, and where the others dial; `fleet`: a digest of what all
-    have to agree on."""
+    """How the gateways of a site find each other and coordinate.
+
+    `cells` says which gateways know each other. Two maps hold, by gateway, the address where its links listen and the
+    one that the others dial. The digest covers all settings that the gateways have to agree on.
+    """
 
     cells: CellMap
     zones: tuple[str, ...]
@@ -44,11 +46,11 @@
 
     @property
     def roster(self) -> Mapping[str, int]:
-        """All gateways of the settings, with their zones' numbers."""
+        """All gateways of the settings, with the number of their zone."""
         return self.cells.roster
 
     def place(self, name: str) -> CommonPlace:
-        """What the gateway of that name is told."""
+        """Return the part of the settings that one gateway needs."""
         return CommonPlace.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
 
@@ -58,92 +60,97 @@
     gateways: Sequence[tuple[str, int]],
     rules: FrontRules,
     titles: Sequence[Title],
-    wrong: Wrong,
+    report: ReportMistake,
 ) -> CommonPlan | None:
-    """The plan of a document that its schema has passed; None without <common>. Mistakes go to `wrong`."""
+    """Read <common> and the gateways of a valid document; None without <common>. Mistakes go to `report`."""
     common = root.find("common")
-    elements = {str(one.get("name")): one for one in root.iterfind("gateways/gateway")}
+    elements = {str(element.get("name")): element for element in root.iterfind("gateways/gateway")}
     if common is None:
-        for one in elements.values():
-            if one.get("peers") or one.get("reach") or one.get("votes") == "yes":
-                wrong(one, "peers, reach and votes need a <common>")
+        for element in elements.values():
+            if element.get("peers") or element.get("reach") or element.get("votes") == "yes":
+                report(element, "peers, reach and votes need a <common>")
         return None
-    a = {str(key): str(value) for key, value in common.attrib.items()}
-    listen: dict[str, str] = {}
-    for name, one in elements.items():
-        listen[name] = str(one.get("peers") or "")
-        if not listen[name]:
-            wrong(one, "no peers: where its links listen has to be said")
-        elif listen[name].rpartition(":")[0] in EVERYWHERE:
-            wrong(one, f"peers '{listen[name]}' listens on every address: name one")
-    reach = {name: str(one.get("reach") or listen[name]) for name, one in elements.items()}
-    seen: dict[str, str] = {}
-    for name, address in listen.items():
-        if address and not address.endswith(":0") and address in seen:
-            wrong(elements[name], f"peers '{address}' is already that of '{seen[address]}'")
-        seen.setdefault(address, name)
+    attrs = {str(key): str(value) for key, value in common.attrib.items()}
+    listen_addresses: dict[str, str] = {}
+    for name, element in elements.items():
+        listen_addresses[name] = str(element.get("peers") or "")
+        if not listen_addresses[name]:
+            report(element, "no peers: the address where its links listen is required")
+        elif listen_addresses[name].rpartition(":")[0] in WILDCARD_ADDRESSES:
+            report(element, f"peers '{listen_addresses[name]}' listens on every address: name one")
+    dial_addresses = {name: str(element.get("reach") or listen_addresses[name]) for name, element in elements.items()}
+    owners: dict[str, str] = {}
+    for name, address in listen_addresses.items():
+        if address and not address.endswith(":0") and address in owners:
+            report(elements[name], f"peers '{address}' is already that of '{owners[address]}'")
+        owners.setdefault(address, name)
     roster = dict(gateways)
-    _voters(elements, roster, zones, common, wrong)
-    found = list(root.iterfind("zones/zone"))
-    regions = [str(one.get("region", "default")) for one in found] or ["default"]
-    prices = _prices(common, found, zones, regions, wrong)
+    _check_voters(elements, roster, zones, common, report)
+    zone_elements = list(root.iterfind("zones/zone"))
+    regions = [str(element.get("region", "default")) for element in zone_elements] or ["default"]
+    prices = _read_prices(common, zone_elements, zones, regions, report)
     settings = rules.settings
     floors = [c.floor for c in settings.classes]
     loads = tuple(settings.rung_kb[f] * c.scale for f, c in zip(floors, settings.classes, strict=True))
     worths = tuple(settings.rung_worth[f] * c.worth for f, c in zip(floors, settings.classes, strict=True))
-    fronts = tuple(sum(1 for zone in roster.values() if zone == z) for z in range(len(zones)))
-    for z, one in enumerate(found):
-        if not fronts[z]:
-            wrong(one, "has no gateway: nobody would report for it")
+    gateways_by_zone = tuple(sum(1 for zone in roster.values() if zone == z) for z in range(len(zones)))
+    for z, element in enumerate(zone_elements):
+        if not gateways_by_zone[z]:
+            report(element, "has no gateway that could report for it")
     terms = Terms(
         prices,
         worths,
         loads,
-        fronts,
+        gateways_by_zone,
         tuple(sorted(set(regions)).index(r) for r in regions),
-        reserve=float(a["reserve"]),
-        mark=float(a["mark"]),
-        pace=float(a["pace"]),
-        band=float(a["band"]),
-        every=duration(a["every"]),
-        holds=duration(a["holds"]),
-        dwell=duration(a["dwell"]),
-        dwell_most=duration(a["dwell-most"]),
-        drift=float(a["drift"]),
+        reserve=float(attrs["reserve"]),
+        mark=float(attrs["mark"]),
+        pace=float(attrs["pace"]),
+        band=float(attrs["band"]),
+        every=duration(attrs["every"]),
+        holds=duration(attrs["holds"]),
+        dwell=duration(attrs["dwell"]),
+        dwell_most=duration(attrs["dwell-most"]),
+        drift=float(attrs["drift"]),
     )
-    beat = Beat(duration(a["heart"]), duration(a["elect-least"]), duration(a["elect-most"]), terms.drift)
-    if beat.least < 3 * beat.heart:
-        wrong(
+    timing = Beat(duration(attrs["heart"]), duration(attrs["elect-least"]), duration(attrs["elect-most"]), terms.drift)
+    if timing.least < 3 * timing.heart:
+        report(
             common,
-            f"elect-least '{a['elect-least']}' is under three times heart '{a['heart']}': a lost message "
+            f"elect-least '{attrs['elect-least']}' is under three times heart '{attrs['heart']}': a lost message "
             "or two would depose a leader",
         )
-    if beat.most < beat.least * 3 // 2:
-        wrong(common, f"elect-most '{a['elect-most']}' is under one and a half times elect-least '{a['elect-least']}'")
-    if terms.holds < 4 * terms.every or terms.holds < 2 * beat.most:
-        wrong(
+    if timing.most < timing.least * 3 // 2:
+        report(
+            common,
+            f"elect-most '{attrs['elect-most']}' is under one and a half times elect-least '{attrs['elect-least']}'",
+        )
+    if terms.holds < 4 * terms.every or terms.holds < 2 * timing.most:
+        report(
             common,
-            f"holds '{a['holds']}' is under four times every or twice elect-most: plans would run out where "
+            f"holds '{attrs['holds']}' is under four times every or twice elect-most: plans would run out where "
             "nothing is lost but a leader",
         )
     if terms.drift >= 0.2:
-        wrong(common, f"drift '{a['drift']}' is not under 0.2: no lease could be kept")
-    pace = Pace(duration(a["period"]), duration(a["answer"]))
-    if pace.timeout * 2 > pace.period:
-        wrong(common, f"answer '{a['answer']}' is over half of period '{a['period']}'")
-    _demand(root, found, terms, settings.weight_kb, wrong)
+        report(common, f"drift '{attrs['drift']}' is not under 0.2: no lease could be kept")
+    probe_timing = Pace(duration(attrs["period"]), duration(attrs["answer"]))
+    if probe_timing.timeout * 2 > probe_timing.period:
+        report(common, f"answer '{attrs['answer']}' is over half of period '{attrs['period']}'")
+    _check_demand(root, zone_elements, terms, settings.weight_kb, report)
     lengths = []
     for cls in range(len(settings.classes)):
         prefixes = [e.prefix for e in rules.entries if e.cls == cls]
-        own = [t.length for t in titles if t.length is not None and any(t.path.startswith(p) for p in prefixes)]
-        lengths.append(sum(own) // len(own) if own else LIVE)
-    same = json.dumps(
+        lengths_of_class = [
+            t.length for t in titles if t.length is not None and any(t.path.startswith(p) for p in prefixes)
+        ]
+        lengths.append(sum(lengths_of_class) // len(lengths_of_class) if lengths_of_class else LIVE)
+    shared = json.dumps(
         [
             sorted(roster.items()),
             zones,
-            sorted(_votes(elements)),
+            sorted(_voter_names(elements)),
             prices,
-            a,
+            attrs,
             [c.name for c in settings.classes],
             settings.rung_kb,
         ],
@@ -152,109 +159,114 @@
     return CommonPlan(
         CellMap(roster, len(zones)),
         zones,
-        tuple(_votes(elements)),
-        listen,
-        reach,
+        tuple(_voter_names(elements)),
+        listen_addresses,
+        dial_addresses,
         terms,
-        pace,
-        beat,
+        probe_timing,
+        timing,
         tuple(lengths),
-        a["folder"],
-        a["store"],
-        hashlib.sha256(same.encode()).digest()[:16],
+        attrs["folder"],
+        attrs["store"],
+        hashlib.sha256(shared.encode()).digest()[:16],
     )
 
 
-def _votes(elements: Mapping[str, etree._Element]) -> list[str]:
-    return [name for name, one in elements.items() if one.get("votes") == "yes"]
+def _voter_names(elements: Mapping[str, etree._Element]) -> list[str]:
+    return [name for name, element in elements.items() if element.get("votes") == "yes"]
 
 
-def _voters(
+def _check_voters(
     elements: Mapping[str, etree._Element],
     roster: Mapping[str, int],
     zones: tuple[str, ...],
     common: etree._Element,
-    wrong: Wrong,
+    report: ReportMistake,
 ) -> None:
-    voters = _votes(elements)
+    voters = _voter_names(elements)
     if not voters:
-        wrong(common, "no gateway votes")
+        report(common, "no gateway votes")
         return
     if len(voters) % 2 == 0:
-        wrong(
+        report(
             elements[voters[-1]],
             f"is voter {len(voters)}: an even council stands no more deaths than one of " f"{len(voters) - 1}",
         )
     if len(voters) > MOST_VOTERS:
-        wrong(
+        report(
             elements[voters[MOST_VOTERS]],
             f"is voter {len(voters)}: more than {MOST_VOTERS} make every decision " "slower and none safer",
         )
     for z, zone in enumerate(zones):
-        here = [name for name in voters if roster[name] == z]
-        if len(zones) > 1 and 2 * len(here) > len(voters):
-            wrong(
-                elements[here[-1]],
-                f"votes as number {len(here)} of {len(voters)} in zone '{zone}': the council "
+        voters_here = [name for name in voters if roster[name] == z]
+        if len(zones) > 1 and 2 * len(voters_here) > len(voters):
+            report(
+                elements[voters_here[-1]],
+                f"votes as number {len(voters_here)} of {len(voters)} in zone '{zone}': the council "
                 "would be lost with that zone",
             )
 
 
-def _prices(
+def _read_prices(
     common: etree._Element,
-    found: Sequence[etree._Element],
+    zone_elements: Sequence[etree._Element],
     zones: tuple[str, ...],
     regions: Sequence[str],
-    wrong: Wrong,
+    report: ReportMistake,
 ) -> tuple[tuple[float, ...], ...]:
     n = len(zones)
     prices = [
-        [0.0 if h == z else SAME_REGION if regions[h] == regions[z] else OTHER_REGION for z in range(n)]
-        for h in range(n)
+        [0.0 if home == z else SAME_REGION if regions[home] == regions[z] else OTHER_REGION for z in range(n)]
+        for home in range(n)
     ]
     listed: set[int] = set()
     for way in common.iterfind("way"):
         ends = [str(way.get("from")), str(way.get("to"))]
         for name in ends:
             if name not in zones:
-                wrong(way, f"zone '{name}' is none of {', '.join(zones)}")
+                report(way, f"zone '{name}' is none of {', '.join(zones)}")
         if not all(name in zones for name in ends):
             continue
-        h, z = (zones.index(name) for name in ends)
-        if h == z:
-            wrong(way, f"leads from '{ends[0]}' to itself")
+        home, z = (zones.index(name) for name in ends)
+        if home == z:
+            report(way, f"leads from '{ends[0]}' to itself")
             continue
-        if h not in listed:
-            # a zone that lists its ways has no others
-            listed.add(h)
-            prices[h] = [0.0 if k == h else -1.0 for k in range(n)]
-        prices[h][z] = float(str(way.get("distance")))
-    for h, one in enumerate(found):
-        if n > 1 and all(prices[h][z] < 0 for z in range(n) if z != h):
-            wrong(one, "has no way out: what it cannot serve could go nowhere")
+        if home not in listed:
+            # a zone that lists ways has only these
+            listed.add(home)
+            prices[home] = [0.0 if k == home else -1.0 for k in range(n)]
+        prices[home][z] = float(str(way.get("distance")))
+    for home, element in enumerate(zone_elements):
+        if n > 1 and all(prices[home][z] < 0 for z in range(n) if z != home):
+            report(element, "has no way out: sessions that it cannot serve could not go to another zone")
     return tuple(tuple(row) for row in prices)
 
 
-def _demand(root: etree._Element, found: Sequence[etree._Element], terms: Terms, link: float, wrong: Wrong) -> None:
-    """Where a zone's greatest demand is announced, it has to fit: at home, or with what its ways' ends have left."""
-    hosts = [0.0] * len(found)
-    for one in root.iterfind("lab/host"):
-        name = str(one.get("zone") or (found[0].get("name") if found else ""))
-        names = [str(z.get("name")) for z in found]
+def _check_demand(
+    root: etree._Element, zone_elements: Sequence[etree._Element], terms: Terms, link: float, report: ReportMistake
+) -> None:
+    """Check that a zone's announced peak demand fits in the zone and in the spare rate of the zones it has ways to."""
+    host_rates = [0.0] * len(zone_elements)
+    for element in root.iterfind("lab/host"):
+        name = str(element.get("zone") or (zone_elements[0].get("name") if zone_elements else ""))
+        names = [str(z.get("name")) for z in zone_elements]
         if name in names:
-            hosts[names.index(name)] += rate_kb(str(one.get("link"))) if one.get("link") else link
-    rooms = [rate_kb(str(one.get("room"))) if one.get("room") else hosts[z] for z, one in enumerate(found)]
-    wants = [rate_kb(str(one.get("demand"))) if one.get("demand") else 0.0 for one in found]
+            host_rates[names.index(name)] += parse_rate_kb(str(element.get("link"))) if element.get("link") else link
+    rooms = [
+        parse_rate_kb(str(element.get("room"))) if element.get("room") else host_rates[z]
+        for z, element in enumerate(zone_elements)
+    ]
+    demands = [parse_rate_kb(str(element.get("demand"))) if element.get("demand") else 0.0 for element in zone_elements]
     spare = [
         max(0.0, room * terms.mark - want - room * terms.mark * terms.reserve)
-        for room, want in zip(rooms, wants, strict=True)
+        for room, want in zip(rooms, demands, strict=True)
     ]
-    for h, one in enumerate(found):
-        over = wants[h] - rooms[h] * terms.mark
-        out = sum(spare[z] for z in range(len(found)) if z != h and terms.prices[h][z] >= 0)
-        if wants[h] and over > out:
-            wrong(
-                one,
-                f"demand {wants[h]:.0f}kB/s: its hosts give {rooms[h] * terms.mark:.0f}kB/s under the mark, and "
-                f"its ways lead to {out:.0f}kB/s that others may have",
+    for home, element in enumerate(zone_elements):
+        excess = demands[home] - rooms[home] * terms.mark
+        spare_elsewhere = sum(spare[z] for z in range(len(zone_elements)) if z != home and terms.prices[home][z] >= 0)
+        if demands[home] and excess > spare_elsewhere:
+            report(
+                element,
+                f"demand {demands[home]:.0f}kB/s: its hosts give {rooms[home] * terms.mark:.0f}kB/s under the mark, "
+                f"and its ways lead to {spare_elsewhere:.0f}kB/s that others may have",
             )
--- a/copperyard/config/load.py
+++ b/copperyard/config/load.py
@@ -1,4 +1,4 @@
-"""Reads a site's settings: XML, its XSD, then what a schema cannot say. All mistakes are told at once."""
+"""Reads a site's settings: XML, its XSD, then checks that a schema cannot express. Reports all mistakes at once."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from ..protocol.rtsp import Limits
 from .common import CommonPlan, read_common
 from .document import BadSettings, Mistake, read_document
-from .units import duration, rate_kb, size
+from .units import duration, parse_rate_kb, parse_size
 
-MOST_BYTES = 64 * 1024 * 1024
+MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayPlace:
-    """One gateway of the site."""
+class GatewaySettings:
+    """A gateway of the site; `zone` is the zone's number."""
 
     name: str
     listen: str
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostPlan:
-    """A stand-in host. `link` is what its link truly gives, kB a second."""
+class HostSettings:
+    """A stand-in host; `link` is the true rate of its link in kB per second."""
 
     name: str
     cell: int
@@ -44,18 +44,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LabPlan:
-    """What the laboratory starts beside the gateways. Media bytes are `scale` times full size."""
+class LabSettings:
+    """What the lab starts beside the gateways: hosts, media at a fraction of full size, and a delayed list."""
 
-    hosts: tuple[HostPlan, ...]
+    hosts: tuple[HostSettings, ...]
     scale: float
     list_late: int
 
 
 @dataclass(frozen=True, slots=True)
-class StatePlan:
-    """Where gateways keep what must outlive them: `folder` has one folder for each, by its name. `generation` names
-    these settings in the journal."""
+class StateSettings:
+    """Where gateways store durable state: `folder` has a folder for each of them, by name.
+
+    `generation` is the digest that identifies these settings in the journal.
+    """
 
     folder: str
     generation: str
@@ -63,48 +65,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """All settings of a site. `settings(zone)` are the module's for a gateway there."""
+    """All settings of a site; times in ns."""
 
-    gateways: tuple[GatewayPlace, ...]
+    gateways: tuple[GatewaySettings, ...]
     zones: tuple[str, ...]
     rules: FrontRules
     titles: tuple[Title, ...]
     list_url: str
     list_wait: int
     list_timeout: int
-    lab: LabPlan | None
-    state: StatePlan | None = None
+    lab: LabSettings | None
+    state: StateSettings | None = None
     common: CommonPlan | None = None
 
     def rules_of(self, name: str, shared: int) -> FrontRules:
-        """The rules of the gateway of that name. `shared` is what makes its clock (ns, added) one that all gateways
-        share. KeyError where there is none of that name."""
-        place = next((n for n, one in enumerate(self.gateways) if one.name == name), None)
-        if place is None:
+        """Return the rules of one gateway; KeyError if no gateway has that name.
+
+        The second parameter is added to the gateway's clock (ns) to give a time that all gateways share.
+        """
+        rank = next((n for n, one in enumerate(self.gateways) if one.name == name), None)
+        if rank is None:
             raise KeyError(name)
         settings = self.rules.settings
-        # gateways that other files list have numbers that this one cannot know
-        turn = (place, shared) if settings.fronts == len(self.gateways) else None
-        return replace(self.rules, settings=replace(settings, zone=self.gateways[place].zone, turn=turn))
+        # the ranks of gateways that are listed in other files are not known here
+        rank_and_offset = (rank, shared) if settings.fronts == len(self.gateways) else None
+        return replace(self.rules, settings=replace(settings, zone=self.gateways[rank].zone, turn=rank_and_offset))
 
     def catalogue(self) -> Catalogue:
+        """Return the catalogue of all titles."""
         return Catalogue(self.titles)
 
 
 def load(path: str) -> Site:
-    """Read a file. BadSettings with all mistakes; OSError where it cannot be read."""
+    """Read a settings file. Raises an error with all mistakes, or OSError if it cannot be read."""
     with open(path, "rb") as source:
-        data = source.read(MOST_BYTES + 1)
+        data = source.read(MAX_DOCUMENT_BYTES + 1)
     return parse(data, path)
 
 
 def parse(data: bytes, name: str = "settings") -> Site:
-    """Read settings from bytes."""
-    if len(data) > MOST_BYTES:
-        raise BadSettings(name, [Mistake(1, f"more than {MOST_BYTES} bytes")])
-    root = read_document(data, name, _schema(), _plain)
+    """Read settings from bytes; `name` stands for the file in error messages."""
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise BadSettings(name, [Mistake(1, f"more than {MAX_DOCUMENT_BYTES} bytes")])
+    root = read_document(data, name, _schema(), _reword_schema_message)
     reader = _Reader()
-    site = reader.site(root)
+    site = reader.read_site(root)
     if reader.mistakes:
         raise BadSettings(name, reader.mistakes)
     assert site is not None
@@ -117,7 +122,7 @@
     return etree.XMLSchema(etree.fromstring(text), attribute_defaults=True)
 
 
-_ALLOWED = {
+_PATTERN_DESCRIPTIONS = {
     "(ns|us|ms|s|min|h)": "a number and ns, us, ms, s, min or h, as in 250ms",
     "(B|kB|MB|GB)/s": "a number and B/s, kB/s, MB/s or GB/s, as in 700kB/s",
     "(B|kB|MB)": "a whole number and B, kB or MB, as in 64kB",
@@ -125,11 +130,11 @@
 }
 
 
-def _plain(message: str) -> str:
-    """libxml2's words, with a pattern put as an operator reads it."""
+def _reword_schema_message(message: str) -> str:
+    """Return a message of libxml2, with the pattern that a value violates described in words."""
     found = re.search(r"The value '(.*)' is not accepted by the pattern '(.*)'\.", message)
     if found:
-        for tail, allowed in _ALLOWED.items():
+        for tail, allowed in _PATTERN_DESCRIPTIONS.items():
             if found[2].endswith(tail):
                 head = message[: message.index("[facet")]
                 return f"{head}the value '{found[1]}' is not {allowed}."
@@ -137,15 +142,15 @@
 
 
 class _Reader:
-    """Turns a valid document into a Site, gathering what the schema could not see."""
+    """Builds a Site from a valid document and collects the mistakes that the schema cannot detect."""
 
     def __init__(self) -> None:
         self.mistakes: list[Mistake] = []
 
-    def _wrong(self, at: etree._Element, text: str) -> None:
-        self.mistakes.append(Mistake(int(at.sourceline or 0), f"Element '{at.tag!s}': {text}"))
+    def _report(self, element: etree._Element, text: str) -> None:
+        self.mistakes.append(Mistake(int(element.sourceline or 0), f"Element '{element.tag!s}': {text}"))
 
-    def site(self, root: etree._Element) -> Site | None:
+    def read_site(self, root: etree._Element) -> Site | None:
         zones = self._zones(root)
         gateways = self._gateways(root, zones)
         fleet, rules, limits = _child(root, "fleet"), _child(root, "rules"), _child(root, "limits")
@@ -154,45 +159,47 @@
         cells = int(_attrs(fleet)["cells"])
         titles = self._titles(root, cells)
         lab = self._lab(root, zones, cells, fleet)
-        place = _child(root, "list")
-        url = _attrs(place)["url"]
+        list_element = _child(root, "list")
+        url = _attrs(list_element)["url"]
         if not re.fullmatch(r"http://[^/\s?#]+(/[^\s?#]*)?", url):
-            self._wrong(place, f"url '{url}' is no http URL without a query")
-        if duration(_attrs(place)["timeout"]) <= duration(_attrs(place)["wait"]):
-            self._wrong(place, "timeout is not above wait: every poll without news would count as failed")
+            self._report(list_element, f"url '{url}' is no http URL without a query")
+        if duration(_attrs(list_element)["timeout"]) <= duration(_attrs(list_element)["wait"]):
+            self._report(list_element, "timeout is not above wait: every poll without news would count as failed")
         fronts = int(_child(root, "gateways").get("fronts", len(gateways)))
         if fronts < len(gateways):
-            self._wrong(_child(root, "gateways"), f"fronts {fronts} is under the {len(gateways)} listed here")
+            self._report(_child(root, "gateways"), f"fronts {fronts} is under the {len(gateways)} listed here")
         if self.mistakes:
             return None
         settings = self._settings(root, fronts, classes, rungs)
-        bounds = _bounds(limits)
-        kept = root.find("state")
+        bounds = _read_bounds(limits)
+        state_element = root.find("state")
         state = None
-        if kept is not None:
-            bounds = replace(bounds, code_life=duration(_attrs(kept)["code-life"]))
-            state = StatePlan(_attrs(kept)["folder"], hashlib.sha256(etree.tostring(root)).hexdigest()[:12])
+        if state_element is not None:
+            bounds = replace(bounds, code_life=duration(_attrs(state_element)["code-life"]))
+            state = StateSettings(
+                _attrs(state_element)["folder"], hashlib.sha256(etree.tostring(root)).hexdigest()[:12]
+            )
         if bounds.dead <= bounds.silence:
-            self._wrong(limits, "dead is not above silence")
-        wire = Limits(
-            size(_attrs(limits)["line"]),
+            self._report(limits, "dead is not above silence")
+        protocol_limits = Limits(
+            parse_size(_attrs(limits)["line"]),
             int(_attrs(limits)["headers"]),
-            size(_attrs(limits)["body"]),
-            min(65535, size(_attrs(limits)["frame"])),
+            parse_size(_attrs(limits)["body"]),
+            min(65535, parse_size(_attrs(limits)["frame"])),
             int(_attrs(limits)["pending"]),
         )
         if settings.connect_timeout >= min(c.deadline for c in classes):
-            self._wrong(rules, "connect is not under every class's deadline")
-        front = FrontRules(settings, entries, bounds, wire, wire)
-        common = read_common(root, zones, [(g.name, g.zone) for g in gateways], front, titles, self._wrong)
+            self._report(rules, "connect is not under every class's deadline")
+        front_rules = FrontRules(settings, entries, bounds, protocol_limits, protocol_limits)
+        common = read_common(root, zones, [(g.name, g.zone) for g in gateways], front_rules, titles, self._report)
         return Site(
             gateways,
             zones,
-            front,
+            front_rules,
             titles,
             url,
-            duration(_attrs(place)["wait"]),
-            duration(_attrs(place)["timeout"]),
+            duration(_attrs(list_element)["wait"]),
+            duration(_attrs(list_element)["timeout"]),
             lab,
             state,
             common,
@@ -200,125 +207,139 @@
 
     def _zones(self, root: etree._Element) -> tuple[str, ...]:
         names = [_attrs(zone)["name"] for zone in root.iterfind("zones/zone")]
-        self._unique(root.iterfind("zones/zone"), "name")
+        self._check_unique(root.iterfind("zones/zone"), "name")
         return tuple(names) or ("default",)
 
-    def _unique(self, elements: Iterable[etree._Element], key: str) -> None:
+    def _check_unique(self, elements: Iterable[etree._Element], key: str) -> None:
         seen: dict[str, int] = {}
         for element in elements:
             value = _attrs(element)[key]
             if value in seen:
-                self._wrong(element, f"{key} '{value}' is already that of line {seen[value]!s}")
+                self._report(element, f"{key} '{value}' is already that of line {seen[value]!s}")
             seen.setdefault(value, int(element.sourceline or 0))
 
     def _zone(self, element: etree._Element, zones: tuple[str, ...]) -> int:
         name = element.get("zone", zones[0])
         if name not in zones:
-            self._wrong(element, f"zone '{name}' is none of {', '.join(zones)}")
+            self._report(element, f"zone '{name}' is none of {', '.join(zones)}")
             return 0
         return zones.index(name)
 
-    def _gateways(self, root: etree._Element, zones: tuple[str, ...]) -> tuple[GatewayPlace, ...]:
-        found = list(root.iterfind("gateways/gateway"))
-        self._unique(found, "name")
-        for one in found:
-            if int(_attrs(one)["listen"].rpartition(":")[2]) > 65535:
-                self._wrong(one, f"listen '{_attrs(one)['listen']}' has no port up to 65535")
-        self._unique([g for g in found if not _attrs(g)["listen"].endswith(":0")], "listen")
-        return tuple(GatewayPlace(_attrs(g)["name"], _attrs(g)["listen"], self._zone(g, zones)) for g in found)
+    def _gateways(self, root: etree._Element, zones: tuple[str, ...]) -> tuple[GatewaySettings, ...]:
+        elements = list(root.iterfind("gateways/gateway"))
+        self._check_unique(elements, "name")
+        for element in elements:
+            if int(_attrs(element)["listen"].rpartition(":")[2]) > 65535:
+                self._report(element, f"listen '{_attrs(element)['listen']}' has no port up to 65535")
+        self._check_unique([g for g in elements if not _attrs(g)["listen"].endswith(":0")], "listen")
+        return tuple(GatewaySettings(_attrs(g)["name"], _attrs(g)["listen"], self._zone(g, zones)) for g in elements)
 
     def _ladder(self, ladder: etree._Element) -> list[tuple[float, float]]:
         rungs: list[tuple[float, float]] = []
-        for one in ladder.iterfind("rung"):
-            rate, worth = rate_kb(_attrs(one)["rate"]), float(_attrs(one)["worth"])
+        for element in ladder.iterfind("rung"):
+            rate, worth = parse_rate_kb(_attrs(element)["rate"]), float(_attrs(element)["worth"])
             if rungs and rate <= rungs[-1][0]:
-                self._wrong(one, f"rate '{_attrs(one)['rate']}' does not rise above the rung before")
+                self._report(element, f"rate '{_attrs(element)['rate']}' does not rise above the rung before")
             if rungs and worth < rungs[-1][1]:
-                self._wrong(one, f"worth '{_attrs(one)['worth']}' falls under that of the rung before")
+                self._report(element, f"worth '{_attrs(element)['worth']}' falls under that of the rung before")
             if rate <= 0:
-                self._wrong(one, f"rate '{_attrs(one)['rate']}' is not above 0")
+                self._report(element, f"rate '{_attrs(element)['rate']}' is not above 0")
             rungs.append((rate, worth))
         return rungs
 
     def _classes(self, root: etree._Element, rungs: int) -> tuple[tuple[api.ClassSettings, ...], tuple[Entry, ...]]:
         elements = list(root.iterfind("classes/class"))
-        self._unique(elements, "name")
+        self._check_unique(elements, "name")
         classes, entries = [], []
-        for n, one in enumerate(elements):
-            a = _attrs(one)
-            floor, top = int(a["floor"]), int(one.get("top", rungs - 1))
+        for n, element in enumerate(elements):
+            attrs = _attrs(element)
+            floor, top = int(attrs["floor"]), int(element.get("top", rungs - 1))
             if floor >= rungs:
-                self._wrong(one, f"floor '{floor}' is above the ladder's highest rung {rungs - 1}")
+                self._report(element, f"floor '{floor}' is above the ladder's highest rung {rungs - 1}")
             elif floor > top:
-                self._wrong(one, f"floor '{floor}' is above top '{top}'")
+                self._report(element, f"floor '{floor}' is above top '{top}'")
             if top >= rungs:
-                self._wrong(one, f"top '{top}' is above the ladder's highest rung {rungs - 1}")
-            aim, deadline = duration(a["aim"]), duration(a["deadline"])
+                self._report(element, f"top '{top}' is above the ladder's highest rung {rungs - 1}")
+            aim, deadline = duration(attrs["aim"]), duration(attrs["deadline"])
             if aim <= 0 or deadline < aim:
-                self._wrong(one, f"aim '{a['aim']}' is not above 0 and up to deadline '{a['deadline']}'")
-            paid = a["code"] == "required"
-            once = a["set-up"] == "once"
+                self._report(element, f"aim '{attrs['aim']}' is not above 0 and up to deadline '{attrs['deadline']}'")
+            paid = attrs["code"] == "required"
+            once = attrs["set-up"] == "once"
             if paid and not once:
-                self._wrong(one, "a class with a code is set up once: set-up must be 'once'")
+                self._report(element, "a class with a code is set up once: set-up must be 'once'")
             classes.append(
                 api.ClassSettings(
-                    a["name"],
+                    attrs["name"],
                     aim,
                     deadline,
-                    float(a["worth"]),
+                    float(attrs["worth"]),
                     api.Effect.UNSAFE if once else api.Effect.SAFE,
                     floor,
                     top,
-                    float(a["scale"]),
-                    int(a["seats"]),
-                    a["live"] == "yes",
+                    float(attrs["scale"]),
+                    int(attrs["seats"]),
+                    attrs["live"] == "yes",
                 )
             )
-            entries.append((a["path"], Entry(n, a["path"], paid)))
-        # the longest prefix first, so that a narrower class wins over a wider one whatever the file's order
+            entries.append((attrs["path"], Entry(n, attrs["path"], paid)))
+        # longest prefix first, so that a narrower class takes precedence whatever the order in the file
         entries.sort(key=lambda pair: -len(pair[0]))
         return tuple(classes), tuple(entry for _, entry in entries)
 
     def _titles(self, root: etree._Element, cells: int) -> tuple[Title, ...]:
         elements = list(root.iterfind("titles/title"))
-        self._unique(elements, "path")
-        found = []
-        for n, one in enumerate(elements, 1):
-            a = _attrs(one)
-            if int(a["cell"]) >= cells:
-                self._wrong(one, f"cell '{a['cell']}' is not under the fleet's {cells}")
-            if int(a["holders"]) > cells:
-                self._wrong(one, f"holders '{a['holders']}' are more than the fleet's {cells} cells")
-            if re.search("/track[0-9]+/?$", a["path"]):
-                self._wrong(one, f"path '{a['path']}' ends like a track")
+        self._check_unique(elements, "path")
+        titles = []
+        for n, element in enumerate(elements, 1):
+            attrs = _attrs(element)
+            if int(attrs["cell"]) >= cells:
+                self._report(element, f"cell '{attrs['cell']}' is not under the fleet's {cells}")
+            if int(attrs["holders"]) > cells:
+                self._report(element, f"holders '{attrs['holders']}' are more than the fleet's {cells} cells")
+            if re.search("/track[0-9]+/?$", attrs["path"]):
+                self._report(element, f"path '{attrs['path']}' ends like a track")
             tracks = tuple(
                 Track(_attrs(t)["kind"], int(_attrs(t)["payload-type"]), _attrs(t)["codec"], int(_attrs(t)["clock"]))
-                for t in one.iterfind("track")
+                for t in element.iterfind("track")
             )
-            length = duration(a["length"]) if "length" in a else None
-            found.append(
-                Title(n, a["path"].rstrip("/") or "/", a["name"], length, int(a["cell"]), int(a["holders"]), tracks)
+            length = duration(attrs["length"]) if "length" in attrs else None
+            titles.append(
+                Title(
+                    n,
+                    attrs["path"].rstrip("/") or "/",
+                    attrs["name"],
+                    length,
+                    int(attrs["cell"]),
+                    int(attrs["holders"]),
+                    tracks,
+                )
             )
-        return tuple(found)
+        return tuple(titles)
 
-    def _lab(self, root: etree._Element, zones: tuple[str, ...], cells: int, fleet: etree._Element) -> LabPlan | None:
+    def _lab(
+        self, root: etree._Element, zones: tuple[str, ...], cells: int, fleet: etree._Element
+    ) -> LabSettings | None:
         lab = root.find("lab")
         if lab is None:
             return None
-        hosts = list(lab.iterfind("host"))
-        self._unique(hosts, "name")
+        elements = list(lab.iterfind("host"))
+        self._check_unique(elements, "name")
         kinds = len(_attrs(fleet)["places"].split())
-        found = []
-        for one in hosts:
-            a = _attrs(one)
-            if int(a["cell"]) >= cells:
-                self._wrong(one, f"cell '{a['cell']}' is not under the fleet's {cells}")
-            if int(a["kind"]) >= kinds:
-                self._wrong(one, f"kind '{a['kind']}' is none of the {kinds} in the fleet's places")
-            weight = float(a["weight"])
-            link = rate_kb(a["link"]) if "link" in a else weight * rate_kb(_attrs(fleet)["link"])
-            found.append(HostPlan(a["name"], int(a["cell"]), int(a["kind"]), self._zone(one, zones), weight, link))
-        return LabPlan(tuple(found), float(_attrs(lab)["media-scale"]), duration(_attrs(lab)["list-late"]))
+        hosts = []
+        for element in elements:
+            attrs = _attrs(element)
+            if int(attrs["cell"]) >= cells:
+                self._report(element, f"cell '{attrs['cell']}' is not under the fleet's {cells}")
+            if int(attrs["kind"]) >= kinds:
+                self._report(element, f"kind '{attrs['kind']}' is none of the {kinds} in the fleet's places")
+            weight = float(attrs["weight"])
+            link = parse_rate_kb(attrs["link"]) if "link" in attrs else weight * parse_rate_kb(_attrs(fleet)["link"])
+            hosts.append(
+                HostSettings(
+                    attrs["name"], int(attrs["cell"]), int(attrs["kind"]), self._zone(element, zones), weight, link
+                )
+            )
+        return LabSettings(tuple(hosts), float(_attrs(lab)["media-scale"]), duration(_attrs(lab)["list-late"]))
 
     def _settings(
         self,
@@ -329,8 +350,8 @@
     ) -> api.Settings:
         fleet, rules = _attrs(_child(root, "fleet")), _attrs(_child(root, "rules"))
         reports, prices = _attrs(_child(root, "reports")), _attrs(_child(root, "prices"))
-        retry = duration(rules["retry-after"])
-        budgeted = "further" in rules
+        max_retry_after = duration(rules["retry-after"])
+        has_retry_budget = "further" in rules
         return api.Settings(
             fronts=fronts,
             zone=0,
@@ -340,8 +361,8 @@
             rung_worth=tuple(worth for _, worth in rungs),
             cells=int(fleet["cells"]),
             racks=int(fleet["racks"]),
-            uplink_kb=rate_kb(fleet["uplink"]),
-            weight_kb=rate_kb(fleet["link"]),
+            uplink_kb=parse_rate_kb(fleet["uplink"]),
+            weight_kb=parse_rate_kb(fleet["link"]),
             places_by_kind=tuple(map(int, fleet["places"].split())),
             full_from=float(fleet["full-from"]),
             join_adds=float(fleet["join-adds"]),
@@ -350,8 +371,8 @@
             shortfall_cost=float(prices["shortfall"]),
             switch_s=duration(prices["switch"]) / 1e9,
             max_attempts=int(rules["attempts"]),
-            max_retry_after=retry,
-            retry_after=retry > 0,
+            max_retry_after=max_retry_after,
+            retry_after=max_retry_after > 0,
             probes=reports["probes"] == "yes",
             cancelling=True,
             connect_timeout=duration(rules["connect"]),
@@ -362,9 +383,9 @@
             drain_grace=duration(rules["drain-grace"]),
             fall_multiple=float(rules["fall-multiple"]),
             fall=duration(rules["fall"]),
-            free_resends=float(rules["further"]) if budgeted else None,
-            further_ratio=float(rules["further-share"]) if budgeted else 0.0,
-            ratio_span=duration(rules["further-span"]) if budgeted else 0,
+            free_resends=float(rules["further"]) if has_retry_budget else None,
+            further_ratio=float(rules["further-share"]) if has_retry_budget else 0.0,
+            ratio_span=duration(rules["further-span"]) if has_retry_budget else 0,
             price_cross_zone=float(prices["crossing"]),
             price_late_fail=float(prices["late-fail"]),
             price_move=float(prices["move"]),
@@ -374,18 +395,18 @@
         )
 
 
-def _bounds(limits: etree._Element) -> Bounds:
-    a = _attrs(limits)
+def _read_bounds(limits: etree._Element) -> Bounds:
+    attrs = _attrs(limits)
     return Bounds(
-        connections=int(a["connections"]),
-        sessions=int(a["sessions"]),
-        open_requests=int(a["open-requests"]),
-        queue=size(a["queue"]),
-        stall=duration(a["stall"]),
-        idle=duration(a["idle"]),
-        silence=duration(a["silence"]),
-        dead=duration(a["dead"]),
-        codes=int(a["codes"]),
+        connections=int(attrs["connections"]),
+        sessions=int(attrs["sessions"]),
+        open_requests=int(attrs["open-requests"]),
+        queue=parse_size(attrs["queue"]),
+        stall=duration(attrs["stall"]),
+        idle=duration(attrs["idle"]),
+        silence=duration(attrs["silence"]),
+        dead=duration(attrs["dead"]),
+        codes=int(attrs["codes"]),
     )
 
 
@@ -395,5 +416,5 @@
 
 def _child(root: etree._Element, name: str) -> etree._Element:
     found = root.find(name)
-    assert found is not None  # the schema has seen to it
+    assert found is not None  # required by the schema
     return found
--- a/copperyard/gateway/__init__.py
+++ b/copperyard/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The I/O of a front on trio: sockets in, core calls, orders out. Nothing is decided here."""
+"""The I/O of a gateway on trio: sockets, files and timers call the core, which makes all decisions."""
--- a/copperyard/gateway/background.py
+++ b/copperyard/gateway/background.py
@@ -1,4 +1,4 @@
-"""Runs background jobs on the gateway's loop, as the scheduler says."""
+"""Runs the scheduler's background jobs on the gateway's event loop."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Background:
-    """The one task in which background work runs."""
+    """Runs all background jobs in one task."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self._wake = Signal()
 
-    def add(self, name: str, priority: Priority, piece: Piece, when: int | None = None) -> None:
-        """See Scheduler.add."""
-        self.scheduler.add(now(), name, priority, piece, when)
+    def add(self, name: str, priority: Priority, step: Piece, due: int | None = None) -> None:
+        """Add a job to the scheduler; `due` in ns, None for now."""
+        self.scheduler.add(now(), name, priority, step, due)
         self._wake.set()
 
     async def run(self) -> None:
-        """Run pieces until cancelled; what a piece raises passes through."""
+        """Run job steps until cancelled; an exception in a step propagates."""
         scheduler = self.scheduler
         while True:
             due = scheduler.next(now())
@@ -29,11 +29,11 @@
                 with trio.CancelScope(deadline=at(due) if due is not None else float("inf")):
                     await self._wake.wait()
             else:
-                await trio.lowlevel.checkpoint()  # sessions come between any two pieces
+                await trio.lowlevel.checkpoint()  # session tasks run between any two steps
             job = scheduler.pick(now())
             if job is not None:
-                began = now()
+                started_at = now()
                 try:
-                    scheduler.run(began, job)
+                    scheduler.run(started_at, job)
                 finally:
-                    scheduler.took(now(), job, now() - began)
+                    scheduler.took(now(), job, now() - started_at)
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One running gateway: listeners, a nursery of connections, the core in the middle."""
+"""One running gateway: the listener, a task for each connection, and the core that they all call."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 from ..state.recovery import recover
 from .background import Background
 from .disk import Disk
-from .listing import Follower, ListPlace
+from .listing import Follower, ListEndpoint
 from .net import Listener, Network, Signal, Stream, at, now
 from .peers.neighbours import Neighbourhood, Neighbours
 from .store import Store
-from .upstream import Link, ask
+from .upstream import AttemptTask, query_host
 
 Logger = Callable[[str, Mapping[str, str | int]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Station:
-    """What a gateway needs to know at its start."""
+    """What a gateway needs to know at its start; session lengths are means by class, in ns."""
 
     name: str
     listen: str
     rules: FrontRules
     catalogue: Catalogue
     zones: tuple[str, ...]
-    hosts: ListPlace
+    hosts: ListEndpoint
     disk: Disk | None = None
     generation: str = ""
     accept_loss: bool = False
@@ -53,52 +53,55 @@
 
 
 class StateRefused(Exception):
-    """The state on disk must not be started on: why."""
+    """The state on disk cannot be used to start from; the message says why."""
 
 
-class Caller:
-    """A viewer's connection, as the rest of the gateway sees it."""
+class ViewerSocket:
+    """The socket side of a viewer connection: signals for its tasks, and the attempts that feed it."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
-        self.idle = False  # the writer waits for work: whoever has some may write it at once
+        self.writer_idle = False  # the writer task waits for data, so that others may write to the stream directly
         self.wake = Signal()
-        self.roomy = Signal()
-        self.hanging_up = False
-        self.feeds: dict[Link, None] = {}
+        self.room_available = Signal()
+        self.closing = False
+        self.attempt_tasks: dict[AttemptTask, None] = {}
 
 
 class Gateway:
-    """A front on a network. Every call into the core is followed by `_carry_out`; neither ever waits, so no
-    two tasks are within the core at once."""
+    """Runs the core of a front on a network.
 
-    def __init__(self, station: Station, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
-        self.station, self.network, self.log = station, network, log
-        self.core = Core(station.rules, station.catalogue, station.zones, seed, rng, station.name)
+    Every call into the core is followed by `_run_io_actions`. Neither of them ever awaits, so no two tasks are
+    inside the core at once.
+    """
+
+    def __init__(self, config: Station, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
+        self.station, self.network, self.log = config, network, log
+        self.core = Core(config.rules, config.catalogue, config.zones, seed, rng, config.name)
         self.address = ""
-        self._links: dict[Attempt, Link] = {}
-        self._callers: dict[Visitor, Caller] = {}
-        self._following: trio.CancelScope | None = None
-        self._follower: Follower | None = None
+        self._links: dict[Attempt, AttemptTask] = {}
+        self._viewers: dict[Visitor, ViewerSocket] = {}
+        self._list_scope: trio.CancelScope | None = None
+        self._list_follower: Follower | None = None
         self._store: Store | None = None
         self.neighbours: Neighbours | None = None
-        if station.hood is not None:
-            self._meet(station.hood, rng)
+        if config.hood is not None:
+            self._create_peer_service(config.hood, rng)
         self.background = Background(Scheduler())
-        self._written = -1
-        self._ailing = ""
+        self._seen_sequence = -1
+        self._journal_failure = ""
         self._timer = Signal()
         self._wake_at: int | None = None
         self._nursery: trio.Nursery | None = None
         self._listener: Listener | None = None
 
     async def run(self, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; tells the address once it listens."""
+        """Serve until cancelled; reports the address to `task_status` once it listens."""
         self._recover()
         try:
             listener = self._listener = await self.network.listen(self.station.listen)
         except OSError:
-            self._let_go()
+            self._release_disk()
             raise
         try:
             async with trio.open_nursery() as nursery:
@@ -107,266 +110,287 @@
                 if self._store is not None:
                     nursery.start_soon(self._store.run)
                 self.address = listener.address
-                nursery.start_soon(self._ticks)
+                nursery.start_soon(self._run_timer)
                 if self.neighbours is not None:
                     await nursery.start(self.neighbours.run)
                 self.core.start(now())
-                self._carry_out()
+                self._run_io_actions()
                 task_status.started(listener.address)
                 nursery.start_soon(self._accept, listener)
         finally:
             listener.close()
-            self._let_go()
-
-    def _meet(self, hood: Neighbourhood, rng: random.Random) -> None:
-        """Decide in common with the site's other gateways."""
-        station, plays = self.station, self.core.plays
-        gauge = Gauge(hood.place.name, station.unix_ms, len(hood.place.zones), station.lengths, hood.place.terms, now())
-        plays.watcher = FrontGauge(gauge, lambda: plays.controller)
+            self._release_disk()
+
+    def _create_peer_service(self, peer_settings: Neighbourhood, rng: random.Random) -> None:
+        """Create the service that coordinates this gateway with the others of the site."""
+        config, session_table = self.station, self.core.plays
+        gauge = Gauge(
+            peer_settings.place.name,
+            config.unix_ms,
+            len(peer_settings.place.zones),
+            config.lengths,
+            peer_settings.place.terms,
+            now(),
+        )
+        session_table.watcher = FrontGauge(gauge, lambda: session_table.controller)
         self.neighbours = Neighbours(
-            hood,
+            peer_settings,
             gauge,
-            lambda: plays.controller,
+            lambda: session_table.controller,
             self.network,
-            self._agreed,
-            lambda event, fields: self.log(event, {"front": station.name, **fields}),
+            self._allocation_changed,
+            lambda event, fields: self.log(event, {"front": config.name, **fields}),
             rng,
-            station.unix_ms,
+            config.unix_ms,
         )
 
-    def _agreed(self, ways: Ways) -> None:
-        self.core.plays.agreed(now(), ways)
-        self._carry_out()
+    def _allocation_changed(self, allocation: Ways) -> None:
+        """Pass a new allocation, agreed on by the gateways, to the core."""
+        self.core.plays.agreed(now(), allocation)
+        self._run_io_actions()
 
     def _recover(self) -> None:
-        """Take over the state that an earlier life left. StateRefused, LockedError, or OSError."""
+        """Restore the state that an earlier process left.
+
+        Raises an error that refuses the state, LockedError where another process holds it, or OSError.
+        """
         disk, core = self.station.disk, self.core
         if disk is None:
             return
         disk.lock(core.label)
         try:
-            touched = disk.touched()
-            found = recover(disk.names(), disk.read)
-            for one in found.dropped:
+            last_write = disk.touched()
+            recovery = recover(disk.names(), disk.read)
+            for dropped in recovery.dropped:
                 self.log(
                     "state dropped",
                     {
                         "front": self.station.name,
-                        "file": one.name,
-                        "text": one.text,
-                        "harm": "yes" if one.harm else "no",
+                        "file": dropped.name,
+                        "text": dropped.text,
+                        "harm": "yes" if dropped.harm else "no",
                     },
                 )
-            refusal = found.refusal(self.station.accept_loss)
+            refusal = recovery.refusal(self.station.accept_loss)
             if refusal is not None:
                 raise StateRefused(refusal)
         except BaseException:
             disk.close()
             raise
-        state = found.state
-        spent = state.spent if state.ended else None
+        state = recovery.state
+        spent_retries = state.spent if state.ended else None
         self.log(
             "state recovered",
             {
                 "front": self.station.name,
                 "codes": len(state.codes),
                 "unclear": len(state.unclear()),
-                "records": found.replayed,
+                "records": recovery.replayed,
                 "lives": state.lives,
                 "planned": "yes" if state.ended else "no",
             },
         )
-        down = disk.wall() - touched if touched is not None else 0
-        book = Book(found, core.label, self.station.generation, now(), down)
-        core.remember(now(), book, spent)
-        self._store = Store(book, disk, self.background, self._stored)
+        downtime = disk.wall() - last_write if last_write is not None else 0
+        journal_writer = Book(recovery, core.label, self.station.generation, now(), downtime)
+        core.remember(now(), journal_writer, spent_retries)
+        self._store = Store(journal_writer, disk, self.background, self._journal_advanced)
         self.background.add("expiry", Priority.IDLE, core.plays.expire, now())
 
-    def _keep_list(self, when: int) -> None:
-        self.core.keep_list(when)
-        self._carry_out()
+    def _save_list(self, time: int) -> None:
+        """Background job: write the server list to the journal."""
+        self.core.keep_list(time)
+        self._run_io_actions()
 
-    def _let_go(self) -> None:
+    def _release_disk(self) -> None:
+        """Close the disk, which unlocks the state folder."""
         if self._store is not None and self.station.disk is not None:
             self.station.disk.close()
 
-    async def _stored(self) -> None:
-        """More is durable, or the disk failed. Set-ups that waited for it leave now: as for those that waited for a
-        connection, what lies unread of the list comes first."""
+    async def _journal_advanced(self) -> None:
+        """Continue the set-ups that waited for the journal: more of it is durable, or the disk failed.
+
+        What has arrived of the server list is read first, as before a set-up that waited for a connection.
+        """
         await self._catch_up()
-        store = self._store
-        if store is not None and store.book.ailing != self._ailing:
-            self._ailing = store.book.ailing
+        journal = self._store
+        if journal is not None and journal.book.ailing != self._journal_failure:
+            self._journal_failure = journal.book.ailing
             self.log(
-                "journal failed" if self._ailing else "journal well again",
-                {"front": self.station.name, "text": self._ailing},
+                "journal failed" if self._journal_failure else "journal well again",
+                {"front": self.station.name, "text": self._journal_failure},
             )
         self.core.plays.stored(now())
-        self._carry_out()
+        self._run_io_actions()
 
-    async def drain(self, most: float) -> None:
-        """Take nothing new, let what plays come to its end for at most `most` s, then stop serving."""
+    async def drain(self, timeout_s: float) -> None:
+        """Accept nothing new, let sessions play to their end for at most `timeout_s` seconds, then stop."""
         self.core.visits.draining = True
         if self.neighbours is not None:
             self.neighbours.leave()
         if self._listener is not None:
             self._listener.close()
-        with trio.move_on_after(most):
-            while self.core.plays.plays:  # noqa: ASYNC110 - a drain looks now and then, and no session pays for it
+        with trio.move_on_after(timeout_s):
+            while self.core.plays.plays:  # noqa: ASYNC110 - polling during a drain costs the sessions nothing
                 await trio.sleep(0.05)
-        await self._close_book()
+        await self._close_journal()
         if self._nursery is not None:
             self._nursery.cancel_scope.cancel()
 
-    async def _close_book(self) -> None:
-        """A planned end is the last fact; a disk that does not take it makes the end an unplanned one."""
-        store = self._store
-        if store is None:
+    async def _close_journal(self) -> None:
+        """Write the planned end as the last fact; without it the next start takes the end as unplanned."""
+        journal = self._store
+        if journal is None:
             return
-        last = store.book.close(now(), self.core.plays.budget.ages(now()))
-        store.look()
+        last_sequence = journal.book.close(now(), self.core.plays.budget.ages(now()))
+        journal.look()
         with trio.move_on_after(STORE_WAIT / 1e9):
-            while not store.book.durable(last):  # noqa: ASYNC110 - once in a process's life
+            while not journal.book.durable(last_sequence):  # noqa: ASYNC110 - polled once, at the end of the process
                 await trio.sleep(0.01)
 
-    # ---- orders
+    # ---- I/O actions
 
-    def _carry_out(self) -> None:
+    def _run_io_actions(self) -> None:
+        """Carry out what the core asks for, schedule its background work and move the timer."""
         nursery = self._nursery
         if nursery is None:
             return
-        for order in self.core.take():
-            if isinstance(order, Wrote):
-                self._wrote(order.visitor)
-            elif isinstance(order, Flush):
-                if order.attempt in self._links:
-                    self._links[order.attempt].wake.set()
-            elif isinstance(order, Start):
-                nursery.start_soon(self._guarded, "attempt", self._upstream, order.attempt)
-            elif isinstance(order, Stop):
-                if order.attempt in self._links:
-                    self._links[order.attempt].stop()
-            elif isinstance(order, Hangup):
-                caller = self._callers.get(order.visitor)
-                if caller is not None:
-                    caller.hanging_up = True
-                    caller.wake.set()
-            elif isinstance(order, Ask):
-                nursery.start_soon(self._guarded, "probe", self._probe, order.server, order.address)
-            elif isinstance(order, Settle):
-                nursery.start_soon(self._guarded, "settle", self._settle, order)
-            elif isinstance(order, Follow):
-                self._follow(nursery, order.on)
+        for action in self.core.take():
+            if isinstance(action, Wrote):
+                self._flush_viewer(action.visitor)
+            elif isinstance(action, Flush):
+                if action.attempt in self._links:
+                    self._links[action.attempt].wake.set()
+            elif isinstance(action, Start):
+                nursery.start_soon(self._run_guarded, "attempt", self._run_attempt, action.attempt)
+            elif isinstance(action, Stop):
+                if action.attempt in self._links:
+                    self._links[action.attempt].stop()
+            elif isinstance(action, Hangup):
+                viewer = self._viewers.get(action.visitor)
+                if viewer is not None:
+                    viewer.closing = True
+                    viewer.wake.set()
+            elif isinstance(action, Ask):
+                nursery.start_soon(self._run_guarded, "probe", self._probe, action.server, action.address)
+            elif isinstance(action, Settle):
+                nursery.start_soon(self._run_guarded, "settle", self._query_code, action)
+            elif isinstance(action, Follow):
+                self._set_list_following(nursery, action.on)
             else:
-                assert isinstance(order, Line)
-                self.log(order.event, {"front": self.station.name, **dict(order.fields)})
+                assert isinstance(action, Line)
+                self.log(action.event, {"front": self.station.name, **dict(action.fields)})
         if self._store is not None and self.core.list_changed:
             self.core.list_changed = False
-            self.background.add("list", Priority.USUAL, self._keep_list)
-        if self._store is not None and self._store.book.sequence != self._written:
-            self._written = self._store.book.sequence
+            self.background.add("list", Priority.USUAL, self._save_list)
+        if self._store is not None and self._store.book.sequence != self._seen_sequence:
+            self._seen_sequence = self._store.book.sequence
             self._store.look()
         wake = self.core.next_wake()
         if wake != self._wake_at:
             self._wake_at = wake
             self._timer.set()
 
-    def _wrote(self, visitor: Visitor) -> None:
-        """Write at once what the socket takes; the rest, and every error, is the writer's."""
-        caller = self._callers.get(visitor)
-        if caller is None:
+    def _flush_viewer(self, connection: Visitor) -> None:
+        """Write what the socket accepts at once; the writer task handles the rest and all errors."""
+        viewer = self._viewers.get(connection)
+        if viewer is None:
             return
-        if caller.idle and not caller.hanging_up:
+        if viewer.writer_idle and not viewer.closing:
             try:
-                while data := visitor.outbox.peek():
-                    sent = caller.stream.send_now(data)
-                    visitor.outbox.took(sent)
+                while data := connection.outbox.peek():
+                    sent = viewer.stream.send_now(data)
+                    connection.outbox.took(sent)
                     if sent < len(data):
                         break
                 else:
                     return
             except OSError:
                 pass
-        caller.idle = False
-        caller.wake.set()
+        viewer.writer_idle = False
+        viewer.wake.set()
 
-    async def _guarded(self, what: str, task: Callable[..., Awaitable[None]], *words: object) -> None:
-        """Run one connection's task: a defect in it must show, and must not end every other session here."""
+    async def _run_guarded(self, task_name: str, task: Callable[..., Awaitable[None]], *args: object) -> None:
+        """Run the task of one connection; log an exception in it, which must not end the other sessions."""
         try:
-            await task(*words)
+            await task(*args)
         except Exception as error:
             while isinstance(error, ExceptionGroup):
                 error = error.exceptions[0]
-            place = traceback.extract_tb(error.__traceback__)[-1]
+            raised_at = traceback.extract_tb(error.__traceback__)[-1]
             self.log(
                 "defect",
                 {
                     "front": self.station.name,
-                    "task": what,
+                    "task": task_name,
                     "error": f"{type(error).__name__}: {error}",
-                    "place": f"{place.name}:{place.lineno}",
+                    "place": f"{raised_at.name}:{raised_at.lineno}",
                 },
             )
 
-    async def _ticks(self) -> None:
+    async def _run_timer(self) -> None:
+        """Wake the core whenever its next timer is due."""
         while True:
             wake = self._wake_at
             with trio.CancelScope(deadline=at(wake) if wake is not None else float("inf")) as waiting:
                 await self._timer.wait()
             if wake is not None and (waiting.cancelled_caught or now() >= wake):
-                # the deadline is a float and may come up a nanosecond before the time it stands for: without this
-                # a clock that moves only when all wait would never get there
+                # the deadline is a float and may expire a nanosecond before the time it stands for; without max() a
+                # virtual clock, which advances only when all tasks wait, would never reach that time
                 self._wake_at = None
                 self.core.wake(max(wake, now()))
-                self._carry_out()
+                self._run_io_actions()
 
-    def _follow(self, nursery: trio.Nursery, on: bool) -> None:
-        if self._following is not None:
-            self._following.cancel()
-            self._following = None
-        if on:
-            self._following = trio.CancelScope()
-            nursery.start_soon(self._follow_list, self._following)
+    def _set_list_following(self, nursery: trio.Nursery, enabled: bool) -> None:
+        """Stop following the server list, and start anew if `enabled`."""
+        if self._list_scope is not None:
+            self._list_scope.cancel()
+            self._list_scope = None
+        if enabled:
+            self._list_scope = trio.CancelScope()
+            nursery.start_soon(self._follow_list, self._list_scope)
 
     async def _follow_list(self, scope: trio.CancelScope) -> None:
         with scope:
-            self._follower = Follower(self.network, self.core, self.station.hosts, self._carry_out)
-            await self._follower.run()
+            self._list_follower = Follower(self.network, self.core, self.station.hosts, self._run_io_actions)
+            await self._list_follower.run()
 
     async def _catch_up(self) -> None:
-        """What lies unread of the list comes before anything new for a host."""
-        if self._follower is not None:
-            await self._follower.catch_up(self.core.plays.news_wait / 1e9)
+        """Read what has arrived of the server list, before anything new is sent to a host."""
+        if self._list_follower is not None:
+            await self._list_follower.catch_up(self.core.plays.news_wait / 1e9)
 
     async def _probe(self, server: int, address: str) -> None:
-        code, report = load_told(await ask(self.network, self.core, address))
+        """Probe a host and pass the result to the core."""
+        code, report = load_told(await query_host(self.network, self.core, address))
         self.core.plays.probed(now(), server, code, report)
-        self._carry_out()
-
-    async def _settle(self, order: Settle) -> None:
-        answer = await ask(self.network, self.core, order.address, ((SETTLE_HEADER, order.request),))
-        text = answer.header(SETTLED_HEADER) if not isinstance(answer, Code) else None
-        self.core.plays.settled(now(), order.code, text)
-        self._carry_out()
-
-    async def _upstream(self, attempt: Attempt) -> None:
-        link = Link(self.core, self.network, attempt, self._carry_out, self._catch_up)
-        play = self.core.plays.plays.get(attempt.plan.ref)
-        customer = play.customer if play is not None else None
-        visitor = getattr(customer, "visitor", None)
-        caller = self._callers.get(visitor) if visitor is not None else None
-        self._links[attempt] = link
-        if customer is not None and caller is not None:
-            link.blocked = lambda: visitor in self._callers and customer.blocked()
-            caller.feeds[link] = None
+        self._run_io_actions()
+
+    async def _query_code(self, query: Settle) -> None:
+        """Ask a host what became of a set-up with a code."""
+        answer = await query_host(self.network, self.core, query.address, ((SETTLE_HEADER, query.request),))
+        fate = answer.header(SETTLED_HEADER) if not isinstance(answer, Code) else None
+        self.core.plays.settled(now(), query.code, fate)
+        self._run_io_actions()
+
+    async def _run_attempt(self, attempt: Attempt) -> None:
+        """Run an attempt, linked to its viewer so that each can hold up or release the other."""
+        task = AttemptTask(self.core, self.network, attempt, self._run_io_actions, self._catch_up)
+        request = self.core.plays.plays.get(attempt.plan.ref)
+        owner = request.customer if request is not None else None
+        connection = getattr(owner, "visitor", None)
+        viewer = self._viewers.get(connection) if connection is not None else None
+        self._links[attempt] = task
+        if owner is not None and viewer is not None:
+            task.is_blocked = lambda: connection in self._viewers and owner.blocked()
+            viewer.attempt_tasks[task] = None
         try:
             if attempt.verdict is not None:
-                link.stop()
-            await link.run()
+                task.stop()
+            await task.run()
         finally:
             self._links.pop(attempt, None)
-            if caller is not None:
-                caller.feeds.pop(link, None)
+            if viewer is not None:
+                viewer.attempt_tasks.pop(task, None)
 
     # ---- viewers
 
@@ -379,55 +403,58 @@
                 if self.core.visits.draining:
                     return
                 raise
-            self._nursery.start_soon(self._guarded, "viewer", self._viewer, stream)
+            self._nursery.start_soon(self._run_guarded, "viewer", self._serve_viewer, stream)
 
-    async def _viewer(self, stream: Stream) -> None:
-        visitor = self.core.visits.opened(now(), stream.peer)
-        if visitor is None:
+    async def _serve_viewer(self, stream: Stream) -> None:
+        """Read and write one viewer connection until it closes."""
+        connection = self.core.visits.opened(now(), stream.peer)
+        if connection is None:
             stream.close()
             return
-        caller = self._callers[visitor] = Caller(stream)
+        viewer = self._viewers[connection] = ViewerSocket(stream)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._write, stream, visitor, caller, nursery.cancel_scope)
-                await self._read(stream, visitor, caller)
-                if not visitor.closing:
+                nursery.start_soon(self._write_viewer, stream, connection, viewer, nursery.cancel_scope)
+                await self._read_viewer(stream, connection, viewer)
+                if not connection.closing:
                     nursery.cancel_scope.cancel()
         finally:
             stream.close()
-            del self._callers[visitor]
-            self.core.visits.closed(now(), visitor)
-            for link in caller.feeds:
-                link.roomy.set()
-            self._carry_out()
-
-    async def _read(self, stream: Stream, visitor: Visitor, caller: Caller) -> None:
-        while not visitor.closing:
+            del self._viewers[connection]
+            self.core.visits.closed(now(), connection)
+            for task in viewer.attempt_tasks:
+                task.room_available.set()
+            self._run_io_actions()
+
+    async def _read_viewer(self, stream: Stream, connection: Visitor, viewer: ViewerSocket) -> None:
+        while not connection.closing:
             try:
                 data = await stream.receive_some(16384)
             except OSError:
                 return
             if not data:
                 return
-            self.core.visits.received(now(), visitor, data)
-            self._carry_out()
-            while visitor.outbox.full:
-                # one that asks and asks and reads no answer is read no further itself
-                await caller.roomy.wait()
-
-    async def _write(self, stream: Stream, visitor: Visitor, caller: Caller, scope: trio.CancelScope) -> None:
-        outbox = visitor.outbox
+            self.core.visits.received(now(), connection, data)
+            self._run_io_actions()
+            while connection.outbox.full:
+                # back-pressure: a viewer that does not read its responses gets no more requests read
+                await viewer.room_available.wait()
+
+    async def _write_viewer(
+        self, stream: Stream, connection: Visitor, viewer: ViewerSocket, scope: trio.CancelScope
+    ) -> None:
+        outbox = connection.outbox
         while True:
             data = outbox.peek()
             if not data:
-                if caller.hanging_up:
+                if viewer.closing:
                     break
-                caller.idle = True
-                await caller.wake.wait()
-                caller.idle = False
+                viewer.writer_idle = True
+                await viewer.wake.wait()
+                viewer.writer_idle = False
                 continue
-            # the time of a stall begins when the viewer is found to take nothing: what this gateway itself was
-            # late with, standing still for a while, is not the viewer's fault
+            # the stall timeout starts when the socket accepts nothing: time in which this gateway itself did not
+            # run is not the viewer's fault
             try:
                 sent = stream.send_now(data)
                 if not sent:
@@ -436,11 +463,11 @@
             except OSError:
                 break
             if not sent:
-                self.core.visits.stalled(now(), visitor)
+                self.core.visits.stalled(now(), connection)
                 break
             outbox.took(sent)
             if outbox.roomy:
-                caller.roomy.set()
-                for link in caller.feeds:
-                    link.roomy.set()
+                viewer.room_available.set()
+                for task in viewer.attempt_tasks:
+                    task.room_available.set()
         scope.cancel()
--- a/copperyard/gateway/listing.py
+++ b/copperyard/gateway/listing.py
@@ -1,4 +1,4 @@
-"""Follows the list service over HTTP (h11): long polls on one connection."""
+"""Follows the list service over HTTP (h11) with long polls on one connection."""
 
 from __future__ import annotations
 
@@ -12,147 +12,154 @@
 from ..control.core import Core
 from .net import Network, Signal, Stream, now
 
-MOST_BODY = 16 * 1024 * 1024
-READ = 65536
+MAX_BODY_BYTES = 16 * 1024 * 1024
+READ_BYTES = 65536
 
 
 @dataclass(frozen=True, slots=True)
-class ListPlace:
-    """Where the list is had: `address` and `path`; a poll waits `wait` ns there and `timeout` ns here."""
+class ListEndpoint:
+    """Where the list service is, how long it may hold a poll, and after how long a poll times out (both ns)."""
 
     address: str
     path: str
-    wait: int
-    timeout: int
+    poll_wait: int
+    poll_timeout: int
 
 
-def list_place(url: str, wait: int, timeout: int) -> ListPlace:
-    """The place of an http URL. ValueError for another scheme or a URL without a port or host."""
+def list_place(url: str, wait: int, timeout: int) -> ListEndpoint:
+    """Parse an http URL; the default port is 80. ValueError for another scheme or a URL without a host."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
         raise ValueError(f"not an http URL: {url}")
     host = f"[{parts.hostname}]" if ":" in parts.hostname else parts.hostname
-    return ListPlace(f"{host}:{parts.port or 80}", parts.path or "/", wait, timeout)
+    return ListEndpoint(f"{host}:{parts.port or 80}", parts.path or "/", wait, timeout)
 
 
 class Follower:
-    """Polls the list service. One long poll is out at a time; its answer is taken by whoever looks first: the task
-    that waits for it, or a set-up that is about to leave (`catch_up`)."""
+    """Polls the list service, with one long poll in progress at a time.
 
-    def __init__(self, network: Network, core: Core, place: ListPlace, carry_out: Callable[[], None]) -> None:
-        self.network, self.core, self.place, self.carry_out = network, core, place, carry_out
+    The response is read by whichever comes first: the task that waits for it, or a set-up that is about to be sent
+    (`catch_up`).
+    """
+
+    def __init__(
+        self, network: Network, core: Core, endpoint: ListEndpoint, run_io_actions: Callable[[], None]
+    ) -> None:
+        self.network, self.core, self.endpoint, self.run_io_actions = network, core, endpoint, run_io_actions
         self._stream: Stream | None = None
-        self._wire = h11.Connection(h11.CLIENT)
+        self._http = h11.Connection(h11.CLIENT)
         self._status = 0
         self._body = bytearray()
-        self._begun = self._whole = self._drained = False
+        self._response_begun = self._response_complete = self._read_by_other = False
         self._error: OSError | None = None
-        self._reading: trio.CancelScope | None = None
-        self._moved = Signal()
+        self._read_scope: trio.CancelScope | None = None
+        self._response_done = Signal()
 
     async def run(self) -> None:
-        """Poll until something fails; the core hears of that once and says when to go on."""
+        """Poll until something fails; the core is told once and decides when to poll again."""
         try:
-            with trio.move_on_after(self.place.timeout / 1e9):
-                self._stream = await self.network.connect(self.place.address)
+            with trio.move_on_after(self.endpoint.poll_timeout / 1e9):
+                self._stream = await self.network.connect(self.endpoint.address)
             if self._stream is None:
-                raise OSError("no connection in time")
+                raise OSError("connect timed out")
             while True:
                 await self._poll(self._stream)
-                if self._wire.our_state is not h11.DONE or self._wire.their_state is not h11.DONE:
-                    raise OSError("it closed the connection")
-                self._wire.start_next_cycle()
+                if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
+                    raise OSError("the service closed the connection")
+                self._http.start_next_cycle()
         except (OSError, h11.RemoteProtocolError) as error:
             self.core.list_failed(now(), f"{type(error).__name__}: {error}"[:200])
         finally:
-            stream, self._stream, self._begun = self._stream, None, False
-            self._moved.set()
+            stream, self._stream, self._response_begun = self._stream, None, False
+            self._response_done.set()
             if stream is not None:
                 stream.close()
-        self.carry_out()
+        self.run_io_actions()
 
     async def _poll(self, stream: Stream) -> None:
-        known, place = self.core.roster.generation, self.place
-        query = f"?after={known}&wait_ms={place.wait // 1_000_000}" if known is not None else ""
-        headers = [("Host", place.address), ("User-Agent", self.core.label)]
-        self._status, self._whole = 0, False
+        generation, endpoint = self.core.roster.generation, self.endpoint
+        query = f"?after={generation}&wait_ms={endpoint.poll_wait // 1_000_000}" if generation is not None else ""
+        headers = [("Host", endpoint.address), ("User-Agent", self.core.label)]
+        self._status, self._response_complete = 0, False
         self._body.clear()
-        with trio.move_on_after(place.timeout / 1e9) as sending:
-            request = h11.Request(method="GET", target=place.path + query, headers=headers)
+        with trio.move_on_after(endpoint.poll_timeout / 1e9) as send_scope:
+            request = h11.Request(method="GET", target=endpoint.path + query, headers=headers)
             for part in (request, h11.EndOfMessage()):
-                data = self._wire.send(part)
+                data = self._http.send(part)
                 while data:
                     data = data[await stream.send_some(data) :]
-        if sending.cancelled_caught:
-            raise OSError("it took no request in time")
-        limits = [trio.current_time() + place.timeout / 1e9]
-        while not self._whole:
-            self._drained = False
-            with trio.CancelScope(deadline=limits[-1]) as self._reading:
-                self._take(await stream.receive_some(READ))
+        if send_scope.cancelled_caught:
+            raise OSError("sending the request timed out")
+        deadlines = [trio.current_time() + endpoint.poll_timeout / 1e9]
+        while not self._response_complete:
+            self._read_by_other = False
+            with trio.CancelScope(deadline=deadlines[-1]) as self._read_scope:
+                self._receive(await stream.receive_some(READ_BYTES))
                 continue
-            if self._drained:
-                continue  # somebody else looked, and took what this waited for
-            # a poll's time that ran out while this process stood still says nothing of the service: what came
-            # meanwhile lies unread, and dropping it with the connection lost news of a drain (seed 9000568)
-            if len(limits) > 1 or not self._drain():
-                raise OSError("no answer in time")
-            limits.append(trio.current_time() + place.timeout / 1e9)
+            if self._read_by_other:
+                continue  # `catch_up` read what this task waited for
+            # a timeout that expired while this process did not run says nothing about the service: data that
+            # arrived meanwhile is still unread, and closing the connection lost the news of a drain (seed 9000568)
+            if len(deadlines) > 1 or not self._drain():
+                raise OSError("no response in time")
+            deadlines.append(trio.current_time() + endpoint.poll_timeout / 1e9)
         if self._error is not None:
             raise self._error
 
-    async def catch_up(self, most: float) -> None:
-        """Take what lies unread. Where an answer has begun and not ended, wait for its end, at most `most` s: a
-        service that hangs in the middle of one must not hold up every session here."""
+    async def catch_up(self, timeout_s: float) -> None:
+        """Read what has arrived, and wait for the end of a response that has begun, at most `timeout_s` seconds.
+
+        The wait is bounded because a service that hangs in the middle of a response must not hold up all sessions.
+        """
         self._drain()
-        if not self._begun:
+        if not self._response_begun:
             return
-        with trio.move_on_after(most):
-            while self._begun:
-                await self._moved.wait()
-                self._moved.set()  # for the others that wait
+        with trio.move_on_after(timeout_s):
+            while self._response_begun:
+                await self._response_done.wait()
+                self._response_done.set()  # wakes the next waiting task
 
     def _drain(self) -> bool:
-        """Read without waiting; whether anything was there."""
-        found = False
+        """Read without waiting; returns whether anything was read."""
+        any_read = False
         try:
-            while self._stream is not None and not self._whole:
-                data = self._stream.receive_now(READ)
+            while self._stream is not None and not self._response_complete:
+                data = self._stream.receive_now(READ_BYTES)
                 if data is None:
                     break
-                found = True
-                self._take(data)
+                any_read = True
+                self._receive(data)
         except (OSError, h11.RemoteProtocolError):
-            pass  # the waiting task meets the same end, and tells of it
-        if found and self._reading is not None:
-            self._drained = True
-            self._reading.cancel()
-        return found
-
-    def _take(self, data: bytes) -> None:
-        """Bytes of an answer; the core is told once it is whole."""
-        self._wire.receive_data(data)
-        while not self._whole:
-            event = self._wire.next_event()
+            pass  # the polling task meets the same error and reports it
+        if any_read and self._read_scope is not None:
+            self._read_by_other = True
+            self._read_scope.cancel()
+        return any_read
+
+    def _receive(self, data: bytes) -> None:
+        """Parse bytes of a response; the core gets the response once it is complete."""
+        self._http.receive_data(data)
+        while not self._response_complete:
+            event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._begun = self._status != 0 or bool(self._wire.trailing_data[0])
+                self._response_begun = self._status != 0 or bool(self._http.trailing_data[0])
                 return
             if isinstance(event, h11.Response):
                 self._status = event.status_code
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > MOST_BODY:
-                    raise OSError(f"its answer is over {MOST_BODY} bytes")
+                if len(self._body) > MAX_BODY_BYTES:
+                    raise OSError(f"the response body is over {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
-                self._ended()
+                self._response_ended()
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("it closed the connection")
+                raise OSError("the service closed the connection")
 
-    def _ended(self) -> None:
-        self._whole, self._begun = True, False
-        self._moved.set()
+    def _response_ended(self) -> None:
+        self._response_complete, self._response_begun = True, False
+        self._response_done.set()
         if self._status == 200 and not self.core.list_body(now(), bytes(self._body)):
-            self._error = OSError("its answer made no sense")
+            self._error = OSError("the response body is not a valid list")
         elif self._status not in (200, 204):
-            self._error = OSError(f"it answered {self._status}")
-        self.carry_out()
+            self._error = OSError(f"the service answered with status {self._status}")
+        self.run_io_actions()
--- a/copperyard/gateway/upstream.py
+++ b/copperyard/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: one task for each attempt, one for each probe."""
+"""Connections to hosts: one task for each attempt, one for each probe or query."""
 
 from __future__ import annotations
 
@@ -13,64 +13,64 @@
 from ..protocol.rtsp.messages import Headers
 from .net import Network, Signal, Stream, at, now
 
-READ = 65536
+READ_BYTES = 65536
 
 
-class Link:
-    """The task that runs an attempt, as the rest of the gateway sees it."""
+class AttemptTask:
+    """Runs one attempt on a connection of its own. `run_io_actions` and `catch_up` are the gateway's."""
 
     def __init__(
         self,
         core: Core,
         network: Network,
         attempt: Attempt,
-        carry_out: Callable[[], None],
+        run_io_actions: Callable[[], None],
         catch_up: Callable[[], Awaitable[None]],
     ) -> None:
         self.core, self.network, self.attempt = core, network, attempt
-        self.carry_out, self.catch_up = carry_out, catch_up
+        self.run_io_actions, self.catch_up = run_io_actions, catch_up
         self.wake = Signal()
-        self.roomy = Signal()
+        self.room_available = Signal()
         self.scope = trio.CancelScope()
-        self.blocked: Callable[[], bool] = lambda: False
+        self.is_blocked: Callable[[], bool] = lambda: False
 
     @property
-    def _connect_s(self) -> float:
+    def _connect_timeout_s(self) -> float:
         return self.core.rules.settings.connect_timeout / 1e9
 
     async def run(self) -> None:
-        """Connect, talk, close; the core hears of the end only after the close."""
+        """Connect, exchange messages, close; the core hears of the end only after the close."""
         stream: Stream | None = None
         self.scope.deadline = at(self.attempt.limit)
         try:
             with self.scope:
-                with trio.move_on_after(self._connect_s):
+                with trio.move_on_after(self._connect_timeout_s):
                     try:
                         stream = await self.network.connect(self.attempt.plan.address)
                     except OSError:
                         stream = None
                 if stream is not None and await self._connected():
-                    await self._talk(stream)
+                    await self._exchange(stream)
             if self.scope.cancelled_caught and stream is not None:
                 self.core.plays.expired(now(), self.attempt)
             if stream is not None and self.attempt.out and self.attempt.sent:
-                await self._last_words(stream)
+                await self._send_teardown(stream)
         finally:
             if stream is not None:
                 stream.close()
             self.core.plays.closed(now(), self.attempt)
-            self.carry_out()
+            self.run_io_actions()
 
     async def _connected(self) -> bool:
-        # a process that stood still since the attempt was decided has not read yet what ended meanwhile
+        # a process that did not run for a while since the decision has not yet read which hosts ended meanwhile
         await self.catch_up()
         return self.core.plays.connected(now(), self.attempt)
 
     def stop(self) -> None:
-        """The core ended the attempt."""
+        """Cancel the task: the core ended the attempt."""
         self.scope.cancel()
 
-    async def _talk(self, stream: Stream) -> None:
+    async def _exchange(self, stream: Stream) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write, stream)
             await self._read(stream)
@@ -79,19 +79,19 @@
     async def _read(self, stream: Stream) -> None:
         while True:
             try:
-                data = await stream.receive_some(READ)
+                data = await stream.receive_some(READ_BYTES)
             except OSError:
                 return
             if not data:
                 return
             if self.attempt.stage is Stage.ASK:
-                await self.catch_up()  # what comes is the leave to send the set-up
+                await self.catch_up()  # what arrives permits the set-up to be sent
             self.core.plays.received(now(), self.attempt, data)
-            self.carry_out()
+            self.run_io_actions()
             if self.attempt.stage is Stage.OPEN:
                 self.scope.deadline = float("inf")
-            while self.blocked():
-                await self.roomy.wait()
+            while self.is_blocked():
+                await self.room_available.wait()
 
     async def _write(self, stream: Stream) -> None:
         out = self.attempt.out
@@ -100,14 +100,14 @@
                 try:
                     sent = await stream.send_some(bytes(out))
                 except OSError:
-                    return  # the reader sees the end as well, with what the host said before it
+                    return  # the reader sees the end too, after what the host sent before it
                 del out[:sent]
             await self.wake.wait()
 
-    async def _last_words(self, stream: Stream) -> None:
-        """A TEARDOWN, where the host takes it within the time for a connect."""
+    async def _send_teardown(self, stream: Stream) -> None:
+        """Send the TEARDOWN, unless the host does not accept it within the connect timeout."""
         out = self.attempt.out
-        with trio.move_on_after(self._connect_s):
+        with trio.move_on_after(self._connect_timeout_s):
             try:
                 while out:
                     del out[: await stream.send_some(bytes(out))]
@@ -115,25 +115,25 @@
                 return
 
 
-async def ask(network: Network, core: Core, address: str, headers: Headers = ()) -> Response | Code:
-    """Ask a host one question, within the time for a connect: its answer, or why there is none."""
-    probing = Question(address, core.rules.hosts, headers)
+async def query_host(network: Network, core: Core, address: str, headers: Headers = ()) -> Response | Code:
+    """Send one request to a host, within the connect timeout; return its response, or why there is none."""
+    query = Question(address, core.rules.hosts, headers)
     stream: Stream | None = None
     code = Code.CONNECT_FAILED
     try:
         with trio.move_on_after(core.rules.settings.connect_timeout / 1e9):
             stream = await network.connect(address)
-            code, out = Code.TIMEOUT, probing.out
+            code, out = Code.TIMEOUT, query.out
             while out:
                 out = out[await stream.send_some(out) :]
-            while data := await stream.receive_some(READ):
-                found = probing.receive(data)
-                if found is not None:
-                    return found
+            while data := await stream.receive_some(READ_BYTES):
+                answer = query.receive(data)
+                if answer is not None:
+                    return answer
             code = Code.RESET
     except OSError:
         code = code if code is Code.CONNECT_FAILED else Code.RESET
     finally:
         if stream is not None:
-            stream.close()  # also when the gateway is cancelled in the middle of a probe
+            stream.close()  # also when the gateway is cancelled during a query
     return code
--- a/copperyard/protocol/__init__.py
+++ b/copperyard/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs and connection state machines without I/O: bytes in, events out."""
+"""Codecs and connection state machines without I/O: they take bytes and return events."""
--- a/copperyard/protocol/rtp/__init__.py
+++ b/copperyard/protocol/rtp/__init__.py
@@ -1,4 +1,4 @@
-"""RTP and RTCP (RFC 3550): headers, reports and APP packets, without I/O."""
+"""RTP and RTCP (RFC 3550): encode and parse headers, reports and APP packets, without I/O."""
 
 from .rtcp import App, Block, Bye, ReceiverReport, SenderReport, encode_compound, parse_compound
 from .rtp import Packet, pack, parse, rewrite
--- a/copperyard/protocol/rtp/rtp.py
+++ b/copperyard/protocol/rtp/rtp.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 _HEADER = struct.Struct(">BBHII")
-_TAIL = struct.Struct(">HII")
+_SEQ_TS_SSRC = struct.Struct(">HII")
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """The fixed header of an RTP packet. `ts` counts the payload's own clock."""
+    """The fixed header of an RTP packet; `ts` is in units of the payload's clock."""
 
     payload_type: int
     seq: int
@@ -21,7 +21,7 @@
 
 
 def parse(data: bytes) -> Packet | None:
-    """The header of a packet, None for what is no RTP of version 2."""
+    """Return the header of a packet, None if the bytes are not RTP version 2."""
     if len(data) < 12:
         return None
     first, second, seq, ts, ssrc = _HEADER.unpack_from(data)
@@ -31,11 +31,11 @@
 
 
 def pack(packet: Packet, payload: bytes) -> bytes:
-    """A packet without padding, extension or contributing sources."""
+    """Encode a packet without padding, extension or contributing sources."""
     second = packet.payload_type & 0x7F | (0x80 if packet.marker else 0)
     return _HEADER.pack(0x80, second, packet.seq & 0xFFFF, packet.ts & 0xFFFFFFFF, packet.ssrc) + payload
 
 
 def rewrite(data: bytes, seq: int, ts: int, ssrc: int) -> bytes:
-    """The same packet under another sequence number, timestamp and source."""
-    return data[:2] + _TAIL.pack(seq & 0xFFFF, ts & 0xFFFFFFFF, ssrc) + data[12:]
+    """Return the packet with another sequence number, timestamp and source."""
+    return data[:2] + _SEQ_TS_SSRC.pack(seq & 0xFFFF, ts & 0xFFFFFFFF, ssrc) + data[12:]
--- a/copperyard/protocol/rtsp/connection.py
+++ b/copperyard/protocol/rtsp/connection.py
@@ -1,7 +1,7 @@
-"""One RTSP connection as a state machine: bytes in, events out, for either side of it.
+"""One RTSP connection as a state machine that takes bytes and returns events, for either side.
 
-Both sides may send requests (RFC 2326 section 10), so there is one class for both. What comes out does not
-depend on how the bytes were split. Nothing here grows past `Limits`.
+Both sides may send requests (RFC 2326 section 10), so there is one class for both. The events do not depend on how
+the bytes were split into reads. No buffer grows beyond `Limits`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .messages import (
-    DOLLAR,
+    FRAME_MARKER,
     VERSION,
     Frame,
     Headers,
@@ -24,8 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a peer may send: bytes of a line, lines of a head, bytes of a body and of an interleaved
-    frame, and requests of ours that may wait for their response."""
+    """Bounds on what a peer may send.
+
+    `line`: bytes of a line; `headers`: header lines of a message; `body` and `frame`: bytes of a body and of an
+    interleaved frame; `pending`: requests of this side that may wait for their response.
+    """
 
     line: int
     headers: int
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The response to a request that this side sent as `cseq`."""
+    """A response, with the number and method of the request of this side that it answers."""
 
     cseq: int
     method: str
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unasked:
-    """A response whose CSeq belongs to no request that waits."""
+    """A provisional response, or one whose CSeq belongs to no pending request."""
 
     response: Response
 
@@ -54,128 +57,135 @@
 
 
 class Connection:
-    """Parses what the peer sends and numbers what this side asks. With `runs`, interleaved frames that stand
-    whole in what was received come as one Run and not each as a Frame: relaying looks at each only once."""
+    """Parses what the peer sends and numbers the requests of this side.
+
+    Optionally, complete interleaved frames that follow each other in the buffer come as one event and not as a Frame
+    each, so that a relay looks at each of them only once.
+    """
 
     def __init__(self, limits: Limits, runs: bool = False) -> None:
         self.limits, self.runs = limits, runs
-        self.dead = False
+        self.failed = False
         self._data = bytearray()
-        self._seen = 0  # bytes of _data already searched for the end of the line
+        self._scanned = 0  # bytes of _data already searched for a line end
         self._head: list[bytes] = []
         self._message: Request | Response | None = None
-        self._missing = 0
-        self._next = 1
-        self._asked: OrderedDict[int, str] = OrderedDict()
+        self._body_size = 0
+        self._next_cseq = 1
+        self._pending: OrderedDict[int, str] = OrderedDict()
 
     # ---- sending
 
     @property
     def waiting(self) -> int:
-        """Requests of this side that have no response yet."""
-        return len(self._asked)
+        """Number of requests of this side without a response."""
+        return len(self._pending)
 
     def ask(self, method: str, uri: str, headers: Headers = (), body: bytes = b"") -> tuple[int, bytes]:
-        """A request of this side: its CSeq and its bytes. RuntimeError past `Limits.pending`."""
-        if len(self._asked) >= self.limits.pending:
-            raise RuntimeError("too many requests wait for their response")
-        cseq, self._next = self._next, self._next + 1
-        self._asked[cseq] = method
+        """Encode a request of this side; returns its CSeq and bytes. RuntimeError beyond `Limits.pending`."""
+        if len(self._pending) >= self.limits.pending:
+            raise RuntimeError("too many requests without a response")
+        cseq, self._next_cseq = self._next_cseq, self._next_cseq + 1
+        self._pending[cseq] = method
         return cseq, Request(method, uri, (("CSeq", str(cseq)), *headers), body).encode()
 
     @staticmethod
     def answer(request: Request, response: Response) -> bytes:
-        """The bytes of a response, with the request's CSeq (section 12.17)."""
+        """Encode a response with the request's CSeq (section 12.17)."""
         number = request.cseq
         cseq: Headers = (("CSeq", str(number)),) if number is not None else ()
         return Response(response.status, cseq + response.headers, response.body, response.reason).encode()
 
     @staticmethod
     def frame(channel: int, payload: bytes) -> bytes:
-        """An interleaved frame (section 10.12)."""
+        """Encode an interleaved frame (section 10.12)."""
         return frame_header(channel, len(payload)) + payload
 
     # ---- receiving
 
     def receive(self, data: bytes) -> list[Event]:
-        """Take bytes from the peer; give the events that they complete, in order. After a Malformed there is
-        never another event."""
+        """Parse bytes from the peer; returns the events that they complete, in order.
+
+        After the event for malformed input there is never another one.
+        """
         events: list[Event] = []
-        if self.dead:
+        if self.failed:
             return events
         self._data += data
-        at = 0
+        offset = 0
         buffer = self._data
         try:
             while True:
                 if self._message is not None:
-                    if len(buffer) - at < self._missing:
+                    if len(buffer) - offset < self._body_size:
                         break
-                    events.append(self._finish(bytes(buffer[at : at + self._missing])))
-                    at += self._missing
-                    self._missing = self._seen = 0
-                elif self.runs and not self._head and at < len(buffer) and buffer[at] == DOLLAR:
-                    end = self._run(at)
-                    if end == at:
+                    events.append(self._finish_message(bytes(buffer[offset : offset + self._body_size])))
+                    offset += self._body_size
+                    self._body_size = self._scanned = 0
+                elif self.runs and not self._head and offset < len(buffer) and buffer[offset] == FRAME_MARKER:
+                    end = self._batch_end(offset)
+                    if end == offset:
                         break
-                    events.append(Run(buffer[at:end]))
-                    at = end
-                    self._seen = 0
-                elif not self._head and at < len(buffer) and buffer[at] == DOLLAR:
-                    if len(buffer) - at < 4:
+                    events.append(Run(buffer[offset:end]))
+                    offset = end
+                    self._scanned = 0
+                elif not self._head and offset < len(buffer) and buffer[offset] == FRAME_MARKER:
+                    if len(buffer) - offset < 4:
                         break
-                    size = buffer[at + 2] << 8 | buffer[at + 3]
+                    size = buffer[offset + 2] << 8 | buffer[offset + 3]
                     if size > self.limits.frame:
-                        raise _Fault(413, f"an interleaved frame of {size} bytes is over {self.limits.frame}")
-                    if len(buffer) - at < 4 + size:
+                        raise _ParseError(413, f"an interleaved frame of {size} bytes is over {self.limits.frame}")
+                    if len(buffer) - offset < 4 + size:
                         break
-                    events.append(Frame(buffer[at + 1], bytes(buffer[at + 4 : at + 4 + size])))
-                    at += 4 + size
-                    self._seen = 0
+                    events.append(Frame(buffer[offset + 1], bytes(buffer[offset + 4 : offset + 4 + size])))
+                    offset += 4 + size
+                    self._scanned = 0
                 else:
-                    end = buffer.find(b"\n", at + self._seen)
+                    end = buffer.find(b"\n", offset + self._scanned)
                     if end < 0:
-                        # the line may still end in CR LF: only what is past both is too long for certain
-                        if len(buffer) - at > self.limits.line + 1:
-                            raise _Fault(414 if not self._head else 400, f"a line is over {self.limits.line} bytes")
-                        self._seen = len(buffer) - at
+                        # the line may still end in CR LF, so only a longer one is certainly over the limit
+                        if len(buffer) - offset > self.limits.line + 1:
+                            raise _ParseError(
+                                414 if not self._head else 400, f"a line is over {self.limits.line} bytes"
+                            )
+                        self._scanned = len(buffer) - offset
                         break
-                    line = bytes(buffer[at:end]).removesuffix(b"\r")
-                    at = end + 1
-                    self._seen = 0
+                    line = bytes(buffer[offset:end]).removesuffix(b"\r")
+                    offset = end + 1
+                    self._scanned = 0
                     if len(line) > self.limits.line:
-                        raise _Fault(414 if not self._head else 400, f"a line is over {self.limits.line} bytes")
-                    self._line(line)
-        except _Fault as fault:
-            events.append(Malformed(fault.status, str(fault)))
-            self.dead = True
-            at = len(buffer)
-        del buffer[:at]
+                        raise _ParseError(414 if not self._head else 400, f"a line is over {self.limits.line} bytes")
+                    self._add_line(line)
+        except _ParseError as error:
+            events.append(Malformed(error.status, str(error)))
+            self.failed = True
+            offset = len(buffer)
+        del buffer[:offset]
         return events
 
-    def _run(self, at: int) -> int:
-        """Where the whole frames from `at` on end."""
-        buffer, size, most = self._data, len(self._data), self.limits.frame
-        while at + 4 <= size and buffer[at] == DOLLAR:
-            length = buffer[at + 2] << 8 | buffer[at + 3]
-            if length > most:
-                raise _Fault(413, f"an interleaved frame of {length} bytes is over {most}")
-            if at + 4 + length > size:
+    def _batch_end(self, offset: int) -> int:
+        """Return the end of the complete frames that start at `offset`."""
+        buffer, size, limit = self._data, len(self._data), self.limits.frame
+        while offset + 4 <= size and buffer[offset] == FRAME_MARKER:
+            length = buffer[offset + 2] << 8 | buffer[offset + 3]
+            if length > limit:
+                raise _ParseError(413, f"an interleaved frame of {length} bytes is over {limit}")
+            if offset + 4 + length > size:
                 break
-            at += 4 + length
-        return at
+            offset += 4 + length
+        return offset
 
-    def _line(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         if line:
             if len(self._head) > self.limits.headers:
-                raise _Fault(400, f"a head has more than {self.limits.headers} header lines")
+                raise _ParseError(400, f"a message has more than {self.limits.headers} header lines")
             self._head.append(line)
         elif self._head:
             head, self._head = self._head, []
-            self._message, self._missing = _parse(head, self.limits)
-        # an empty line before a message is skipped, as HTTP/1.1 section 4.1 has it
+            self._message, self._body_size = _parse_head(head, self.limits)
+        # an empty line before a message is skipped, as in HTTP/1.1 (RFC 2068 section 4.1)
 
-    def _finish(self, body: bytes) -> Event:
+    def _finish_message(self, body: bytes) -> Event:
         message, self._message = self._message, None
         if isinstance(message, Request):
             return Request(message.method, message.uri, message.headers, body, message.version)
@@ -183,82 +193,82 @@
         response = Response(message.status, message.headers, body, message.reason)
         text = response.header("CSeq") or ""
         cseq = int(text) if text.isascii() and text.isdigit() and len(text) < 10 else -1
-        if cseq not in self._asked or response.status < 200:
+        if cseq not in self._pending or response.status < 200:
             return Unasked(response)
-        return Reply(cseq, self._asked.pop(cseq), response)
+        return Reply(cseq, self._pending.pop(cseq), response)
 
 
-class _Fault(Exception):
+class _ParseError(Exception):
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-_TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
+_TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
-def _token(data: bytes) -> bool:
-    return bool(data) and _TOKEN.issuperset(data)
+def _is_token(data: bytes) -> bool:
+    return bool(data) and _TOKEN_BYTES.issuperset(data)
 
 
-def _text(data: bytes) -> str:
+def _decode_text(data: bytes) -> str:
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError:
-        raise _Fault(400, "a head is not UTF-8") from None
+        raise _ParseError(400, "a header section is not UTF-8") from None
     if any(c < " " and c != "\t" or c == "\x7f" for c in text):
-        raise _Fault(400, "a head holds a control character")
+        raise _ParseError(400, "a header section contains a control character")
     return text
 
 
-def _parse(head: list[bytes], limits: Limits) -> tuple[Request | Response, int]:
-    """The message of a head and the bytes of its body."""
-    headers = _headers(head[1:])
+def _parse_head(head: list[bytes], limits: Limits) -> tuple[Request | Response, int]:
+    """Parse start line and headers; returns the message without its body, and the size of the body in bytes."""
+    headers = _parse_headers(head[1:])
     line = head[0]
     message: Request | Response
     if line.startswith(b"RTSP/"):
         parts = line.split(b" ", 2)
         if len(parts) < 2 or len(parts[1]) != 3 or not parts[1].isdigit():
-            raise _Fault(400, "a status line without a status of three digits")
-        message = Response(int(parts[1]), headers, b"", _text(parts[2]) if len(parts) > 2 else "")
+            raise _ParseError(400, "a status line without a three-digit status")
+        message = Response(int(parts[1]), headers, b"", _decode_text(parts[2]) if len(parts) > 2 else "")
     else:
         parts = line.split(b" ")
-        if len(parts) != 3 or not _token(parts[0]) or not parts[1] or not parts[2].startswith(b"RTSP/"):
-            raise _Fault(400, "a request line that is not METHOD URI RTSP/1.0")
-        message = Request(_text(parts[0]), _text(parts[1]), headers, b"", _text(parts[2]))
-    return message, _length(headers, limits)
+        if len(parts) != 3 or not _is_token(parts[0]) or not parts[1] or not parts[2].startswith(b"RTSP/"):
+            raise _ParseError(400, "a request line that is not METHOD URI RTSP/1.0")
+        message = Request(_decode_text(parts[0]), _decode_text(parts[1]), headers, b"", _decode_text(parts[2]))
+    return message, _body_length(headers, limits)
 
 
-def _headers(lines: list[bytes]) -> Headers:
-    found: list[tuple[str, str]] = []
+def _parse_headers(lines: list[bytes]) -> Headers:
+    headers: list[tuple[str, str]] = []
     for line in lines:
-        if line[0] in b" \t":  # folded: it goes on with the value before (RFC 2068 section 4.2)
-            if not found:
-                raise _Fault(400, "a head begins with a folded line")
-            name, value = found[-1]
-            found[-1] = (name, f"{value} {_text(line.strip())}".strip())
+        if line[0] in b" \t":  # folded line: continues the value before it (RFC 2068 section 4.2)
+            if not headers:
+                raise _ParseError(400, "the first header line is a folded line")
+            name, value = headers[-1]
+            headers[-1] = (name, f"{value} {_decode_text(line.strip())}".strip())
             continue
-        raw, colon, rest = line.partition(b":")
-        if not colon or not _token(raw.rstrip()):
-            raise _Fault(400, "a header line without a name and a colon")
-        found.append((_text(raw.rstrip()), _text(rest.strip())))
-    return tuple(found)
+        raw_name, colon, rest = line.partition(b":")
+        if not colon or not _is_token(raw_name.rstrip()):
+            raise _ParseError(400, "a header line without a name and a colon")
+        headers.append((_decode_text(raw_name.rstrip()), _decode_text(rest.strip())))
+    return tuple(headers)
 
 
-def _length(headers: Headers, limits: Limits) -> int:
+def _body_length(headers: Headers, limits: Limits) -> int:
     values = {value for name, value in headers if name.lower() == "content-length"}
     if not values:
         return 0
     if len(values) > 1:
-        raise _Fault(400, "two Content-Length headers differ")
+        raise _ParseError(400, "Content-Length headers that differ")
     (text,) = values
     if not (text.isascii() and text.isdigit()):
-        raise _Fault(400, "Content-Length is not a number")
+        raise _ParseError(400, "Content-Length is not a number")
     if len(text) > 12 or int(text) > limits.body:
-        raise _Fault(413, f"a body is over {limits.body} bytes")
+        raise _ParseError(413, f"a body is over {limits.body} bytes")
     return int(text)
 
 
 def supported(request: Request) -> bool:
-    """Whether a request is of the version that is spoken here."""
+    """Whether a request has the protocol version that is implemented here."""
     return request.version == VERSION
--- a/copperyard/protocol/rtsp/headers.py
+++ b/copperyard/protocol/rtsp/headers.py
@@ -1,4 +1,4 @@
-"""The header values that a session needs: Transport, Session, Range, RTP-Info (RFC 2326 section 12), URLs."""
+"""The header values that a session needs (Transport, Session, Range, RTP-Info; RFC 2326 section 12) and URLs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What a request URL names: the path below the front, a track (None: the aggregate), query values."""
+    """What a request URL names: path, track (None: the aggregate), query values, and host with port."""
 
     path: str
     track: int | None
@@ -20,15 +20,18 @@
     host: str = ""
 
     def get(self, name: str) -> str | None:
+        """Return the first query value of that name, None if absent."""
         return next((value for key, value in self.query if key == name), None)
 
 
-_TRACK = re.compile(r"/track([0-9]{1,3})/?$")
+_TRACK_SUFFIX = re.compile(r"/track([0-9]{1,3})/?$")
 
 
 def parse_url(uri: str, limit: int = 2048) -> Target:
-    """Split a request URL (section 3.2). A track is the last path part `/trackN`; clients that append it after
-    a query are understood as well. BadHeader with 400 or 414."""
+    """Parse a request URL (section 3.2). Raises an error with status 400 or 414.
+
+    A track is the last path segment `/trackN`; it is also accepted after the query, where some clients append it.
+    """
     if len(uri) > limit:
         raise BadHeader(414, f"a URL is over {limit} characters")
     if uri == "*":
@@ -37,13 +40,13 @@
         parts = urlsplit(uri)
         host = parts.hostname or ""
     except ValueError:
-        raise BadHeader(400, "a URL that cannot be split") from None
+        raise BadHeader(400, "a URL that cannot be parsed") from None
     if parts.scheme.lower() not in ("rtsp", "rtspu") or not host:
-        raise BadHeader(400, "a URL that is not absolute rtsp")
+        raise BadHeader(400, "a URL that is not an absolute rtsp URL")
     path, query = parts.path, parts.query
     track = None
     for text in (query, path):
-        found = _TRACK.search(text)
+        found = _TRACK_SUFFIX.search(text)
         if found and track is None:
             track = int(found[1])
             if text is query:
@@ -58,27 +61,29 @@
 
 
 def quote_path(path: str) -> str:
-    """A path as it stands in a URL."""
+    """Percent-encode a path for a URL."""
     return quote(path, safe="/-._~")
 
 
 @dataclass(frozen=True, slots=True)
 class Transport:
-    """An offer of RTP over the RTSP connection: the channel of RTP and of RTCP, None where the client left the
-    choice to the server."""
+    """RTP over the RTSP connection; `channels` are those of RTP and RTCP, None if the server is to choose them."""
 
     channels: tuple[int, int] | None
     ssrc: int | None = None
 
     def encode(self) -> str:
+        """Return the header value; the channels must be set."""
         assert self.channels is not None
         ssrc = f";ssrc={self.ssrc:08X}" if self.ssrc is not None else ""
         return f"RTP/AVP/TCP;unicast;interleaved={self.channels[0]}-{self.channels[1]}{ssrc}"
 
 
 def parse_transport(text: str) -> Transport:
-    """The first transport of the list that is interleaved RTP (section 12.39). BadHeader 461 where there is
-    none, 400 where channels make no sense."""
+    """Return the first transport of the list that is interleaved RTP (section 12.39).
+
+    Raises an error with status 461 if there is none, 400 if its channels are invalid.
+    """
     for offer in text.split(","):
         profile, *params = (part.strip() for part in offer.split(";"))
         if profile.upper() != "RTP/AVP/TCP" or "multicast" in params:
@@ -87,49 +92,52 @@
         if "mode" in values and values["mode"].strip('"').upper() not in ("PLAY", ""):
             continue
         ssrc = values.get("ssrc", "")
-        number = int(ssrc, 16) if re.fullmatch("[0-9A-Fa-f]{1,8}", ssrc) else None
+        ssrc_number = int(ssrc, 16) if re.fullmatch("[0-9A-Fa-f]{1,8}", ssrc) else None
         if "interleaved" not in values:
-            return Transport(None, number)
-        found = re.fullmatch(r"([0-9]{1,3})(?:-([0-9]{1,3}))?", values["interleaved"])
-        first = int(found[1]) if found else 256
-        last = int(found[2]) if found and found[2] else first + 1
+            return Transport(None, ssrc_number)
+        match = re.fullmatch(r"([0-9]{1,3})(?:-([0-9]{1,3}))?", values["interleaved"])
+        first = int(match[1]) if match else 256
+        last = int(match[2]) if match and match[2] else first + 1
         if first > 254 or last != first + 1:
-            raise BadHeader(400, "interleaved channels are not two in a row from 0 to 255")
-        return Transport((first, last), number)
+            raise BadHeader(400, "interleaved channels are not two consecutive numbers from 0 to 255")
+        return Transport((first, last), ssrc_number)
     raise BadHeader(461, "only RTP/AVP/TCP;unicast;interleaved is served")
 
 
 @dataclass(frozen=True, slots=True)
 class Range:
-    """A range of normal play time in seconds; `end` None is to the end, `start` None from where it stands."""
+    """A range of normal play time in seconds; `start` None: from the current position, `end` None: to the end."""
 
     start: float | None
     end: float | None = None
 
     def encode(self) -> str:
+        """Return the header value."""
         start = f"{self.start:.3f}" if self.start is not None else "now"
         return f"npt={start}-" + (f"{self.end:.3f}" if self.end is not None else "")
 
 
 def parse_range(text: str, length: float | None) -> Range:
-    """A Range header (sections 3.6, 12.29) on a film of `length` seconds (None: live). BadHeader 457 for what
-    lies outside or is no npt range."""
-    head = text.split(";")[0].strip()
-    if not head.startswith("npt="):
+    """Parse a Range header (sections 3.6, 12.29) for a title of `length` seconds (None: live).
+
+    Raises an error with status 457 if the range is outside of the title or not an npt range.
+    """
+    spec = text.split(";")[0].strip()
+    if not spec.startswith("npt="):
         raise BadHeader(457, "only npt ranges are served")
-    start_text, dash, end_text = head[4:].partition("-")
+    start_text, dash, end_text = spec[4:].partition("-")
     if not dash:
         raise BadHeader(457, "an npt range without a dash")
-    start = None if start_text in ("now", "") else _npt(start_text)
-    end = _npt(end_text) if end_text.strip() else None
+    start = None if start_text in ("now", "") else _parse_npt(start_text)
+    end = _parse_npt(end_text) if end_text.strip() else None
     if start is not None and length is not None and start >= length:
-        raise BadHeader(457, f"the film is {length:g} s long")
+        raise BadHeader(457, f"the title is {length:g} s long")
     if end is not None and (start or 0.0) >= end:
         raise BadHeader(457, "the range ends before it starts")
     return Range(start, end)
 
 
-def _npt(text: str) -> float:
+def _parse_npt(text: str) -> float:
     found = re.fullmatch(r"(?:([0-9]{1,6}):([0-5]?[0-9]):)?([0-9]{1,9}(?:\.[0-9]{0,9})?)", text.strip())
     if not found:
         raise BadHeader(457, "not a normal play time")
@@ -140,7 +148,7 @@
 
 
 def parse_session(text: str) -> tuple[str, int | None]:
-    """Session id and time-out in seconds (section 12.37). BadHeader 400 for what is no id."""
+    """Return session id and timeout in seconds (section 12.37). Raises an error with status 400 for an invalid id."""
     name, *params = (part.strip() for part in text.split(";"))
     if not re.fullmatch(r"[A-Za-z0-9$\-_.+]{1,64}", name):
         raise BadHeader(400, "not a session id")
@@ -154,26 +162,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RtpInfo:
-    """One stream of an RTP-Info header (section 12.33): the first packet that answers the PLAY."""
+    """One stream of an RTP-Info header (section 12.33): the first packet after the PLAY."""
 
     url: str
     seq: int
     rtptime: int
 
     def encode(self) -> str:
+        """Return the header value of this stream."""
         return f"url={self.url};seq={self.seq};rtptime={self.rtptime}"
 
 
 def parse_rtp_info(text: str) -> tuple[RtpInfo, ...]:
-    """All streams of an RTP-Info header; those without a seq and an rtptime are left out."""
-    found = []
+    """Return the streams of an RTP-Info header, without those that lack seq or rtptime."""
+    streams = []
     for url, rest in re.findall(r"url=([^;,\s]+)((?:;[a-z]+=[0-9]{1,10})*)", text):
         values = dict(part.split("=", 1) for part in rest.split(";") if part)
         if "seq" in values and "rtptime" in values:
-            found.append(RtpInfo(url, int(values["seq"]) & 0xFFFF, int(values["rtptime"]) & 0xFFFFFFFF))
-    return tuple(found)
+            streams.append(RtpInfo(url, int(values["seq"]) & 0xFFFF, int(values["rtptime"]) & 0xFFFFFFFF))
+    return tuple(streams)
 
 
 def parse_bandwidth(text: str | None) -> int | None:
-    """A Bandwidth header (section 12.6) in bits a second, None where there is none that makes sense."""
+    """Return the value of a Bandwidth header (section 12.6) in bits per second, None if absent or invalid."""
     return int(text) if text is not None and text.isascii() and text.isdigit() and len(text) < 16 else None
--- a/copperyard/protocol/rtsp/messages.py
+++ b/copperyard/protocol/rtsp/messages.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 VERSION = "RTSP/1.0"
-_FRAME = struct.Struct(">BBH")
-DOLLAR = 0x24
+_FRAME_HEADER = struct.Struct(">BBH")
+FRAME_MARKER = 0x24
 
 Headers = tuple[tuple[str, str], ...]
 
-REASONS = {
+REASON_PHRASES = {
     100: "Continue",
     200: "OK",
     301: "Moved Permanently",
@@ -53,20 +53,20 @@
 }
 
 
-def reason(status: int) -> str:
-    """The reason phrase of RFC 2326 section 7.1.1, or a general one for an unknown status."""
-    return REASONS.get(status, "Unknown")
+def reason_phrase(status: int) -> str:
+    """Return the reason phrase of RFC 2326 section 7.1.1, or "Unknown"."""
+    return REASON_PHRASES.get(status, "Unknown")
 
 
-def find(headers: Headers, name: str) -> str | None:
-    """The first value of a header, whatever the case of its name (RFC 2326 section 4.2); None if absent."""
+def find_header(headers: Headers, name: str) -> str | None:
+    """Return the first value of a header; its name is case-insensitive (RFC 2326 section 4.2). None if absent."""
     wanted = name.lower()
     return next((value for key, value in headers if key.lower() == wanted), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request. `uri` is as it came: absolute, or `*`. `version` is the text after the last space."""
+    """An RTSP request. `uri` is absolute or `*`, as received; `version` is the text after the last space."""
 
     method: str
     uri: str
@@ -75,21 +75,23 @@
     version: str = VERSION
 
     def header(self, name: str) -> str | None:
-        return find(self.headers, name)
+        """Return the first value of a header, None if absent."""
+        return find_header(self.headers, name)
 
     @property
     def cseq(self) -> int | None:
-        """The CSeq number, None where it is missing or no number of up to 9 digits (section 12.17)."""
+        """The CSeq number (section 12.17); None if it is missing or not a number of up to 9 digits."""
         text = self.header("CSeq")
         return int(text) if text is not None and text.isascii() and text.isdigit() and len(text) < 10 else None
 
     def encode(self) -> bytes:
-        return _encode(f"{self.method} {self.uri} {self.version}", self.headers, self.body)
+        """Return the request as sent, with a Content-Length if there is a body."""
+        return _encode_message(f"{self.method} {self.uri} {self.version}", self.headers, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One response."""
+    """An RTSP response; an empty `reason` stands for the usual phrase of the status."""
 
     status: int
     headers: Headers = ()
@@ -97,16 +99,18 @@
     reason: str = ""
 
     def header(self, name: str) -> str | None:
-        return find(self.headers, name)
+        """Return the first value of a header, None if absent."""
+        return find_header(self.headers, name)
 
     def encode(self) -> bytes:
-        line = f"{VERSION} {self.status} {self.reason or reason(self.status)}"
-        return _encode(line, self.headers, self.body)
+        """Return the response as sent, with a Content-Length if there is a body."""
+        line = f"{VERSION} {self.status} {self.reason or reason_phrase(self.status)}"
+        return _encode_message(line, self.headers, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One interleaved frame: what a `$` header announced."""
+    """An interleaved frame without its `$` header."""
 
     channel: int
     payload: bytes
@@ -114,40 +118,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Whole interleaved frames that followed each other, with their headers; its owner may change the bytes."""
+    """Complete consecutive interleaved frames with their headers; the receiver may modify the bytes."""
 
     data: bytearray
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The peer's bytes cannot be followed any further; nothing comes after this. `status` is what a server
-    should answer before it closes."""
+    """Event: the peer's bytes cannot be parsed any further, so this is the last event.
+
+    `status` is the status of the response that a server should send before it closes the connection.
+    """
 
     status: int
     text: str
 
 
 class BadHeader(ValueError):
-    """A header's value is not what its grammar says; `status` is the response that fits."""
+    """A header value violates its grammar; `status` is the status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def _encode(line: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
-    parts = [line, *(f"{name}: {_clean(value)}" for name, value in headers)]
+def _encode_message(line: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
+    parts = [line, *(f"{name}: {_without_line_breaks(value)}" for name, value in headers)]
     if body:
         parts.append(f"Content-Length: {len(body)}")
     return ("\r\n".join(parts) + "\r\n\r\n").encode("utf-8", "replace") + body
 
 
-def _clean(value: str) -> str:
-    # a value that came from a peer must not be able to end its line and start another header
+def _without_line_breaks(value: str) -> str:
+    # a value from a peer must not be able to end its line and inject another header
     return value.translate({13: " ", 10: " ", 0: " "})
 
 
 def frame_header(channel: int, size: int) -> bytes:
-    """The four bytes before an interleaved frame of `size` bytes (0 to 65535)."""
-    return _FRAME.pack(DOLLAR, channel, size)
+    """Return the four bytes before an interleaved frame of `size` bytes (0 to 65535)."""
+    return _FRAME_HEADER.pack(FRAME_MARKER, channel, size)
--- a/copperyard/telemetry/__init__.py
+++ b/copperyard/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs of the program."""
+"""Structured logs and their format."""
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -6,7 +6,7 @@
 import pytest
 
 from copperyard.config import BadSettings, load, parse
-from copperyard.config.units import duration, rate_kb, size
+from copperyard.config.units import duration, parse_rate_kb, parse_size
 from copperyard.interface import Effect
 
 PATH = Path(__file__).parent.parent.parent / "examples" / "caruso.xml"
@@ -39,7 +39,7 @@
 
 def test_units():
     assert (duration("250ms"), duration("1.5s"), duration("2min")) == (250_000_000, 1_500_000_000, 120 * 10**9)
-    assert (rate_kb("700kB/s"), rate_kb("1.5MB/s"), size("64kB")) == (700.0, 1500.0, 64_000)
+    assert (parse_rate_kb("700kB/s"), parse_rate_kb("1.5MB/s"), parse_size("64kB")) == (700.0, 1500.0, 64_000)
 
 
 @pytest.mark.parametrize(
--- a/tests/protocol/test_sdp.py
+++ b/tests/protocol/test_sdp.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from copperyard.protocol.sdp import BadDescription, Description, Media, parse
+from copperyard.protocol.sdp import Description, Media, SdpError, parse
 
 FILM = Description(
     "Class 3B",
@@ -35,5 +35,5 @@
     ],
 )
 def test_mistakes_name_their_line(text, wanted):
-    with pytest.raises(BadDescription, match=wanted):
+    with pytest.raises(SdpError, match=wanted):
         parse(text)
