--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, messages, and the last line of a day."""
+"""The command line: exit codes, messages, and the summary line of a scripted day."""
 
 import json
 from pathlib import Path
@@ -11,16 +11,16 @@
 SETTINGS = str(ROOT / "examples" / "caruso.xml")
 
 
-def run(*words):
-    return CliRunner().invoke(app, list(words))
+def run(*args):
+    return CliRunner().invoke(app, list(args))
 
 
-def test_check():
+def test_check_accepts_the_example():
     good = run("check", SETTINGS)
     assert good.exit_code == 0 and "3 gateways, 2 classes, 12 titles: good" in good.output
 
 
-def test_check_tells_each_mistake_and_exits_2(tmp_path):
+def test_check_reports_mistakes_and_exits_2(tmp_path):
     bad = tmp_path / "bad.xml"
     bad.write_text(Path(SETTINGS).read_text().replace('floor="1"', 'floor="7"'))
     found = run("check", str(bad))
@@ -29,7 +29,7 @@
     assert run("check", str(tmp_path / "none.xml")).exit_code == 2
 
 
-def test_a_day_ends_with_its_summary_and_writes_its_report(tmp_path):
+def test_day_prints_its_summary_and_writes_its_report(tmp_path):
     found = run("lab", "day", "calm", "--settings", SETTINGS, "--virtual", "--report", str(tmp_path / "r"))
     summary = json.loads(found.output.strip().splitlines()[-1])
     assert found.exit_code == 0 and summary["answers"]["played"] == summary["requests"]
@@ -37,16 +37,16 @@
     assert len((tmp_path / "r" / "viewers.jsonl").read_text().splitlines()) == summary["requests"]
 
 
-def test_words_that_name_nothing(tmp_path):
+def test_unknown_names_and_values_exit_2(tmp_path):
     assert run("lab", "day", "sunny", "--settings", SETTINGS).exit_code == 2
     assert run("serve", SETTINGS, "--name", "nobody").exit_code == 2
     assert run("lab", "up", SETTINGS, "--for", "soon").exit_code == 2
-    bare = tmp_path / "bare.xml"
+    without_lab = tmp_path / "bare.xml"
     text = Path(SETTINGS).read_text()
-    bare.write_text(text[: text.index("  <lab ")] + "</copperyard>")
-    assert run("lab", "up", str(bare)).exit_code == 2
+    without_lab.write_text(text[: text.index("  <lab ")] + "</copperyard>")
+    assert run("lab", "up", str(without_lab)).exit_code == 2
 
 
-def test_a_node_without_its_variables_says_which_and_exits_2(monkeypatch):
+def test_node_without_its_variables_exits_2(monkeypatch):
     monkeypatch.delenv("NODE_NAME", raising=False)
     assert run("node").exit_code == 2
--- a/tests/config/test_common.py
+++ b/tests/config/test_common.py
@@ -1,4 +1,4 @@
-"""The settings of what gateways decide in common: every mistake is told with its line."""
+"""The settings of what gateways decide in common: every mistake is reported with its line."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 GOOD = PATH.read_text()
 
 
-def mistakes(*changes):
+def mistakes_of(*changes):
     text = GOOD
     for old, new in changes:
         assert old in text, old
@@ -20,7 +20,7 @@
     return [(m.line, m.text) for m in caught.value.mistakes]
 
 
-def common_of(text):
+def parse_common(text):
     common = parse(text.encode()).common
     assert common is not None
     return common
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "at", "words"),
+    ("changes", "marker", "expected"),
     [
         (
             [
@@ -69,60 +69,61 @@
         ([(' votes="yes"', ""), (' votes="yes"', ""), (' votes="yes"', "")], "<common", "no gateway votes"),
     ],
 )
-def test_a_mistake_is_told_with_its_line(changes, at, words):
-    found = mistakes(*changes)
-    assert [line for line, text in found if words in text] == [line_of(at)], found
+def test_mistake_is_reported_with_its_line(changes, marker, expected):
+    found = mistakes_of(*changes)
+    assert [line for line, text in found if expected in text] == [line_of(marker)], found
 
 
-def test_a_zone_that_lists_its_ways_has_no_others_and_needs_one():
-    found = mistakes(('dwell="4s"/>', 'dwell="4s"><way from="catania" to="roma"/></common>'))
+def test_zone_that_lists_ways_has_only_these():
+    found = mistakes_of(('dwell="4s"/>', 'dwell="4s"><way from="catania" to="roma"/></common>'))
     assert not any("no way out" in text for _, text in found)
     way = '<way from="catania" to="milano" distance="2"/>'
-    common = common_of(GOOD.replace('dwell="4s"/>', f'dwell="4s">{way}</common>'))
+    common = parse_common(GOOD.replace('dwell="4s"/>', f'dwell="4s">{way}</common>'))
     assert common.terms.prices[0] == (0.0, -1.0, 2.0, -1.0, -1.0)
     assert common.terms.prices[1] == (1.0, 0.0, 3.0, 3.0, 3.0)
 
 
-def test_links_need_the_common_part():
+def test_links_need_the_common_element():
     with pytest.raises(BadSettings, match="need a <common>"):
         parse(GOOD.replace(GOOD[GOOD.index("  <common") : GOOD.index("  <titles>")], "").encode())
 
 
-def test_the_digest_is_of_what_all_must_agree_on_and_of_nothing_else():
-    common = common_of(GOOD)
+def test_digest_covers_only_what_all_must_agree_on():
+    common = parse_common(GOOD)
     assert common.voters == ("ct-1", "mi-1", "ty-1")
-    moved = common_of(GOOD.replace('peers="127.0.0.1:7403"', 'peers="127.0.0.1:7503" reach="127.0.0.1:7603"'))
+    moved = parse_common(GOOD.replace('peers="127.0.0.1:7403"', 'peers="127.0.0.1:7503" reach="127.0.0.1:7603"'))
     assert moved.fleet == common.fleet and moved.reach["ct-3"] == "127.0.0.1:7603"
-    assert common_of(GOOD.replace('reserve="0.1"', 'reserve="0.2"')).fleet != common.fleet
+    assert parse_common(GOOD.replace('reserve="0.1"', 'reserve="0.2"')).fleet != common.fleet
 
 
-def test_what_a_session_lasts_and_asks_comes_from_the_settings():
-    common = common_of(GOOD)
+def test_session_lengths_and_loads_come_from_the_settings():
+    common = parse_common(GOOD)
     assert common.lengths == (20_000_000_000,) * 2
     assert common.terms.loads == (230.0, 420.0)
 
 
-def voting(count):
-    """The example with so many voters, the first that there are; line of the last."""
-    found, marked = [], 0
+def with_voters(count):
+    """The example with its first `count` gateways as voters."""
+    lines, marked = [], 0
     for line in GOOD.splitlines():
         if "<gateway " in line and "zone=" in line:
             line = line.replace(' votes="yes"', "")
             if marked < count:
                 marked += 1
                 line = line.replace(' peers="', ' votes="yes" peers="', 1)
-        found.append(line)
+        lines.append(line)
     assert marked == count
-    return "\n".join(found).encode()
+    return "\n".join(lines).encode()
 
 
-def test_nine_may_vote_and_the_tenth_and_more_are_told():
-    assert len(common_of(voting(9).decode()).voters) == 9
+def test_nine_voters_are_accepted_and_eleven_rejected():
+    assert len(parse_common(with_voters(9).decode()).voters) == 9
     with pytest.raises(BadSettings, match="is voter 11: more than 9"):
-        parse(voting(11))
+        parse(with_voters(11))
 
 
-def test_a_site_of_more_gateways_than_the_plan_of_two_years_is_taken_and_there_is_a_bound():
+def test_7400_gateways_are_accepted_and_16385_rejected():
+    # 7400 is more than the site plans to have in two years; the schema allows 16384
     one = '      <gateway name="more-{0}" zone="catania" listen="127.0.0.1:0" peers="127.1.{1}.{2}:7400"/>'
     end = next(line for line in GOOD.splitlines() if "</gateways>" in line)
 
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""Settings: every mistake told with its line, all at once, and what good ones become."""
+"""Settings: all mistakes are reported at once with their lines, and valid settings become rules."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -13,7 +13,7 @@
 GOOD = PATH.read_text()
 
 
-def mistakes(*changes):
+def errors_of(*changes):
     text = GOOD
     for old, new in changes:
         assert old in text
@@ -27,7 +27,7 @@
     return GOOD[: GOOD.index(text)].count("\n") + 1
 
 
-def test_the_example_is_good_and_becomes_the_modules_settings():
+def test_example_becomes_the_settings_of_the_decision_module():
     site = load(str(PATH))
     settings = site.rules.settings
     assert settings.fronts == 3 and settings.rung_kb[1] == 420.0 and settings.drain_grace == 250_000_000
@@ -37,13 +37,13 @@
     assert site.lab is not None and site.lab.scale == 0.01
 
 
-def test_units():
+def test_units_are_converted():
     assert (duration("250ms"), duration("1.5s"), duration("2min")) == (250_000_000, 1_500_000_000, 120 * 10**9)
     assert (parse_rate_kb("700kB/s"), parse_rate_kb("1.5MB/s"), parse_size("64kB")) == (700.0, 1500.0, 64_000)
 
 
 @pytest.mark.parametrize(
-    "old, new, wanted",
+    "old, new, expected",
     [
         ('aim="1500ms"', 'aim="1500"', "the value '1500' is not a number and ns, us, ms, s, min or h"),
         ('rate="230kB/s"', 'rate="230"', "the value '230' is not a number and B/s"),
@@ -67,25 +67,25 @@
         ('<zone name="catania"/>', '<zone name="catania"/><zone name="catania"/>', "already that of line"),
     ],
 )
-def test_each_mistake_is_told_with_its_line_and_value(old, new, wanted):
-    error = mistakes((old, new))
-    assert any(wanted in m.text for m in error.mistakes), str(error)
+def test_mistake_is_reported_with_its_line_and_value(old, new, expected):
+    error = errors_of((old, new))
+    assert any(expected in m.text for m in error.mistakes), str(error)
     assert str(error).startswith("site.xml:line ")
     assert any(abs(m.line - line_of(old)) <= 2 for m in error.mistakes)
 
 
-def test_all_mistakes_are_told_at_once():
-    error = mistakes(('floor="1"', 'floor="9"'), ('holders="4"', 'holders="40"'), ('cell="11"/>', 'cell="12"/>'))
+def test_all_mistakes_are_reported_at_once():
+    error = errors_of(('floor="1"', 'floor="9"'), ('holders="4"', 'holders="40"'), ('cell="11"/>', 'cell="12"/>'))
     assert len(error.mistakes) >= 3 and list(error.mistakes) == sorted(error.mistakes, key=lambda m: m.line)
 
 
 @pytest.mark.parametrize("data", [b"", b"<copperyard>", b"<other/>", b"\xff\xfe", b"<copperyard/>"])
-def test_what_is_no_settings_at_all(data):
+def test_documents_of_another_kind_are_rejected(data):
     with pytest.raises(BadSettings):
         parse(data)
 
 
-def test_entities_are_not_followed(tmp_path):
+def test_external_entities_are_not_resolved(tmp_path):
     secret = tmp_path / "secret"
     secret.write_text("hidden")
     text = GOOD.replace("<copperyard>", f'<!DOCTYPE copperyard [<!ENTITY x SYSTEM "file://{secret}">]>\n<copperyard>')
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""The running gateway on an in-memory network and a virtual clock: what sockets do to it."""
+"""The running gateway on an in-memory network and a virtual clock: slow, broken and malicious connections."""
 
 import random
 
@@ -15,8 +15,8 @@
 QUIET = {"log": lambda event, fields: None}
 
 
-def within(one, body, seed=1, log=lambda event, fields: None):
-    """Run `body(fleet)` against a whole site; the fleet."""
+def run_site(one, body, seed=1, log=lambda event, fields: None):
+    """Run `body(fleet)` against a whole site and return the fleet."""
 
     async def main():
         network = MemoryNetwork()
@@ -38,7 +38,7 @@
 
 
 async def opened(client, path="/f/0", query=""):
-    """SETUP both tracks and PLAY: the session's header and the answer to PLAY."""
+    """SETUP both tracks and PLAY; returns the Session header and the response to PLAY."""
     named: tuple[tuple[str, str], ...] = ()
     url = f"rtsp://{client.stream.peer}{path}"
     for n in (1, 2):
@@ -48,20 +48,20 @@
     return named, await client.call("PLAY", url, named)
 
 
-def rules_kept(fleet):
+def assert_rules_kept(fleet):
     breaks = Auditor(fleet.site.rules, fleet.tap, 5 * MS, 10 * MS).check()
     assert not breaks, breaks
 
 
-def test_a_viewer_that_reads_nothing_is_bounded_and_ended_and_nobody_else_notices():
-    # full media bytes: 1.6 MB/s meets a queue of 100 kB and a window of 64 kB
+def test_viewer_that_reads_nothing_is_bounded_and_disconnected_without_effect_on_others():
+    # full-size media: 1.6 MB/s into an outbox of 100 kB and a window of 64 kB
     one = site(scale="1", length="30s", limits='stall="2s" idle="20s" silence="1s" dead="3s" queue="100kB"')
     seen = {}
 
     async def body(fleet):
         core = fleet.gateways[0].gateway.core
-        deaf, other = await connect(fleet), await connect(fleet)
-        await opened(deaf)
+        not_reading, other = await connect(fleet), await connect(fleet)
+        await opened(not_reading)
         await opened(other)
         visitors = list(core.visits.visitors.values())
         most, frames = 0, 0
@@ -79,13 +79,13 @@
             hosts=sum(len(h.sessions) for h in fleet.hosts),
         )
 
-    rules_kept(within(one, body))
+    assert_rules_kept(run_site(one, body))
     assert seen["most"] < 100_000 + 2 * 65536
-    assert seen["frames"] > 100  # the one that reads had its film all along
+    assert seen["frames"] > 100  # the viewer that reads was served all the time
     assert seen["sessions"] == seen["plays"] == seen["hosts"] == 1
 
 
-def test_bad_bytes_of_one_viewer_disturb_no_other():
+def test_malformed_input_of_one_viewer_does_not_affect_others():
     lines = []
 
     async def body(fleet):
@@ -115,63 +115,63 @@
         await good.read()
         assert good.frames
 
-    within(site(), body, log=lambda event, fields: lines.append(event))
+    run_site(site(), body, log=lambda event, fields: lines.append(event))
     assert lines.count("viewer malformed") == 3 and "defect" not in lines
 
 
-def test_a_list_that_makes_no_sense_leaves_the_old_one_in_force():
+def test_invalid_list_is_ignored_and_the_old_one_kept():
     lines = []
 
     async def body(fleet):
-        twice = fleet.lists.body
+        original_body = fleet.lists.body
 
-        def two_of_one_id(after):
+        def body_with_duplicate_id(after):
             return (
                 b'{"generation": 99, "hosts": [{"id": "h0", "address": "a:1", "cell": 0},'
                 b'{"id": "h0", "address": "a:2", "cell": 0}]}'
             )
 
-        fleet.lists.body = two_of_one_id
+        fleet.lists.body = body_with_duplicate_id
         fleet.lists.publish(fleet.hosts[0], "ready")
         await trio.sleep(2)
         _, answer = await opened(await connect(fleet))
         assert answer.status == 200
-        fleet.lists.body = twice
+        fleet.lists.body = original_body
         fleet.lists.later(fleet.hosts[0], "draining")
         await trio.sleep(2)
         core = fleet.gateways[0].gateway.core
         assert not core.plays.hosts.may_start(core.roster.numbers["h0"])
 
-    within(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
+    run_site(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
     assert any(event == "list not taken" and "two hosts" in fields["text"] for event, fields in lines)
 
 
-def test_a_list_service_that_is_down_is_asked_again_and_caught_up_with():
+def test_list_service_that_was_down_is_polled_again():
     async def body(fleet):
         fleet.lists.fail(True)
         fleet.lists.publish(fleet.hosts[1], "draining")
         await trio.sleep(5)
         core = fleet.gateways[0].gateway.core
-        assert core.plays.hosts.may_start(core.roster.numbers["h1"])  # nobody could tell it
+        assert core.plays.hosts.may_start(core.roster.numbers["h1"])  # the list service is down
         fleet.lists.fail(False)
         await trio.sleep(2)
         assert not core.plays.hosts.may_start(core.roster.numbers["h1"])
 
-    within(site(), body)
+    run_site(site(), body)
 
 
-def test_hosts_that_cannot_be_connected_cost_a_free_viewer_a_further_attempt_and_no_more():
+def test_unreachable_hosts_cost_a_viewer_without_a_code_only_a_further_attempt():
     async def body(fleet):
         for host in fleet.hosts[:3]:
-            host.crash()  # and the list service does not know yet
+            host.crash()  # not yet known to the list service
         _, answer = await opened(await connect(fleet))
         assert answer.status in (200, 453)
         assert fleet.gateways[0].gateway.core.plays.counts.outcomes.get("RESET", 0) == 0
 
-    rules_kept(within(site(), body))
+    assert_rules_kept(run_site(site(), body))
 
 
-def test_a_drain_lets_what_plays_end_and_takes_nothing_new():
+def test_drain_lets_sessions_end_and_accepts_nothing_new():
     async def body(fleet):
         client = await connect(fleet)
         named, answer = await opened(client)
@@ -192,10 +192,10 @@
             assert (await client.call("TEARDOWN", f"rtsp://{client.stream.peer}/f/0", named)).status == 200
         assert not gateway.core.plays.plays
 
-    within(site(), body)
+    run_site(site(), body)
 
 
-def test_a_killed_gateway_leaves_no_session_on_any_host_and_comes_back():
+def test_killed_gateway_leaves_no_session_on_any_host_and_restarts():
     async def body(fleet):
         clients = [await connect(fleet) for _ in range(6)]
         for client in clients:
@@ -210,17 +210,17 @@
         _, answer = await opened(await connect(fleet))
         assert answer.status == 200
 
-    within(site(), body)
+    run_site(site(), body)
 
 
-def test_a_defect_in_one_connection_is_told_and_ends_that_one_only():
+def test_exception_in_one_connection_is_logged_and_ends_only_that_one():
     lines = []
 
     async def body(fleet):
         client = await connect(fleet)
         _, answer = await opened(client)
         core = fleet.gateways[0].gateway.core
-        whole, core.visits.received = core.visits.received, lambda *words: 1 / 0
+        original, core.visits.received = core.visits.received, lambda *words: 1 / 0
         bad = await connect(fleet)
         await bad.write(b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n")
         try:
@@ -228,16 +228,16 @@
             raise AssertionError("the connection went on")
         except Broken:
             pass
-        core.visits.received = whole
+        core.visits.received = original
         assert (await client.call("OPTIONS", "*")).status == 200
 
-    within(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
+    run_site(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
     (defect,) = [fields for event, fields in lines if event == "defect"]
     assert "ZeroDivisionError" in defect["error"]
 
 
-def test_a_gateway_that_is_cancelled_anywhere_closes_all_its_sockets():
-    # cancel at many moments of a set-up: whatever the task was waiting for, hosts and viewers see the end
+def test_gateway_cancelled_at_any_time_closes_all_its_sockets():
+    # cancel at many times of a set-up: whatever a task waits for, hosts and viewers see the connection close
     for delay in range(0, 60, 4):
 
         async def body(fleet, delay=delay):
@@ -258,10 +258,10 @@
             await trio.sleep(0.1)
             assert sum(len(h._streams) for h in fleet.hosts) == 0
 
-        within(site(), body)
+        run_site(site(), body)
 
 
-def test_a_gateway_that_cannot_listen_says_so():
+def test_gateway_that_cannot_listen_raises_an_error():
     async def main():
         network = MemoryNetwork()
         taken = await network.listen("127.0.0.1:5")
@@ -278,7 +278,7 @@
     assert "in use" in virtual.run(main, 1)
 
 
-def test_a_tapped_side_reads_messages_whatever_the_split():
+def test_tap_parses_messages_however_they_are_split():
     side = Side("x")
     for byte in b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n$\0\0\1x":
         side.sent(5, bytes((byte,)))
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -1,4 +1,4 @@
-"""On real loopback sockets: an ordinary client that nobody here wrote, the program, and a short day."""
+"""On real loopback sockets: a third-party RTSP client (PyAV), the programs, and a short scripted day."""
 
 import json
 import signal
@@ -35,31 +35,31 @@
 
 
 @pytest.mark.parametrize("query", ["", "?code=family7"])
-def test_an_ordinary_client_opens_plays_and_closes_a_film_over_tcp(up, query):
+def test_third_party_client_plays_a_title_over_tcp(up, query):
     program, ready = up
     assert ready["event"] == "ready" and len(ready["gateways"]) == 3
     options = {"rtsp_transport": "tcp", "analyzeduration": "500000", "probesize": "32768"}
-    film = av.open(ready["gateways"][0] + ready["titles"][0] + query, options=options, timeout=10)
-    assert {s.type: s.codec_context.name for s in film.streams} == {"video": "mjpeg", "audio": "pcm_mulaw"}
-    pictures, sounds = 0, 0
-    last = -1
-    for packet in film.demux():
+    title = av.open(ready["gateways"][0] + ready["titles"][0] + query, options=options, timeout=10)
+    assert {s.type: s.codec_context.name for s in title.streams} == {"video": "mjpeg", "audio": "pcm_mulaw"}
+    video_frames, audio_samples = 0, 0
+    last_pts = -1
+    for packet in title.demux():
         for frame in packet.decode() if packet.dts is not None else ():
             if packet.stream.type == "video":
-                assert (frame.width, frame.height) == (96, 64) and frame.pts > last
-                last = frame.pts
-                pictures += 1
+                assert (frame.width, frame.height) == (96, 64) and frame.pts > last_pts
+                last_pts = frame.pts
+                video_frames += 1
             else:
-                sounds += frame.samples
-        if pictures >= 8 and sounds >= 1000:
+                audio_samples += frame.samples
+        if video_frames >= 8 and audio_samples >= 1000:
             break
-    film.close()
-    assert pictures >= 8 and sounds >= 1000
+    title.close()
+    assert video_frames >= 8 and audio_samples >= 1000
     program.send_signal(signal.SIGTERM)
     assert program.wait(10) == 0
 
 
-def test_a_calm_day_on_sockets():
+def test_calm_day_on_sockets():
     site = load(SETTINGS)
     calm = load_rehearsal(str(ROOT / "copperyard" / "lab" / "days" / "calm.xml"), site)
     result = trio.run(run_rehearsal, site, calm, TcpNetwork(), 1, 100 * MS, 300 * MS)
@@ -69,7 +69,7 @@
     assert not any(v.faults for v in result.visits)
 
 
-def test_serve_says_where_it_listens_and_drains_on_a_signal(tmp_path):
+def test_serve_reports_its_address_and_drains_on_a_signal(tmp_path):
     program = subprocess.Popen(
         [sys.executable, "-m", "copperyard.cli.main", "serve", SETTINGS, "--name", "gw-2"],
         stdout=subprocess.PIPE,
@@ -81,4 +81,4 @@
     program.send_signal(signal.SIGINT)
     assert program.wait(10) == 0
     lines = [json.loads(line) for line in program.stderr]
-    assert {"list failed", "draining"} <= {line["event"] for line in lines}  # there is no list service here
+    assert {"list failed", "draining"} <= {line["event"] for line in lines}  # no list service runs here
--- a/tests/gateway/test_stopped.py
+++ b/tests/gateway/test_stopped.py
@@ -1,6 +1,9 @@
-"""A gateway process that is stopped and goes on (SIGSTOP, SIGCONT): what came meanwhile is heard before anything
-new leaves for a host. On sockets the order of a batch is the system's; that the guard is needed is shown by seeds in
-tests/lab/test_world.py, where the order can be had at will."""
+"""A gateway process that is stopped and continued (SIGSTOP, SIGCONT) reads what arrived meanwhile of the host list
+before it sends anything new to a host.
+
+Guards against a set-up at a host whose drain is still unread. On sockets the system decides in which order the tasks
+become ready; seeds in tests/lab/test_world.py choose the order and show that the guard is needed.
+"""
 
 import json
 import os
@@ -20,20 +23,20 @@
 
 
 class NoGateways(Fleet):
-    """Hosts and a list service only; the gateway is a process of its own."""
+    """Hosts and a list service; the gateway runs as a separate process."""
 
     async def start_gateway(self, one):
         pass
 
 
-async def _line(stream):
+async def _read_json_line(stream):
     data = b""
     while not data.endswith(b"\n"):
         data += await stream.receive_some(4096)
     return json.loads(data)
 
 
-def test_a_stopped_gateway_hears_of_drains_before_it_sends(tmp_path):
+def test_continued_gateway_reads_of_drains_before_it_sends(tmp_path):
     one = site(gateways=1, grace="100ms")
 
     async def main():
@@ -47,8 +50,8 @@
             program = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
             try:
                 with trio.fail_after(20):
-                    address = (await _line(program.stdout))["gateways"][0].removeprefix("rtsp://")
-                    await _stop_and_go(fleet, program.pid, address)
+                    address = (await _read_json_line(program.stdout))["gateways"][0].removeprefix("rtsp://")
+                    await _stop_and_continue(fleet, program.pid, address)
             finally:
                 program.kill()
                 await program.wait()
@@ -66,7 +69,7 @@
     assert fleet.answers[0] == 200 and all(status == 453 for status in fleet.answers[1:])
 
 
-async def _stop_and_go(fleet, pid, address):
+async def _stop_and_continue(fleet, pid, address):
     rng = random.Random(1)
 
     async def client():
@@ -102,7 +105,7 @@
             fleet.answers.append((await one.call("PLAY", f"rtsp://{address}/f/0", one.named)).status)
 
         for one in waiting:
-            nursery.start_soon(play, one)  # these lie before the news, and are read before it
+            nursery.start_soon(play, one)  # these requests arrive before the news of the drains, and are read first
         await trio.sleep(0.1)
         for host in rng.sample(fleet.hosts, len(fleet.hosts)):
             fleet.lists.publish(host, "draining")
--- a/tests/protocol/test_headers.py
+++ b/tests/protocol/test_headers.py
@@ -1,4 +1,4 @@
-"""Header values and URLs, by their grammar."""
+"""Parsing and encoding of header values and URLs."""
 
 import pytest
 
@@ -16,22 +16,27 @@
 from copperyard.protocol.rtsp.messages import BadHeader
 
 
-def status(fn, *words):
+def error_status(parse, *args):
     with pytest.raises(BadHeader) as caught:
-        fn(*words)
+        parse(*args)
     return caught.value.status
 
 
-def test_urls_with_tracks_before_and_after_the_query():
-    one = parse_url("rtsp://h:554/films/a%20b/track2?code=X1")
-    assert (one.path, one.track, one.get("code"), one.host) == ("/films/a b", 2, "X1", "h:554")
-    two = parse_url("rtsp://h/films/a?code=X1/track12")
-    assert (two.path, two.track, two.get("code")) == ("/films/a", 12, "X1")
+def test_track_is_parsed_before_and_after_the_query():
+    before_query = parse_url("rtsp://h:554/films/a%20b/track2?code=X1")
+    assert (before_query.path, before_query.track, before_query.get("code"), before_query.host) == (
+        "/films/a b",
+        2,
+        "X1",
+        "h:554",
+    )
+    after_query = parse_url("rtsp://h/films/a?code=X1/track12")
+    assert (after_query.path, after_query.track, after_query.get("code")) == ("/films/a", 12, "X1")
     assert parse_url("*").path == "*" and parse_url("rtsp://h").path == "/"
 
 
 @pytest.mark.parametrize(
-    "uri, wanted",
+    "uri, expected",
     [
         ("/films/a", 400),
         ("http://h/a", 400),
@@ -40,11 +45,11 @@
         ("rtsp://h/a?" + "&".join("x=1" for _ in range(30)), 400),
     ],
 )
-def test_urls_that_name_nothing(uri, wanted):
-    assert status(parse_url, uri) == wanted
+def test_invalid_urls_are_rejected(uri, expected):
+    assert error_status(parse_url, uri) == expected
 
 
-def test_the_first_transport_that_is_served_is_taken():
+def test_first_supported_transport_is_selected():
     text = "RTP/AVP;unicast;client_port=4-5, RTP/AVP/TCP;multicast, RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=0A0B0C0D"
     assert parse_transport(text) == Transport((4, 5), 0x0A0B0C0D)
     assert parse_transport("RTP/AVP/TCP;unicast") == Transport(None)
@@ -53,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, wanted",
+    "text, expected",
     [
         ("RTP/AVP;unicast;client_port=4-5", 461),
         ("RTP/AVP/UDP;unicast", 461),
@@ -64,22 +69,22 @@
         ("RTP/AVP/TCP;interleaved=x", 400),
     ],
 )
-def test_transports_that_are_not_served(text, wanted):
-    assert status(parse_transport, text) == wanted
+def test_unsupported_transports_are_rejected(text, expected):
+    assert error_status(parse_transport, text) == expected
 
 
-def test_ranges():
+def test_npt_ranges_are_parsed_and_others_rejected():
     assert parse_range("npt=0-", 60.0) == Range(0.0, None)
     assert parse_range("npt=now-", None) == Range(None, None)
     assert parse_range("npt=1:02:03.5-1:02:10;time=19970123T143720Z", 7200.0) == Range(3723.5, 3730.0)
     assert Range(1.5, 8.0).encode() == "npt=1.500-8.000"
     for text in ("npt=60-", "npt=5-4", "npt=x-", "npt=5", "smpte=0:10:20-", "npt=-1-2-3"):
-        assert status(parse_range, text, 60.0) == 457
+        assert error_status(parse_range, text, 60.0) == 457
 
 
-def test_sessions_rtp_info_and_bandwidth():
+def test_session_rtp_info_and_bandwidth_headers():
     assert parse_session("ab-12$; timeout=40") == ("ab-12$", 40)
-    assert status(parse_session, "a b") == 400 and status(parse_session, "x" * 65) == 400
+    assert error_status(parse_session, "a b") == 400 and error_status(parse_session, "x" * 65) == 400
     info = (RtpInfo("rtsp://h/a/track1", 7, 9), RtpInfo("rtsp://h/a/track2", 65535, 4294967295))
     assert parse_rtp_info(",".join(i.encode() for i in info)) == info
     assert parse_rtp_info("url=rtsp://h/a;seq=5, nonsense") == ()
--- a/tests/protocol/test_rtsp.py
+++ b/tests/protocol/test_rtsp.py
@@ -1,4 +1,4 @@
-"""RTSP connections: the same events for every split of the bytes, and a clear end for what cannot be followed."""
+"""RTSP connections: the events do not depend on how the bytes are split, and malformed input ends the connection."""
 
 import pytest
 from hypothesis import given, settings
@@ -15,40 +15,40 @@
 BODY = b"SET_PARAMETER * RTSP/1.0\r\nCSeq: 3\r\ncontent-length: 7\r\n\r\nrung: 2"
 
 
-def fed(data, sizes=None, limits=LIMITS):
+def events_of(data, sizes=None, limits=LIMITS):
     wire = Connection(limits)
     if sizes is None:
         return wire.receive(data)
-    events, at = [], 0
+    events, offset = [], 0
     for size in sizes:
-        events += wire.receive(data[at : at + size])
-        at += size
-    return events + wire.receive(data[at:])
+        events += wire.receive(data[offset : offset + size])
+        offset += size
+    return events + wire.receive(data[offset:])
 
 
 def test_messages_and_frames_in_one_read():
     data = SETUP + b"$\x01\x00\x03abc" + b"\r\n" + BODY + b"$\x07\x00\x00"
-    setup, frame, body, empty = fed(data)
+    setup, frame, body, empty = events_of(data)
     assert setup.method == "SETUP" and setup.cseq == 2
     assert setup.header("transport") == "RTP/AVP/TCP;unicast; interleaved=0-1"
     assert frame == Frame(1, b"abc") and empty == Frame(7, b"")
     assert body.body == b"rung: 2"
 
 
-def test_every_byte_alone_gives_the_same():
+def test_single_byte_reads_give_the_same_events():
     data = SETUP + b"$\x00\x00\x05\r\n$\r\n" + BODY + b"RTSP/1.0 200 OK\r\nCSeq: 9\r\n\r\n"
-    assert fed(data, [1] * len(data)) == fed(data)
+    assert events_of(data, [1] * len(data)) == events_of(data)
 
 
 def test_ten_thousand_tiny_frames_in_one_read():
-    events = fed(b"".join(b"$\x02\x00\x01" + bytes((n % 256,)) for n in range(10_000)))
+    events = events_of(b"".join(b"$\x02\x00\x01" + bytes((n % 256,)) for n in range(10_000)))
     assert len(events) == 10_000 and events[-1] == Frame(2, bytes((9_999 % 256,)))
 
 
-def test_a_frame_of_64_kib_and_one_over_the_limit():
-    wide = Limits(200, 8, 64, 65535, 4)
-    assert fed(b"$\x00\xff\xff" + b"x" * 65535, limits=wide) == [Frame(0, b"x" * 65535)]
-    assert [type(e) for e in fed(b"$\x00\xff\xff" + b"x" * 10)] == [Malformed]
+def test_largest_frame_is_parsed_and_one_over_the_limit_is_malformed():
+    large_limits = Limits(200, 8, 64, 65535, 4)
+    assert events_of(b"$\x00\xff\xff" + b"x" * 65535, limits=large_limits) == [Frame(0, b"x" * 65535)]
+    assert [type(e) for e in events_of(b"$\x00\xff\xff" + b"x" * 10)] == [Malformed]
 
 
 @pytest.mark.parametrize(
@@ -71,15 +71,15 @@
         (b"RTSP/1.0 99 Odd\r\n\r\n", 400),
     ],
 )
-def test_what_cannot_be_followed_ends_the_connection(data, status):
+def test_malformed_input_ends_the_connection(data, status):
     wire = Connection(LIMITS)
     events = wire.receive(data)
     assert [type(e) for e in events] == [Malformed] and events[0].status == status
     assert wire.receive(SETUP) == []
-    assert fed(data, [1] * len(data)) == events
+    assert events_of(data, [1] * len(data)) == events
 
 
-def test_responses_find_their_request_by_cseq_whatever_their_order():
+def test_responses_are_matched_by_cseq_in_any_order():
     wire = Connection(LIMITS)
     first, _ = wire.ask("SETUP", "rtsp://h/a")
     second, data = wire.ask("PLAY", "rtsp://h/a", (("Session", "s"),))
@@ -93,7 +93,7 @@
     assert wire.waiting == 0
 
 
-def test_a_continue_is_no_answer_and_waiting_requests_are_bounded():
+def test_provisional_response_is_not_matched_and_pending_requests_are_bounded():
     wire = Connection(LIMITS)
     for _ in range(4):
         wire.ask("OPTIONS", "*")
@@ -103,7 +103,7 @@
     assert type(wire.receive(b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")[0]) is Reply
 
 
-def test_an_answer_carries_the_cseq_and_no_second_header_line():
+def test_response_has_the_cseq_and_no_injected_header():
     request = Request("PLAY", "*", (("CSeq", "17"),))
     data = Connection.answer(request, Response(200, (("X", "a\r\nEvil: 1"),), b"hi"))
     assert data == b"RTSP/1.0 200 OK\r\nCSeq: 17\r\nX: a  Evil: 1\r\nContent-Length: 2\r\n\r\nhi"
@@ -129,21 +129,21 @@
 
 @settings(max_examples=300)
 @given(st.lists(MESSAGE, max_size=6).map(b"".join), st.lists(st.integers(0, 40), max_size=30))
-def test_no_split_changes_the_events_and_nothing_is_raised(data, sizes):
-    assert fed(data, sizes) == fed(data)
+def test_events_do_not_depend_on_the_split_and_nothing_is_raised(data, sizes):
+    assert events_of(data, sizes) == events_of(data)
 
 
 @settings(max_examples=200)
 @given(st.lists(MESSAGE, max_size=6).map(b"".join), st.lists(st.integers(0, 40), max_size=30))
-def test_runs_hold_the_same_frames_as_frames_one_by_one(data, sizes):
-    def flat(events):
-        found = []
+def test_batches_hold_the_same_frames_as_single_events(data, sizes):
+    def unbatched(events):
+        frames = []
         for event in events:
-            found += fed(bytes(event.data)) if isinstance(event, Run) else [event]
-        return found
+            frames += events_of(bytes(event.data)) if isinstance(event, Run) else [event]
+        return frames
 
-    wire, events, at = Connection(LIMITS, runs=True), [], 0
+    wire, events, offset = Connection(LIMITS, runs=True), [], 0
     for size in (*sizes, len(data)):
-        events += wire.receive(data[at : at + size])
-        at += size
-    assert flat(events) == fed(data)
+        events += wire.receive(data[offset : offset + size])
+        offset += size
+    assert unbatched(events) == events_of(data)
--- a/tests/protocol/test_sdp.py
+++ b/tests/protocol/test_sdp.py
@@ -1,10 +1,10 @@
-"""Session descriptions: what is written is read back, and mistakes are told with their line."""
+"""Session descriptions survive encoding and parsing, and errors name their line."""
 
 import pytest
 
 from copperyard.protocol.sdp import Description, Media, SdpError, parse
 
-FILM = Description(
+DESCRIPTION = Description(
     "Class 3B",
     (7, 1),
     "127.0.0.1",
@@ -16,14 +16,14 @@
 )
 
 
-def test_a_description_comes_back_as_it_was():
-    assert parse(FILM.encode()) == FILM
-    assert FILM.media[0].get("control") == "track1" and FILM.get("range") == "npt=0-60"
+def test_description_survives_encoding_and_parsing():
+    assert parse(DESCRIPTION.encode()) == DESCRIPTION
+    assert DESCRIPTION.media[0].get("control") == "track1" and DESCRIPTION.get("range") == "npt=0-60"
     assert parse(b"v=0\no=- 1 2 IN IP4 h\ns=x\nc=IN IP4 1.2.3.4/127\nt=0 0\nk=old\n").address == "1.2.3.4"
 
 
 @pytest.mark.parametrize(
-    "text, wanted",
+    "text, expected",
     [
         (b"s=x", "line 1"),
         (b"v=0\nnonsense", "line 2"),
@@ -34,6 +34,6 @@
         (b"v=0\n" + b"a=x\n" * 300, "200 lines"),
     ],
 )
-def test_mistakes_name_their_line(text, wanted):
-    with pytest.raises(SdpError, match=wanted):
+def test_errors_name_their_line(text, expected):
+    with pytest.raises(SdpError, match=expected):
         parse(text)
