--- a/copperyard/lab/sites/__init__.py
+++ b/copperyard/lab/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Sites in common, rehearsed: gateways' cores on a network of events, and real processes with a relay between them."""
+"""Rehearsals of whole sites: simulated ones on a virtual clock, and real processes with a relay between them."""
--- a/copperyard/lab/sites/evening.py
+++ b/copperyard/lab/sites/evening.py
@@ -1,7 +1,7 @@
-"""An evening of a site whose gateways are processes: viewers, hosts, a relay between gateways, faults; then the audit.
+"""A scenario run of a site whose gateways are processes: viewers, hosts, a relay between gateways, faults, an audit.
 
-What is audited comes from the sockets (the six rules; what hosts of each zone were asked by fronts of which zone) and
-from what the gateways logged (one history of plans).
+The audit uses the sockets (the six rules, and what fronts of each zone asked of the hosts of each zone) and the logs
+of the gateways (one history of plans).
 """
 
 from __future__ import annotations
@@ -24,61 +24,63 @@
 from ..run import Lag, _reckon, lost_worth, service
 from ..viewers import Viewer, Visit
 from .faults import LEADER, Evening, Fault
-from .processes import Processes
+from .processes import GatewayProcesses
 from .relay import Relay
 
 SECOND = 1_000_000_000
-SLACK, LATE = SECOND // 4, SECOND  # ns: of the auditor, on a machine that this shares with fifteen processes
-SAMPLE = 0.25
-CAP_SLACK = 1.02
+# ns: tolerances of the auditor, on a machine that it shares with fifteen processes
+AUDIT_SLACK, AUDIT_LATE = SECOND // 4, SECOND
+SAMPLE_INTERVAL = 0.25  # s
+CAP_SLACK = 1.02  # factor by which a sample may exceed a cap
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What an evening came to."""
+    """Result of a run."""
 
     summary: dict[str, object] = field(default_factory=dict)
     breaks: list[Break] = field(default_factory=list)
     visits: list[Visit] = field(default_factory=list)
     homes: list[int] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # what else is wrong, in words
+    faults: list[str] = field(default_factory=list)  # texts: what is wrong besides broken rules
     lines: list[tuple[str, dict[str, object]]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Sample:
-    """What the hosts of each zone are asked by fronts of each zone, kB a second at full size."""
+    """Rates that fronts of each zone ask of the hosts of each zone, kB/s at full size."""
 
     at: float
-    asked: list[list[float]]
+    rates: list[list[float]]
 
 
-class Run:
-    """One evening under way."""
+class ScenarioRun:
+    """One run under way."""
 
     def __init__(
         self,
         site: Site,
         text: bytes,
-        evening: Evening,
+        scenario: Evening,
         seed: int,
         alone: bool,
         folder: Path,
-        say: Callable[[str], None],
+        report: Callable[[str], None],
     ) -> None:
-        self.site, self.evening, self.seed, self.alone, self.say = site, evening, seed, alone, say
+        self.site, self.scenario, self.seed, self.alone, self.report = site, scenario, seed, alone, report
         self.network = TcpNetwork()
         self.random = random.Random(seed)
         self.fleet = Fleet(replace(site, gateways=(), state=None), self.network, seed, lambda event, fields: None)
         self.relay = Relay(self.network, [g.name for g in site.gateways], seed)
-        self.processes = Processes(site, text, folder, self.relay, self.fleet.tap, alone)
+        self.processes = GatewayProcesses(site, text, folder, self.relay, self.fleet.tap, alone)
         self.samples: list[Sample] = []
         self.visits: list[Visit] = []
         self.homes: list[int] = []
-        self.begin = self.date = 0.0
+        self.begin = self.begin_date = 0.0
         self.zone_of = {g.name: g.zone for g in site.gateways}
 
     async def play(self) -> Outcome:
+        """Runs everything from the start of the processes to the audit."""
         outcome = Outcome()
         lag = Lag()
         try:
@@ -87,13 +89,13 @@
                 await nursery.start(self.fleet.run)
                 self.processes.write_settings(self.fleet.lists.address)
                 await self.processes.start_all()
-                await self._agreed()
+                await self._wait_for_plans()
                 nursery.start_soon(lag.watch)
                 nursery.start_soon(self._sample)
-                self.begin, self.date = trio.current_time(), time.time()
+                self.begin, self.begin_date = trio.current_time(), time.time()
                 async with trio.open_nursery() as crowd:
-                    for n, fault in enumerate(self.evening.faults):
-                        crowd.start_soon(self._strike, fault, random.Random(self.seed * 31 + n))
+                    for n, fault in enumerate(self.scenario.faults):
+                        crowd.start_soon(self._inject, fault, random.Random(self.seed * 31 + n))
                     await self._arrivals(crowd)
                 await trio.sleep(0.5)
                 outcome.faults += [f"{name} ended by itself" for name in self.processes.crashed()]
@@ -103,22 +105,22 @@
         self._audit(outcome, lag.most)
         return outcome
 
-    async def _agreed(self) -> None:
-        """Wait until there is a plan everywhere, or as long as it may take at a start."""
+    async def _wait_for_plans(self) -> None:
+        """Waits until all gateways have a plan, at most 25 s."""
         if self.alone:
             await trio.sleep(3.0)
             return
         with trio.move_on_after(25):
-            while len(self._planned()) < len(self.zone_of):  # noqa: ASYNC110 - logs wake nobody
+            while len(self._with_plan()) < len(self.zone_of):  # noqa: ASYNC110 - logs wake nobody
                 await trio.sleep(0.5)
 
-    def _planned(self) -> set[str]:
+    def _with_plan(self) -> set[str]:
         return {name for name, line in self.processes.lines() if line.get("event") == "plan"}
 
     # ---- load
 
     async def _arrivals(self, nursery: trio.Nursery) -> None:
-        rng, evening = self.random, self.evening
+        rng, evening = self.random, self.scenario
         longest = max(c.deadline for c in self.site.rules.settings.classes)
         paths = [t.path for t in self.site.titles]
         at = 0.0
@@ -135,7 +137,10 @@
             nursery.start_soon(viewer.run, watch)
 
     def _picker(self, home: int, rng: random.Random) -> Callable[[], tuple[str, str]]:
-        """A viewer's app: a gateway of its zone first, then one of each other zone, as each does not do."""
+        """The gateway selection of a viewer's app: one gateway of its own zone, then one of each other zone.
+
+        The order of the other zones is random for each viewer.
+        """
         zones = [home, *rng.sample([z for z in range(len(self.site.zones)) if z != home], len(self.site.zones) - 1)]
         tried: list[str] = []
 
@@ -148,7 +153,7 @@
             else:
                 tried.append(rng.choice(list(self.zone_of)))
             name = tried[-1]
-            # one that was started again listens elsewhere: the app looks names up anew
+            # a restarted gateway listens on another port: the app resolves the name again
             return name, self.processes.all[name].address
 
         return pick
@@ -163,25 +168,25 @@
                     if home is not None and stream.playing:
                         asked[home][host.zone] += rates[stream.rung] * classes[stream.cls].scale
             self.samples.append(Sample(trio.current_time() - self.begin, asked))
-            await trio.sleep(SAMPLE)
+            await trio.sleep(SAMPLE_INTERVAL)
 
     # ---- faults
 
     def _leader(self) -> str:
-        """Whom the gateways' logs name as leading last."""
+        """The gateway that became leader last according to the logs and still runs."""
         found = [
             (str(line.get("timestamp")), name)
             for name, line in self.processes.lines()
-            if line.get("event") == "leads" and self.processes.up(name)
+            if line.get("event") == "leads" and self.processes.is_up(name)
         ]
         return max(found)[1] if found else next(iter(self.zone_of))
 
-    async def _strike(self, fault: Fault, rng: random.Random) -> None:
+    async def _inject(self, fault: Fault, rng: random.Random) -> None:
         await trio.sleep_until(self.begin + fault.at)
         who = [self._leader() if name == LEADER else name for name in fault.who]
         others = [self._leader() if name == LEADER else name for name in fault.others if name not in who]
-        self.say(f"{fault.at:.1f} s {fault.kind} {' '.join(who) if fault.who else fault.zones}")
-        self.processes.copy_shelves()
+        self.report(f"{fault.at:.1f} s {fault.kind} {' '.join(who) if fault.who else fault.zones}")
+        self.processes.copy_log_stores()
         until = self.begin + fault.until
         if fault.kind in ("cut", "cut-one-way", "flap"):
             both = fault.kind != "cut-one-way"
@@ -204,24 +209,24 @@
                 way = self.relay.ways[a, b]
                 way.delay, way.loss, way.reset = (0.0, 0.0), 0.0, 0.0
         elif fault.kind in ("hosts-lost", "hosts-ill"):
-            await self._hosts(fault, until, rng)
+            await self._fail_hosts(fault, until, rng)
         elif fault.kind == "stop":
             for name in who:
-                self.processes.stop(name)
+                self.processes.pause(name)
             await trio.sleep_until(until)
             for name in who:
-                self.processes.go_on(name)
+                self.processes.resume(name)
         else:
             for name in who:
                 self.processes.kill(name)
-                self.processes.spoil_shelf(name, fault.shelf)
+                self.processes.replace_log_store(name, fault.log_store)
             if fault.kind == "restart" or fault.until > fault.at:
                 await trio.sleep_until(until)
                 async with trio.open_nursery() as nursery:
                     for name in who:
                         nursery.start_soon(self.processes.start, name)
 
-    async def _hosts(self, fault: Fault, until: float, rng: random.Random) -> None:
+    async def _fail_hosts(self, fault: Fault, until: float, rng: random.Random) -> None:
         hosts = [h for h in self.fleet.hosts if h.zone in fault.zones]
         if fault.kind == "hosts-ill":
             hosts = rng.sample(hosts, max(1, round(len(hosts) * min(1.0, fault.hard))))
@@ -243,7 +248,7 @@
         site = self.site
         outcome.lines = self.processes.lines()
         outcome.visits, outcome.homes = self.visits, self.homes
-        auditor = Auditor(site.rules, self.fleet.tap, SLACK, LATE, site.state is not None)
+        auditor = Auditor(site.rules, self.fleet.tap, AUDIT_SLACK, AUDIT_LATE, site.state is not None)
         outcome.breaks = auditor.check()
         _reckon(site, self.fleet, self.visits)
         plans: dict[int, set[tuple[tuple[str, str], ...]]] = defaultdict(set)
@@ -253,13 +258,13 @@
                     tuple(sorted((k, str(v)) for k, v in line.items() if k not in ("front", "timestamp", "held_back")))
                 )
         histories = max((len(found) for found in plans.values()), default=1)
-        over = self._over_cap(outcome)
+        over = self._count_over_cap(outcome)
         codes = Counter(code for side in self.fleet.tap.hosts for code in redeemed(side))
         statuses = Counter(s for v in self.visits for s in v.statuses)
         events = Counter(str(line.get("event")) for _, line in outcome.lines)
         answered = [v for v in self.visits if v.statuses or v.played_after is not None]
         outcome.summary = {
-            "evening": self.evening.name,
+            "evening": self.scenario.name,
             "seed": self.seed,
             "alone": self.alone,
             "gateways": len(self.zone_of),
@@ -273,7 +278,7 @@
             "epochs": max(plans, default=0),
             "histories": histories,
             "over_cap": over,
-            "crossed": round(self._crossed(), 4),
+            "crossed": round(self._crossing_share(), 4),
             **service(site, self.visits),
             "worth": round(sum(v.worth for v in self.visits), 2),
             "lost": lost_worth(site, self.visits),
@@ -293,48 +298,56 @@
             outcome.faults.append("gateways logged defects")
         if not self.alone and not plans:
             outcome.faults.append("no plan was ever agreed on")
-        if max(plans, default=0) > self.evening.epochs:
-            outcome.faults.append(f"{max(plans)} epochs, {self.evening.epochs} at most were expected")
+        if max(plans, default=0) > self.scenario.epochs:
+            outcome.faults.append(f"{max(plans)} epochs, {self.scenario.epochs} at most were expected")
         if outcome.summary["redeemed_twice"]:
             outcome.faults.append("a code was redeemed twice")
 
-    def _crossed(self) -> float:
-        """The share of what was asked that crossed zones."""
-        total = sum(kb for s in self.samples for row in s.asked for kb in row)
-        abroad = sum(kb for s in self.samples for h, row in enumerate(s.asked) for z, kb in enumerate(row) if z != h)
+    def _crossing_share(self) -> float:
+        """The share of the asked rates that crossed zones."""
+        total = sum(kb for s in self.samples for row in s.rates for kb in row)
+        abroad = sum(kb for s in self.samples for h, row in enumerate(s.rates) for z, kb in enumerate(row) if z != h)
         return abroad / total if total else 0.0
 
-    def _over_cap(self, outcome: Outcome) -> int:
-        """Samples in which fronts of one zone asked more of another's hosts than any plan of the time allowed: plans
-        that were in force since the oldest session there can have begun."""
+    def _count_over_cap(self, outcome: Outcome) -> int:
+        """Counts samples in which fronts of one zone asked more of another's hosts than allowed.
+
+        Allowed is the most of any plan that was in force since the oldest session there can have begun.
+        """
         caps: list[tuple[float, list[list[float]]]] = []
         n = len(self.site.zones)
         for _, line in outcome.lines:
             if line.get("event") == "caps":
-                # clocks of processes tell nothing to each other; the date is this machine's one
-                at = datetime.fromisoformat(str(line["timestamp"])).timestamp() - self.date
+                # monotonic clocks of processes cannot be compared; the wall clock is the machine's
+                at = datetime.fromisoformat(str(line["timestamp"])).timestamp() - self.begin_date
                 caps.append((at, [[float(x) for x in row.split()] for row in str(line["kb"]).split(";")]))
         if self.alone or not caps:
             return 0
         assert self.site.common is not None
-        back = self.evening.watch[1] + 2 * self.site.common.terms.holds / SECOND + 5
+        back = self.scenario.watch[1] + 2 * self.site.common.terms.holds / SECOND + 5
         over = 0
         for sample in self.samples:
             lately = [kb for at, kb in caps if sample.at - back <= at <= sample.at + 1]
             for h in range(n):
                 for z in range(n):
                     most = max((kb[h][z] for kb in lately), default=0.0)
-                    if h != z and sample.asked[h][z] > most * CAP_SLACK + 1:
+                    if h != z and sample.rates[h][z] > most * CAP_SLACK + 1:
                         over += 1
         return over
 
 
 async def run_evening(
-    site: Site, text: bytes, evening: Evening, seed: int, alone: bool, folder: Path | None, say: Callable[[str], None]
+    site: Site,
+    text: bytes,
+    scenario: Evening,
+    seed: int,
+    alone: bool,
+    folder: Path | None,
+    report: Callable[[str], None],
 ) -> Outcome:
-    """Play it; what gateways wrote lies in `folder`, or is gone at the end."""
+    """Runs a scenario. What gateways write goes to `folder`, or to a temporary folder that is deleted."""
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return await Run(site, text, evening, seed, alone, folder, say).play()
+        return await ScenarioRun(site, text, scenario, seed, alone, folder, report).play()
     with tempfile.TemporaryDirectory() as place:
-        return await Run(site, text, evening, seed, alone, Path(place), say).play()
+        return await ScenarioRun(site, text, scenario, seed, alone, Path(place), report).play()
--- a/copperyard/lab/sites/events.py
+++ b/copperyard/lab/sites/events.py
@@ -1,7 +1,8 @@
-"""Cores of gateways on a network of events: no sockets, no tasks, time jumps. For thousands of seeds.
+"""A simulated network with virtual time, for gateways' state machines.
 
-A core here has `hear(now, sender, message)`, `wake(now)`, `next_wake()`, and `collect(now)` that gives (to, message)
-pairs. Links lose, delay, double and cut what passes, one way or both; a core stands still, dies, and is made anew.
+It has no sockets and no tasks, and is fast enough for thousands of seeds. A node has `hear(now, sender, message)`,
+`wake(now)`, `next_wake()`, and `collect(now)`, which returns (receiver, message) pairs. Links lose, delay, duplicate
+and cut messages, in one direction or both; a node can be paused, killed and restarted.
 """
 
 from __future__ import annotations
@@ -16,20 +17,28 @@
 
 
 class CoreLike(Protocol):
-    """What runs here."""
+    """What a node of the network implements."""
 
-    def hear(self, now: int, sender: str, message: Any) -> None: ...
+    def hear(self, now: int, sender: str, message: Any) -> None:
+        """Handles a message."""
+        ...
 
-    def wake(self, now: int) -> None: ...
+    def wake(self, now: int) -> None:
+        """Handles timers that are due."""
+        ...
 
-    def next_wake(self) -> int: ...
+    def next_wake(self) -> int:
+        """Returns the time of the next timer, ns on the node's clock."""
+        ...
 
-    def collect(self, now: int) -> list[tuple[str, Any]]: ...
+    def collect(self, now: int) -> list[tuple[str, Any]]:
+        """Returns and forgets the (receiver, message) pairs to send."""
+        ...
 
 
 @dataclass(slots=True)
 class Manner:
-    """How a link behaves: chances of loss and of a second delivery, delay in ns from and to."""
+    """Behaviour of a link: probabilities of loss and of a second delivery, and the delay in ns, from and to."""
 
     loss: float = 0.0
     twice: float = 0.0
@@ -39,44 +48,49 @@
 @dataclass(eq=False, slots=True)
 class _Node:
     core: CoreLike
-    clock: tuple[int, float] = (0, 1.0)  # what its clock is ahead, and how fast it runs
-    until: int = 0  # stands still up to here
+    clock: tuple[int, float] = (0, 1.0)  # offset of its clock in ns, and its speed
+    paused_until: int = 0  # paused up to this time
     inbox: list[tuple[str, Any]] = field(default_factory=list)
     wake_at: int = -1
 
 
 class Events:
-    """The network. All chance comes from the seed."""
+    """The network. All randomness comes from the seed."""
 
     def __init__(self, seed: int, manner: Manner | None = None) -> None:
         self.random = random.Random(seed)
         self.now = 0
         self.manner = manner if manner is not None else Manner()
         self.manners: dict[tuple[str, str], Manner] = {}
-        self.walls: list[tuple[frozenset[str], frozenset[str]]] = []  # from any of these, to any of those: cut
+        self.cuts: list[
+            tuple[frozenset[str], frozenset[str]]
+        ] = []  # links from any of the first to any of the second are cut
         self.nodes: dict[str, _Node] = {}
         self.sent = self.lost = 0
         self.sizes: Callable[[Any], int] | None = None
         self.bytes = 0
         self.watch: Callable[[int], None] | None = None  # called after every event
-        self.sending: Callable[[str, str, Any], None] | None = None  # from, to, message: also of what gets lost
+        self.sending: Callable[[str, str, Any], None] | None = (
+            None  # from, to, message; also called for messages that get lost
+        )
         self.arriving: Callable[[str, str, Any], None] | None = None
-        self.joined: Callable[[str, CoreLike], None] | None = None  # a core begins; before it says a word
-        self.gone: Callable[[str, CoreLike], None] | None = None  # it was killed, or another takes its place
+        self.joined: Callable[[str, CoreLike], None] | None = None  # a node starts; called before it sends
+        self.gone: Callable[[str, CoreLike], None] | None = None  # a node was killed or replaced
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    # ---- scripts
+    # ---- control by a test
 
     def at(self, time: int, do: Callable[[], None]) -> None:
-        self._at(max(time, self.now), do)
+        """Schedules a call at a time, ns."""
+        self._schedule(max(time, self.now), do)
 
-    def _at(self, time: int, do: Callable[..., None], *args: Any) -> None:
+    def _schedule(self, time: int, do: Callable[..., None], *args: Any) -> None:
         self._count += 1
         heapq.heappush(self._heap, (time, self._count, do, args))
 
     def add(self, name: str, core: CoreLike, ahead: int = 0, speed: float = 1.0) -> None:
-        """A core begins, or begins anew. Its clock is `ahead` ns and runs at `speed`."""
+        """Starts or restarts a node. Its clock is `ahead` ns and runs at `speed`."""
         self.kill(name)
         self.nodes[name] = _Node(core, (ahead, speed))
         if self.joined is not None:
@@ -84,38 +98,41 @@
         self._turn(name)
 
     def time_of(self, name: str) -> int:
-        """What a node's clock shows."""
+        """The time that a node's clock shows."""
         ahead, speed = self.nodes[name].clock
         return ahead + int(self.now * speed)
 
     def kill(self, name: str) -> None:
+        """Removes a node."""
         node = self.nodes.pop(name, None)
         if node is not None and self.gone is not None:
             self.gone(name, node.core)
 
     def stop(self, name: str, time: int) -> None:
-        """It stands still for so long; what reaches it meanwhile lies in its sockets."""
+        """Pauses a node for `time` ns; messages that arrive meanwhile wait."""
         if name in self.nodes:
-            self.nodes[name].until = self.now + time
-            self.at(self.now + time, lambda: self._go_on(name))
+            self.nodes[name].paused_until = self.now + time
+            self.at(self.now + time, lambda: self._resume(name))
 
     def part(self, one: list[str], other: list[str], both: bool = True) -> None:
-        """Cut every link from the ones to the others, and back."""
+        """Cuts every link from `one` to `other`, and back if `both`."""
         ones, others = frozenset(one), frozenset(other)
-        self.walls.append((ones, others))
+        self.cuts.append((ones, others))
         if both:
-            self.walls.append((others, ones))
+            self.cuts.append((others, ones))
 
     def heal(self) -> None:
-        self.walls.clear()
+        """Removes all cuts."""
+        self.cuts.clear()
 
     def cut(self, sender: str, to: str) -> bool:
-        """Whether the link is cut that way."""
-        return any(sender in ones and to in others for ones, others in self.walls)
+        """Whether the link is cut in that direction."""
+        return any(sender in ones and to in others for ones, others in self.cuts)
 
     # ---- running
 
     def run(self, until: int) -> None:
+        """Runs all events up to a time, ns."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, do, args = heapq.heappop(self._heap)
             do(*args)
@@ -123,13 +140,13 @@
                 self.watch(self.now)
         self.now = until
 
-    def _go_on(self, name: str) -> None:
+    def _resume(self, name: str) -> None:
         node = self.nodes.get(name)
-        if node is None or self.now < node.until:
+        if node is None or self.now < node.paused_until:
             return
         now = self.time_of(name)
-        # a process that wakes finds its timers due as well as its sockets full; which it sees first is its loop's
-        # matter: here the timers, the worse of the two
+        # a resumed process finds timers due and messages waiting, and which it handles first
+        # depends on its event loop; here the timers come first, which is the worse case
         if now >= node.core.next_wake():
             node.core.wake(now)
         waiting, node.inbox = node.inbox, []
@@ -138,7 +155,7 @@
         self._turn(name)
 
     def _turn(self, name: str) -> None:
-        """Send what a core wants to say and see to its next time."""
+        """Sends what a node has to say, and schedules its next timer."""
         node = self.nodes.get(name)
         if node is None:
             return
@@ -148,10 +165,10 @@
         at = max(self.now + 1, int((node.core.next_wake() - ahead) / speed) + 1)
         if node.wake_at != at:
             node.wake_at = at
-            self._at(at, self._wake, name, node, at)
+            self._schedule(at, self._wake, name, node, at)
 
     def _wake(self, name: str, node: _Node, at: int) -> None:
-        if self.nodes.get(name) is not node or node.wake_at != at or self.now < node.until:
+        if self.nodes.get(name) is not node or node.wake_at != at or self.now < node.paused_until:
             return
         node.wake_at = -1
         node.core.wake(self.time_of(name))
@@ -164,19 +181,19 @@
             self.bytes += self.sizes(message)
         if self.sending is not None:
             self.sending(sender, to, message)
-        if self.walls and self.cut(sender, to) or self.random.random() < manner.loss:
+        if self.cuts and self.cut(sender, to) or self.random.random() < manner.loss:
             self.lost += 1
             return
         for _ in range(2 if self.random.random() < manner.twice else 1):
-            self._at(self.now + self.random.randint(*manner.delay), self._arrive, sender, to, message)
+            self._schedule(self.now + self.random.randint(*manner.delay), self._deliver, sender, to, message)
 
-    def _arrive(self, sender: str, to: str, message: Any) -> None:
+    def _deliver(self, sender: str, to: str, message: Any) -> None:
         node = self.nodes.get(to)
-        if node is None or self.walls and self.cut(sender, to):
+        if node is None or self.cuts and self.cut(sender, to):
             return
         if self.arriving is not None:
             self.arriving(sender, to, message)
-        if self.now < node.until:
+        if self.now < node.paused_until:
             node.inbox.append((sender, message))
             return
         node.core.hear(self.time_of(to), sender, message)
--- a/copperyard/lab/sites/faults.py
+++ b/copperyard/lab/sites/faults.py
@@ -1,4 +1,4 @@
-"""Evenings for sites of processes as XML: read, and checked against schema and site before anything starts."""
+"""Scenarios for sites of gateway processes: read from XML, checked against schema and site before anything starts."""
 
 from __future__ import annotations
 
@@ -19,8 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What fails: `at` s, up to `until`; `who` and `others` are gateways (others: the other end of links), or, for
-    hosts, zones' numbers."""
+    """A fault, from `at` s to `until` s.
+
+    `targets` and `others` are gateways (`others` at the other end of links); faults of hosts have numbers of zones
+    instead.
+    """
 
     kind: str
     at: float
@@ -29,13 +32,16 @@
     others: tuple[str, ...]
     zones: tuple[int, ...]
     hard: float
-    shelf: str
+    log_store: str
 
 
 @dataclass(frozen=True, slots=True)
 class Evening:
-    """`rate` viewers a second in all zones together for `seconds`, what fails, and the most `epochs` that are to come
-    of it."""
+    """Load and faults of a run.
+
+    `rate` viewers a second in all zones together for `seconds`; `epochs` is the largest number of epochs that the run
+    may take.
+    """
 
     name: str
     seconds: float
@@ -53,12 +59,12 @@
 
 
 def read_evening(data: bytes, site: Site, name: str) -> Evening:
-    """BadSettings with all mistakes, each with its line."""
+    """Reads a scenario. BadSettings lists all mistakes with their lines."""
     root = read_document(data, name, _schema())
     mistakes: list[Mistake] = []
     seconds = float(str(root.get("seconds")))
     faults = tuple(_fault(one, site, seconds, mistakes) for one in root)
-    watch = (_s(root, "watch-least"), _s(root, "watch-most"))
+    watch = (_seconds(root, "watch-least"), _seconds(root, "watch-most"))
     if watch[0] > watch[1]:
         mistakes.append(Mistake(int(root.sourceline or 0), "watch-least is above watch-most"))
     if mistakes:
@@ -74,7 +80,7 @@
     )
 
 
-def _s(element: etree._Element, key: str) -> float:
+def _seconds(element: etree._Element, key: str) -> float:
     return duration(str(element.get(key))) / SECOND
 
 
@@ -82,7 +88,7 @@
     def wrong(text: str) -> None:
         mistakes.append(Mistake(int(element.sourceline or 0), f"Element 'fault': {text}"))
 
-    kind, at, last = str(element.get("kind")), _s(element, "at"), _s(element, "for")
+    kind, at, last = str(element.get("kind")), _seconds(element, "at"), _seconds(element, "for")
     if at + last >= seconds:
         wrong(f"at and for reach to {at + last:g} s of an evening of {seconds:g} s")
     if not last and kind not in ("kill", "restart"):
@@ -91,8 +97,8 @@
     zones = tuple(site.zones.index(word) for word in words if word in site.zones)
     if kind.startswith("hosts") and len(zones) < len(words):
         wrong(f"who: hosts are named by zones: {', '.join(site.zones)}")
-    who = _names(site, words, wrong)
-    others = _names(site, str(element.get("from") or "").split(), wrong)
+    who = _gateway_names(site, words, wrong)
+    others = _gateway_names(site, str(element.get("from") or "").split(), wrong)
     if others and kind not in LINKS:
         wrong(f"from means nothing to '{kind}'")
     everybody = tuple(g.name for g in site.gateways)
@@ -101,7 +107,7 @@
     return Fault(kind, at, at + last, who, others, zones, float(str(element.get("hard"))), str(element.get("shelf")))
 
 
-def _names(site: Site, words: list[str], wrong: object) -> tuple[str, ...]:
+def _gateway_names(site: Site, words: list[str], wrong: object) -> tuple[str, ...]:
     found: list[str] = []
     for word in words:
         here = [g.name for g in site.gateways if word in (g.name, site.zones[g.zone])]
--- a/copperyard/lab/sites/processes.py
+++ b/copperyard/lab/sites/processes.py
@@ -1,5 +1,7 @@
-"""The gateways of a site as processes of the real program: `copperyard serve`, each with settings of its own that
-differ in addresses only. They are started, stopped, woken, killed and started again, with their shelf as it was or not.
+"""The gateways of a site as processes of the real program, `copperyard serve`.
+
+Each has settings of its own, which differ in addresses only. Processes are started, paused, resumed, killed and
+restarted, with their log store as it was, with an older copy of it, or without it.
 """
 
 from __future__ import annotations
@@ -22,12 +24,12 @@
 from ..audit import Tap
 from .relay import Relay
 
-READY = 30.0  # s for a gateway to be ready
+READY_TIMEOUT_S = 30.0  # for a gateway to be ready
 
 
 @dataclass(eq=False, slots=True)
-class Process:
-    """One gateway. `address`: where viewers reach it, while it lives."""
+class GatewayProcess:
+    """One gateway. `address` is where viewers reach it while it runs."""
 
     name: str
     zone: int
@@ -39,31 +41,31 @@
     log: list[Path] = field(default_factory=list)
 
 
-class Processes:
-    """All gateways of a site in `folder`; `text` is the site's XML."""
+class GatewayProcesses:
+    """All gateways of a site, with their files in `folder`; `text` is the site's XML."""
 
     def __init__(self, site: Site, text: bytes, folder: Path, relay: Relay, tap: Tap, alone: bool) -> None:
         self.site, self.folder, self.relay, self.tap, self.alone = site, folder, relay, tap, alone
         self.text = text
-        self.all = {g.name: Process(g.name, g.zone, folder / f"{g.name}.xml") for g in site.gateways}
-        self.copies: dict[str, Path] = {}
+        self.all = {g.name: GatewayProcess(g.name, g.zone, folder / f"{g.name}.xml") for g in site.gateways}
+        self.log_store_copies: dict[str, Path] = {}
 
     def write_settings(self, list_address: str) -> None:
-        """Each gateway's own: where it listens is left to the system, where it finds the others is the relay."""
+        """Writes the settings of each gateway: it listens on any port, and finds others at the relay."""
         for name, process in self.all.items():
             root = etree.fromstring(self.text)
             place = root.find("list")
             assert place is not None
             place.set("url", f"http://{list_address}/hosts")
             for one in root.iterfind("gateways/gateway"):
-                self.address(one, name, str(one.get("name")))
+                self.set_address(one, name, str(one.get("name")))
             common = root.find("common")
             if self.alone and common is not None:
                 root.remove(common)
             process.settings.write_bytes(etree.tostring(root))
 
-    def address(self, one: etree._Element, name: str, other: str) -> None:
-        """Where `name` listens, or finds `other`, in its own settings."""
+    def set_address(self, one: etree._Element, name: str, other: str) -> None:
+        """Sets where `name` listens, or where it finds `other`, in its own settings."""
         one.set("listen", "127.0.0.1:0")
         if self.alone:
             for key in ("peers", "reach", "votes"):
@@ -74,11 +76,14 @@
             one.set("reach", self.relay.ports[name, other])
 
     async def start(self, name: str) -> None:
-        """Start it; returns when it is ready. RuntimeError with what it said where it ended instead."""
+        """Starts a gateway and returns when it is ready.
+
+        RuntimeError with the end of its log if it is not ready in time.
+        """
         one = self.all[name]
-        pipe = self._begin(one)
+        pipe = self._spawn(one)
         line = b""
-        with trio.move_on_after(READY):
+        with trio.move_on_after(READY_TIMEOUT_S):
             line = await trio.to_thread.run_sync(pipe.readline, abandon_on_cancel=True)
         if not line:
             raise RuntimeError(f"{name} is not ready: {one.log[-1].read_text()[-500:]}")
@@ -87,7 +92,7 @@
         if not self.alone:
             self.relay.targets[name] = ready["peers"]
 
-    def _begin(self, one: Process) -> IO[bytes]:
+    def _spawn(self, one: GatewayProcess) -> IO[bytes]:
         log = self.folder / f"{one.name}.{one.starts}.log"
         one.log.append(log)
         one.starts += 1
@@ -110,16 +115,19 @@
         return one.process.stdout
 
     async def start_all(self) -> None:
+        """Starts all gateways at once."""
         async with trio.open_nursery() as nursery:
             for name in self.all:
                 nursery.start_soon(self.start, name)
 
     def signal(self, name: str, number: int) -> None:
+        """Sends a signal to a gateway if it runs."""
         process = self.all[name].process
         if process is not None and process.poll() is None:
             process.send_signal(number)
 
     def kill(self, name: str) -> None:
+        """Kills a gateway and waits for its end."""
         one = self.all[name]
         if one.process is None:
             return
@@ -129,49 +137,53 @@
         one.process.wait()
         one.process, one.stopped = None, None
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
+        """Stops a gateway with SIGSTOP."""
         self.all[name].stopped = now()
         self.signal(name, signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
+        """Continues a paused gateway, and tells the audit how long it was paused."""
         one = self.all[name]
         if one.stopped is not None:
             self.signal(name, signal.SIGCONT)
             self.tap.front_stood(one.stopped, now(), name)
             one.stopped = None
 
-    def shelf(self, name: str) -> Path:
+    def log_store_folder(self, name: str) -> Path:
+        """The folder of a voter's log store."""
         common = self.site.common
         assert common is not None
         return self.folder / common.folder / name
 
-    def copy_shelves(self) -> None:
-        """Keep copies of the shelves as they are, for voters that come back with an older one."""
+    def copy_log_stores(self) -> None:
+        """Copies the log stores, for voters that are to come back with an older one."""
         if self.site.common is None or self.alone:
             return
         for name in self.site.common.voters:
-            if self.shelf(name).exists():
-                self.copies[name] = self.folder / "copies" / name
-                shutil.copytree(self.shelf(name), self.copies[name], dirs_exist_ok=True)
+            if self.log_store_folder(name).exists():
+                self.log_store_copies[name] = self.folder / "copies" / name
+                shutil.copytree(self.log_store_folder(name), self.log_store_copies[name], dirs_exist_ok=True)
 
-    def spoil_shelf(self, name: str, how: str) -> None:
-        """While it is down."""
+    def replace_log_store(self, name: str, how: str) -> None:
+        """Removes the log store of a voter that is down, or replaces it by the older copy."""
         if how == "kept" or self.site.common is None or name not in self.site.common.voters:
             return
-        shutil.rmtree(self.shelf(name), ignore_errors=True)
-        if how == "older" and name in self.copies:
-            shutil.copytree(self.copies[name], self.shelf(name))
+        shutil.rmtree(self.log_store_folder(name), ignore_errors=True)
+        if how == "older" and name in self.log_store_copies:
+            shutil.copytree(self.log_store_copies[name], self.log_store_folder(name))
 
-    def up(self, name: str) -> bool:
+    def is_up(self, name: str) -> bool:
+        """Whether a gateway runs and is not paused."""
         one = self.all[name]
         return one.process is not None and one.process.poll() is None and one.stopped is None
 
     def crashed(self) -> list[str]:
-        """Those that ended by themselves."""
+        """Gateways that ended by themselves."""
         return [name for name, one in self.all.items() if one.process is not None and one.process.poll() is not None]
 
     def end(self) -> None:
-        """End all that this object started."""
+        """Ends all processes that this object started."""
         for one in self.all.values():
             if one.process is not None and one.process.poll() is None:
                 one.process.send_signal(signal.SIGCONT)
@@ -181,7 +193,7 @@
                 one.process.stdout.close()
 
     def lines(self) -> list[tuple[str, dict[str, object]]]:
-        """What all of them logged: (gateway, line)."""
+        """All log lines, as (gateway, line)."""
         found = []
         for name, one in self.all.items():
             for log in one.log:
--- a/copperyard/lab/sites/relay.py
+++ b/copperyard/lab/sites/relay.py
@@ -1,8 +1,11 @@
-"""A relay between gateways: every pair's link passes it, one listener for each direction of dialling, and is cut,
-delayed, made lossy or reset there. What TCP would do about a lost packet is a wait; so is it here.
+"""A relay between gateways, with one listener for each pair and direction of dialling.
 
-A way is a direction in space: cutting a->b holds what a says to b on a's links and what a counts on b's links, as a cut
-wire would. What is held moves when the way is whole again, if the connection still stands.
+All their links pass through it, and can be cut, delayed, made lossy or reset there. A lost packet is a delay here, as
+TCP makes it one.
+
+A direction is one of space: cutting a->b holds back what a sends to b on links that a dialled and on links that b
+dialled, as a cut cable would. What is held back is sent when the direction is restored, if the connection still
+stands.
 """
 
 from __future__ import annotations
@@ -17,15 +20,18 @@
 
 from ...gateway.net import CLOSED, Listener, Network, Signal, Stream
 
-READ = 65536
-WINDOW = 1 << 20  # bytes under way in one direction of one connection
-RTO = 0.25  # s for which a lost packet is late, doubled each time that it is lost again
+READ_BYTES = 65536
+WINDOW_BYTES = 1 << 20  # bytes in transit in one direction of one connection
+RETRANSMIT_S = 0.25  # delay of a lost packet; doubled each time that it is lost again
 
 
 @dataclass(slots=True)
-class Way:
-    """One direction between two gateways: `delay` s from and to, `loss` of pieces, `reset` the chance that a piece is
-    cut in its middle and its connection reset."""
+class LinkDirection:
+    """Faults of one direction between two gateways.
+
+    `delay` is from and to, in s. `loss` is the probability that a chunk is lost, `reset` the probability that a chunk
+    is sent in part only and its connection reset.
+    """
 
     cut: bool = False
     delay: tuple[float, float] = (0.0, 0.0)
@@ -34,27 +40,32 @@
 
 
 class Relay:
-    """Listens for each of `names` towards each other. `targets` is filled as gateways tell where they listen."""
+    """Listens for each of `names` towards each other one.
+
+    The caller fills `targets` as the gateways report where they listen.
+    """
 
     def __init__(self, network: Network, names: list[str], seed: int) -> None:
         self.network, self.names = network, names
         self.random = random.Random(seed)
-        self.ways = {(a, b): Way() for a in names for b in names if a != b}
+        self.ways = {(a, b): LinkDirection() for a in names for b in names if a != b}
         self.targets: dict[str, str] = {}
-        self.ports: dict[tuple[str, str], str] = {}  # where a finds b
+        self.ports: dict[tuple[str, str], str] = {}  # address at which a dials b
         self.bytes = 0
         self.resets = 0
         self._changed = trio.Event()
 
     def changed(self) -> None:
-        """A way was altered: who waits looks again."""
+        """Wakes tasks that wait for a direction to be restored; to be called after a change of `directions`."""
         self._changed.set()
         self._changed = trio.Event()
 
     def cut(self, ones: list[str], others: list[str], both: bool = True) -> None:
+        """Cuts the links from some gateways to others, in one direction or both."""
         self._set(ones, others, both, True)
 
     def heal(self, ones: list[str], others: list[str], both: bool = True) -> None:
+        """Restores the links from some gateways to others, in one direction or both."""
         self._set(ones, others, both, False)
 
     def _set(self, ones: list[str], others: list[str], both: bool, cut: bool) -> None:
@@ -67,11 +78,13 @@
         self.changed()
 
     def whole(self) -> None:
+        """Removes all faults."""
         for way in self.ways.values():
             way.cut, way.delay, way.loss, way.reset = False, (0.0, 0.0), 0.0, 0.0
         self.changed()
 
     async def run(self, task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Listens until cancelled; signals `task_status` when all ports are open."""
         async with trio.open_nursery() as nursery:
             for pair in self.ways:
                 listener = await self.network.listen("127.0.0.1:0")
@@ -83,11 +96,11 @@
     async def _accept(self, pair: tuple[str, str], listener: Listener, nursery: trio.Nursery) -> None:
         try:
             while True:
-                nursery.start_soon(self._carry, pair, await listener.accept())
+                nursery.start_soon(self._relay_connection, pair, await listener.accept())
         finally:
             listener.close()
 
-    async def _carry(self, pair: tuple[str, str], near: Stream) -> None:
+    async def _relay_connection(self, pair: tuple[str, str], near: Stream) -> None:
         far: Stream | None = None
         there, back = self.ways[pair], self.ways[pair[1], pair[0]]
         try:
@@ -106,7 +119,7 @@
             if far is not None:
                 far.close()
 
-    async def _pump(self, way: Way, source: Stream, sink: Stream, scope: trio.CancelScope) -> None:
+    async def _pump(self, way: LinkDirection, source: Stream, sink: Stream, scope: trio.CancelScope) -> None:
         waiting: deque[tuple[float, bytes]] = deque()
         size = 0
         came, room = Signal(), Signal()
@@ -145,8 +158,8 @@
             last = 0.0
             try:
                 while True:
-                    data = await source.receive_some(READ)
-                    late, again = self.random.uniform(*way.delay), RTO
+                    data = await source.receive_some(READ_BYTES)
+                    late, again = self.random.uniform(*way.delay), RETRANSMIT_S
                     while way.loss and self.random.random() < way.loss:
                         late, again = late + again, again * 2
                     last = max(last, trio.current_time() + late)
@@ -156,7 +169,7 @@
                     came.set()
                     if not data:
                         break
-                    while size > WINDOW:
+                    while size > WINDOW_BYTES:
                         await room.wait()
             except CLOSED:
                 scope.cancel()
@@ -168,7 +181,7 @@
 
 
 def _abort(stream: Stream) -> None:
-    """Close so that the other end sees a reset."""
+    """Closes a connection so that the other end sees a reset."""
     sock = getattr(stream, "_sock", None)
     if isinstance(sock, socket.socket) and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
--- a/copperyard/lab/sites/scalefaults.py
+++ b/copperyard/lab/sites/scale_faults.py
@@ -1,4 +1,4 @@
-"""What fails in a run at scale, as XML: read, and checked against schema and site before anything starts."""
+"""Faults of a scale test: read from XML, checked against schema and site before anything starts."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 from ...config.units import duration
 
 SECOND = 1_000_000_000
-DRAWN = ("leader", "voter", "gateway", "rack", "zone", "region")
-NEEDS_END = ("pause", "cut", "churn")
-NEEDS_WHO = ("kill", "pause", "cut", "start")
+TARGET_WORDS = ("leader", "voter", "gateway", "rack", "zone", "region")
+NEEDS_DURATION = ("pause", "cut", "churn")
+NEEDS_TARGETS = ("kill", "pause", "cut", "start")
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """What fails: `at` s after the beginning up to `until`. `who`: words of DRAWN, or names of gateways, zones and
-    regions. `share` of the gateways a minute, for churn."""
+class ScaleFault:
+    """A fault, from `at` s after the beginning to `until`.
+
+    `targets` are words of TARGET_WORDS, or names of gateways, zones and regions. `share` is the share of gateways
+    that churn restarts a minute.
+    """
 
     kind: str
     at: float
     until: float
-    who: tuple[str, ...]
+    targets: tuple[str, ...]
     share: float = 0.1
 
 
@@ -36,19 +39,24 @@
     return etree.XMLSchema(etree.fromstring(text), attribute_defaults=True)
 
 
-def usual_troubles(seconds: float) -> tuple[Trouble, ...]:
-    """What fails where nothing else is said: a calm third, one gateway killed, then a zone killed and started again."""
+def default_faults(seconds: float) -> tuple[ScaleFault, ...]:
+    """The faults of a run without a file: after a calm third a gateway is killed, later a zone, which restarts."""
     return (
-        Trouble("kill", seconds / 3, seconds / 3, ("gateway",)),
-        Trouble("kill", seconds * 0.54, seconds * 0.82, ("zone",)),
+        ScaleFault("kill", seconds / 3, seconds / 3, ("gateway",)),
+        ScaleFault("kill", seconds * 0.54, seconds * 0.82, ("zone",)),
     )
 
 
-def read_troubles(data: bytes, site: Site, regions: tuple[str, ...], seconds: float, name: str) -> tuple[Trouble, ...]:
-    """BadSettings with all mistakes, each with its line. `regions`: names, by zone; `seconds`: how long the run is."""
+def read_scale_faults(
+    data: bytes, site: Site, regions: tuple[str, ...], seconds: float, name: str
+) -> tuple[ScaleFault, ...]:
+    """Reads the faults. BadSettings lists all mistakes with their lines.
+
+    `regions` are the names of the regions by zone, `seconds` the length of the run.
+    """
     root = read_document(data, name, _schema())
     mistakes: list[Mistake] = []
-    known = {*DRAWN, *regions, *site.zones, *(g.name for g in site.gateways)}
+    known = {*TARGET_WORDS, *regions, *site.zones, *(g.name for g in site.gateways)}
     found = []
     for one in root:
 
@@ -62,18 +70,18 @@
             wrong("kind 'change': a change of settings is a restart of all today, there is none to be tried")
         if until >= seconds:
             wrong(f"at '{one.get('at')}' and for '{one.get('for')}' reach to {until:g} s of a run of {seconds:g} s")
-        if until == at and kind in NEEDS_END:
+        if until == at and kind in NEEDS_DURATION:
             wrong(f"kind '{kind}' without 'for' would never end")
-        if kind in NEEDS_WHO and not who:
+        if kind in NEEDS_TARGETS and not who:
             wrong(f"kind '{kind}' without 'who'")
         for word in who:
             if word not in known:
-                wrong(f"who '{word}' is no gateway, zone or region of this site and none of {', '.join(DRAWN)}")
+                wrong(f"who '{word}' is no gateway, zone or region of this site and none of {', '.join(TARGET_WORDS)}")
             elif word in ("leader", "voter") and kind == "start":
                 wrong(f"who '{word}' cannot be held back from the start: nothing would be agreed on")
         if kind == "churn" and who:
             wrong(f"who '{' '.join(who)}' means nothing to 'churn'")
-        found.append(Trouble(kind, at, until, who, float(str(one.get("share")))))
+        found.append(ScaleFault(kind, at, until, who, float(str(one.get("share")))))
     if mistakes:
         raise BadSettings(name, mistakes)
     return tuple(found)
--- a/copperyard/lab/sites/shelf.py
+++ b/copperyard/lab/sites/shelf.py
@@ -1,4 +1,4 @@
-"""A voter's shelf in memory, that can be torn, full, flipped or held, and outlives the process that used it."""
+"""A voter's log store in memory, which can have torn, damaged, full or slow writes and outlives its process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class Plate:
-    """The disk: what is on it stays. `full`: how many more bytes it takes; `pause` s that each write lasts."""
+    """The contents of the disk, which outlive a process.
+
+    `free_bytes` is how many more bytes fit (None: no limit), `pause` how many s each write takes.
+    """
 
     def __init__(self) -> None:
         self.rows: list[tuple[bytes, int]] = []
@@ -23,17 +26,22 @@
         self.pause = 0.0
 
     def check(self, number: int, body: bytes) -> int:
+        """Checksum of a record at its position."""
         return int(xxhash.xxh3_64_intdigest(number.to_bytes(8, "little") + body))
 
 
 class MemoryShelf:
-    """A shelf on a plate."""
+    """A log store on a LogDisk."""
 
     def __init__(self, plate: Plate) -> None:
         self.plate = plate
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
+        """Takes the lock and returns all records.
+
+        LockedError if another process holds it, Damaged if a checksum is wrong.
+        """
         if self.plate.holder:
             raise LockedError(f"held by {self.plate.holder}")
         self.plate.holder = owner
@@ -44,9 +52,11 @@
         return [body for body, _ in self.plate.rows]
 
     async def append(self, records: Sequence[bytes]) -> None:
+        """Appends records. OSError if the disk is full."""
         await self._write(records, self.plate.rows)
 
     async def renew(self, records: Sequence[bytes]) -> None:
+        """Replaces all records. OSError if the disk is full."""
         await self._write(records, [])
 
     async def _write(self, records: Sequence[bytes], before: list[tuple[bytes, int]]) -> None:
@@ -63,4 +73,5 @@
             self.plate.rows = rows
 
     def close(self) -> None:
+        """Releases the lock."""
         self.plate.holder = ""
--- a/copperyard/lab/sites/simulated.py
+++ b/copperyard/lab/sites/simulated.py
@@ -1,9 +1,8 @@
-"""Whole sites of gateways' common parts on a network of events: who lives, what is agreed, what each front may do.
-And fleets of their membership alone. The one home of both: tests and benchmarks share it.
+"""Simulated sites on a virtual clock, for tests and benchmarks: gateways' shared control state, or membership alone.
 
-Hosts and viewers are numbers here: what each zone's viewers ask for, what its hosts give (kB a second). What must
-always hold is checked after every event: one history of plans, and fronts of all zones together never allowed more of
-a zone's hosts than any plan of the time found free there. `Broken` is raised by an event after which it does not.
+Hosts and viewers are numbers: the demand of each zone's viewers and the capacity of its hosts, in kB/s. Invariants
+are checked after events: there is one history of plans, and the fronts of all zones together are never allowed more
+of a zone's hosts than any current plan found free there. A violation raises InvariantError.
 """
 
 from __future__ import annotations
@@ -28,19 +27,23 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 RATE = 100.0  # kB/s of a session
-CHECK = 50 * MS  # between checks at most, besides one after each event that gave a front more than it had
-UNIT = 1 << 20  # caps are summed in whole parts of a kB/s: what is added and taken away again leaves nothing behind
+CHECK = 50 * MS  # ns between checks; a check also follows each event that raised a front's cap
+CAP_UNITS = (
+    1 << 20
+)  # caps are summed as integers in units of 2**-20 kB/s, so that adding and removing one leaves no rounding error
 
 
 class Broken(AssertionError):
-    """What must always hold does not."""
+    """An invariant does not hold."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """What one gateway's part cost, through all its lives here: ns of this thread's processor time (`thread_time_ns`;
-    about 0.2 us a call are the measuring's own) and bytes, both only while it is `weighed`; messages, whom it sent to,
-    who sent to it."""
+    """What one gateway cost over all its starts.
+
+    `cpu_ns` is the processor time of this thread in ns (`thread_time_ns`; a call itself takes about 0.2 us). Processor
+    time and bytes are counted only while `measured` is set; messages and the sets of peers always.
+    """
 
     weighed: bool = False
     spent: int = 0
@@ -53,10 +56,10 @@
 
 
 class Front:
-    """One gateway. Its shelf outlives it."""
+    """One gateway from a start to its end. Its stored records outlive it."""
 
-    def __init__(self, site: Site, name: str, shelf: list[Record], start: int) -> None:
-        self.site, self.name, self.shelf = site, name, shelf
+    def __init__(self, site: Site, name: str, store: list[Record], start: int) -> None:
+        self.site, self.name, self.store = site, name, store
         now = site.time(name)
         self.zone = site.roster[name]
         place = site.place(name)
@@ -66,92 +69,101 @@
             place,
             gauge,
             lambda: shown,
-            Kept.read(shelf) if name in place.voters else None,
+            Kept.read(store) if name in place.voters else None,
             site.seed * 1009 + start,
             now,
             start,
         )
         self.ways: Ways | None = None
         self.notes: deque[tuple[int, str, dict[str, str | int]]] = deque(maxlen=site.notes)
-        self.tally = site.tallies.get(name) if site.tallies is not None else None
+        self.cost = site.tallies.get(name) if site.tallies is not None else None
 
-    # ---- what a Controller shows to the gauge
+    # ---- the part of a Controller that the gauge reads
 
     @property
     def servers(self) -> Mapping[int, Any]:
+        """The hosts, as a Controller has them."""
         return self.site.hosts()
 
     @property
     def sessions(self) -> Mapping[int, Any]:
+        """The sessions, as a Controller has them."""
         return self.site.sessions(self.zone)
 
-    # ---- what runs on the network
+    # ---- the node interface of the network
 
     def hear(self, now: int, sender: str, message: Any) -> None:
-        begun = thread_time_ns() if self.tally is not None and self.tally.weighed else 0
+        """Handles a message."""
+        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
         self.core.hear(now, sender, message)
-        if self.tally is not None and begun:
-            self.tally.spent += thread_time_ns() - begun
+        if self.cost is not None and begun:
+            self.cost.spent += thread_time_ns() - begun
 
     def wake(self, now: int) -> None:
-        begun = thread_time_ns() if self.tally is not None and self.tally.weighed else 0
+        """Handles timers that are due."""
+        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
         self.core.wake(now)
-        if self.tally is not None and begun:
-            self.tally.spent += thread_time_ns() - begun
+        if self.cost is not None and begun:
+            self.cost.spent += thread_time_ns() - begun
 
     def next_wake(self) -> int:
-        begun = thread_time_ns() if self.tally is not None and self.tally.weighed else 0
+        """The time of the next timer, ns."""
+        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
         found = self.core.next_wake()
-        if self.tally is not None and begun:
-            self.tally.spent += thread_time_ns() - begun
+        if self.cost is not None and begun:
+            self.cost.spent += thread_time_ns() - begun
         return found
 
     def collect(self, now: int) -> list[tuple[str, Any]]:
-        begun = thread_time_ns() if self.tally is not None and self.tally.weighed else 0
+        """Performs the pending actions; returns (receiver, message) pairs to send."""
+        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
         out: list[tuple[str, Any]] = []
-        for order in self.core.take():
-            self._order(order, out)
+        for action in self.core.take():
+            self._perform(action, out)
         while durable := self.core.take_durable():
             for step in durable:
                 if isinstance(step, Write):
                     if step.anew:
-                        self.shelf.clear()
-                    self.shelf.extend(step.records)
+                        self.store.clear()
+                    self.store.extend(step.records)
                 elif isinstance(step, Done):
                     self.core.applied(now, step.order)
                     for one in self.core.take():
-                        self._order(one, out)
+                        self._perform(one, out)
                 else:
-                    self._order(step, out)
-        if self.tally is not None and begun:
-            self.tally.spent += thread_time_ns() - begun
+                    self._perform(step, out)
+        if self.cost is not None and begun:
+            self.cost.spent += thread_time_ns() - begun
         return out
 
-    def _order(self, order: Immediate | Durable, out: list[tuple[str, Any]]) -> None:
-        if isinstance(order, Send):
-            out.append((order.to, order.message))
-        elif isinstance(order, Act):
-            self.site.allow(self, order.ways)
+    def _perform(self, action: Immediate | Durable, out: list[tuple[str, Any]]) -> None:
+        if isinstance(action, Send):
+            out.append((action.to, action.message))
+        elif isinstance(action, Act):
+            self.site.allow(self, action.ways)
         else:
-            assert isinstance(order, Note)
+            assert isinstance(action, Note)
             if self.site.notes:
-                self.notes.append((self.site.net.now, order.event, dict(order.fields)))
-            if order.event == "plan":
+                self.notes.append((self.site.net.now, action.event, dict(action.fields)))
+            if action.event == "plan":
                 assert self.core.plan is not None
                 self.site.planned(self.core.plan)
             if self.site.noted is not None:
-                self.site.noted(self, order)
+                self.site.noted(self, action)
 
 
 def spread(voters: int, zones: int) -> tuple[str, ...]:
-    """So many gateways over all zones, one after another, by their names at a Site."""
+    """Names of so many gateways, assigned to all zones in turn, as a SimulatedSite names them."""
     return tuple(f"g{n % zones}-{n // zones}" for n in range(voters))
 
 
 class Site:
-    """`zones` zones of `each` gateways, or of `sizes`; unless `voters` are named, the first of three zones vote. `room`
-    and `asked`: what each zone's hosts give and its viewers ask, kB a second. `notes`: how many lines each gateway
-    keeps. `measured`: whether each gateway's cost is tallied. More is passed on to Terms."""
+    """A site of `zones` zones with `each` gateways, or with `sizes`.
+
+    Unless `voters` are given, the first gateways of three zones vote. `room` and `asked` are the capacity of each
+    zone's hosts and the demand of its viewers, kB/s. Each gateway keeps its last `notes` log lines. `measured`
+    enables the measurement of costs. `terms` are passed to Terms.
+    """
 
     def __init__(
         self,
@@ -189,55 +201,63 @@
         self.tallies = {name: Tally() for name in self.roster} if measured else None
         self.noted: Callable[[Front, Note], None] | None = None
         self.net = Events(seed, manner or Manner(delay=(1 * MS, 30 * MS)))
-        self.shelves: dict[str, list[Record]] = {name: [] for name in self.roster}
+        self.stores: dict[str, list[Record]] = {name: [] for name in self.roster}
         self.starts = 0
         self.plans: dict[int, Plan] = {}
         self.committed: list[tuple[int, Plan]] = []
-        self._free: deque[tuple[int, tuple[float, ...]]] = deque()  # of `committed`, what may still be followed
+        self._free: deque[tuple[int, tuple[float, ...]]] = (
+            deque()
+        )  # what the plans found free, for plans that a front may still follow
         self._living = [0] * zones
-        self._allowed = [0] * zones  # UNITs of kB/s that strangers may ask of each zone's hosts
-        self._grown = False
+        self._allowed = [0] * zones  # in units of 1 / CAP_UNITS kB/s: what fronts of other zones may ask of each zone
+        self._cap_raised = False
         self._checked = 0
         self._hosts: tuple[tuple[float, ...], dict[int, Any]] = ((), {})
         self._sessions: dict[int, dict[int, Any]] = {}
-        self.net.watch, self.net.joined, self.net.gone = self.check, self._joined, self._gone
+        self.net.watch, self.net.joined, self.net.gone = self.check, self._front_started, self._front_stopped
         for name in self.roster if begin else ():
             self.start(name)
 
     def place(self, name: str) -> CommonPlace:
-        """What a gateway knows from its settings, as each works it out for itself."""
+        """What a gateway knows from its settings, derived in the same way as in the product."""
         found = self._places.get(name)
         if found is None:
             found = self._places[name] = CommonPlace.of(name, self.cells, self.zone_names, self.voters, self.terms)
         return found
 
     def time(self, name: str) -> int:
+        """A gateway's clock, or the network's if it does not run."""
         return self.net.time_of(name) if name in self.net.nodes else self.net.now
 
     def start(self, name: str, **clock: Any) -> None:
+        """Starts or restarts a gateway. `clock` is passed to the network: offset and speed."""
         self.starts += 1
-        self.net.add(name, Front(self, name, self.shelves[name], 1000 + self.starts), **clock)
+        self.net.add(name, Front(self, name, self.stores[name], 1000 + self.starts), **clock)
 
     def living(self, zone: int) -> int:
-        """Gateways of a zone that run, 1 at least."""
+        """Number of running gateways of a zone, at least 1."""
         return max(1, self._living[zone])
 
     def front(self, name: str) -> Front:
+        """A running gateway by name."""
         found = self.net.nodes[name].core
         assert isinstance(found, Front)
         return found
 
     def fronts(self) -> Iterable[Front]:
-        """All that run."""
+        """All running gateways."""
         return (self.front(name) for name in self.net.nodes)
 
     def of(self, *zones: int) -> list[str]:
+        """Names of the gateways of these zones."""
         return [name for name, zone in self.roster.items() if zone in zones]
 
     def run(self, seconds: float) -> None:
+        """Runs the simulation for a number of seconds."""
         self.net.run(self.net.now + round(seconds * SECOND))
 
     def leader(self) -> str | None:
+        """The voter that holds the lease, if one does."""
         for name in self.voters:
             if name in self.net.nodes:
                 council = self.front(name).core.council
@@ -247,7 +267,7 @@
         return None
 
     def lose(self, zone: int) -> None:
-        """Gateways and hosts of a zone; its viewers ask the others."""
+        """Kills all gateways of a zone and removes its hosts; its viewers ask other zones."""
         for name in self.of(zone):
             self.net.kill(name)
         self.rooms[zone] = 0.0
@@ -255,7 +275,7 @@
     # ---- hosts and viewers
 
     def hosts(self) -> Mapping[int, Any]:
-        """One host in each zone that has any, the same for all."""
+        """One host for each zone that has capacity, the same for all fronts."""
         rooms = tuple(self.rooms)
         if self._hosts[0] != rooms:
             self._hosts = (
@@ -274,16 +294,17 @@
         return self._hosts[1]
 
     def sessions(self, zone: int) -> Mapping[int, Any]:
-        """Those of one of its gateways: what its viewers ask, split evenly over those that run."""
+        """The sessions of one gateway of a zone: the demand of the zone, split evenly over its running gateways."""
         count = round(self.demand[zone] / RATE / self.living(zone))
         if count not in self._sessions:
             one = SimpleNamespace(r=SimpleNamespace(cls=0))
             self._sessions[count] = dict.fromkeys(range(count), one)
         return self._sessions[count]
 
-    # ---- what must hold
+    # ---- invariants
 
     def planned(self, plan: Plan) -> None:
+        """Records a plan that a front adopted. InvariantError if another plan has the same epoch."""
         known = self.plans.setdefault(plan.epoch, plan)
         if known is plan:
             self.committed.append((self.net.now, plan))
@@ -293,38 +314,40 @@
         elif known != plan:
             raise Broken(f"two plans of epoch {plan.epoch}")
 
-    def _joined(self, name: str, core: Any) -> None:
+    def _front_started(self, name: str, core: Any) -> None:
         self._living[self.roster[name]] += 1
 
-    def _gone(self, name: str, core: Any) -> None:
+    def _front_stopped(self, name: str, core: Any) -> None:
         self._living[self.roster[name]] -= 1
-        self._count(core, -1)
+        self._add_caps(core, -1)
 
     def allow(self, front: Front, ways: Ways) -> None:
-        """What a front may do from now on."""
+        """Sets what a front may do from now on."""
         before = front.ways
-        self._count(front, -1)
+        self._add_caps(front, -1)
         front.ways = ways
-        self._count(front, 1)
+        self._add_caps(front, 1)
         if before is None or any((cap or 0.0) > (had or 0.0) for cap, had in zip(ways.caps, before.caps, strict=True)):
-            self._grown = True
+            self._cap_raised = True
 
-    def _count(self, front: Front, sign: int) -> None:
+    def _add_caps(self, front: Front, sign: int) -> None:
         for z, cap in enumerate(front.ways.caps if front.ways is not None else ()):
             if cap and z != front.zone:
-                self._allowed[z] += sign * round(cap * UNIT)
+                self._allowed[z] += sign * round(cap * CAP_UNITS)
 
     def allowed(self, zone: int) -> float:
-        """What all that run and are not of the zone may together ask of its hosts, kB a second."""
-        return self._allowed[zone] / UNIT
+        """What all running fronts of other zones together may ask of a zone's hosts, kB/s."""
+        return self._allowed[zone] / CAP_UNITS
 
     def check(self, now: int) -> None:
-        """Broken where strangers may ask for more of a zone than was free. After an event that gave some front more,
-        and every CHECK: what was free ages."""
-        if not self._free or not self._grown and now - self._checked < CHECK:
+        """Checks that fronts of other zones may not ask for more of a zone than was free. InvariantError if they may.
+
+        Runs after an event that raised a front's cap, and every CHECK_INTERVAL, because what was free expires.
+        """
+        if not self._free or not self._cap_raised and now - self._checked < CHECK:
             return
-        self._checked, self._grown = now, False
-        # what any plan found free there, as far back as a front may still follow one: the last one before that as well
+        self._checked, self._cap_raised = now, False
+        # what any plan found free there, for all plans that a front may still follow and the one before them
         back = now - 2 * self.terms.holds * 12 // 10
         while len(self._free) > 1 and self._free[1][0] < back:
             self._free.popleft()
@@ -334,54 +357,64 @@
                 raise Broken(f"{self.allowed(z):.0f} kB/s of zone {z} allowed, {free:.0f} were free")
 
     def strengths(self, names: Iterable[str]) -> list[float]:
+        """The strength of the given gateways that run."""
         return [self.front(name).core.book.strength(self.time(name)) for name in names if name in self.net.nodes]
 
     def standing(self, z: int) -> Standing | None:
+        """The standing of a zone in the newest plan."""
         return max(self.plans.items())[1].zones[z].standing if self.plans else None
 
 
-class Gateway:
-    """One gateway's membership alone."""
+class MembershipNode:
+    """One gateway's membership protocol alone."""
 
     def __init__(self, world: World, name: str, incarnation: int) -> None:
-        self.world, self.name = world, name
+        self.fleet, self.name = world, name
         self.core = Members(
             name,
             world.roster,
             world.zones,
             Pace(),
-            world.seed * 7919 + hash_of(name) + incarnation,
+            world.seed * 7919 + name_hash(name) + incarnation,
             world.net.now,
             incarnation,
         )
 
     def hear(self, now: int, sender: str, message: Any) -> None:
+        """Handles a message."""
         self.core.hear(now, sender, message)
 
     def wake(self, now: int) -> None:
+        """Handles timers that are due."""
         self.core.wake(now)
 
     def next_wake(self) -> int:
+        """The time of the next timer, ns."""
         return self.core.next_wake()
 
     def collect(self, now: int) -> list[tuple[str, Any]]:
+        """Records state changes; returns (receiver, message) pairs to send."""
         out: list[tuple[str, Any]] = []
         for action in self.core.take():
             if isinstance(action, Say):
                 out.append((action.to, action.message))
             elif isinstance(action, Changed):
-                self.world.changes.append((self.world.net.now, self.name, action.name, action.life))
+                self.fleet.changes.append((self.fleet.net.now, self.name, action.name, action.life))
             else:
                 assert isinstance(action, Stood)
         return out
 
 
-def hash_of(name: str) -> int:
+def name_hash(name: str) -> int:
+    """A hash of a name that is the same in each process, for seeds."""
     return sum(ord(c) * 31**n for n, c in enumerate(name))
 
 
 class World:
-    """A fleet's membership alone. `changes`: when (ns), who holds, whom, for what."""
+    """The membership protocol of a fleet alone.
+
+    `changes` are the state changes seen: time in ns, observer, member, new state.
+    """
 
     def __init__(self, seed: int = 1, gateways: int = 12, zones: int = 4, manner: Manner | None = None) -> None:
         self.seed, self.zones = seed, zones
@@ -392,21 +425,27 @@
             self.start(name, 1000)
 
     def start(self, name: str, incarnation: int) -> None:
-        self.net.add(name, Gateway(self, name, incarnation))
+        """Starts or restarts a gateway."""
+        self.net.add(name, MembershipNode(self, name, incarnation))
 
     def core(self, name: str) -> Members:
+        """The membership state machine of a running gateway."""
         found = self.net.nodes[name].core
-        assert isinstance(found, Gateway)
+        assert isinstance(found, MembershipNode)
         return found.core
 
     def of(self, zone: int) -> list[str]:
+        """Names of the gateways of a zone."""
         return [name for name, z in self.roster.items() if z == zone]
 
     def run(self, seconds: float) -> None:
+        """Runs the simulation for a number of seconds."""
         self.net.run(self.net.now + round(seconds * SECOND))
 
     def deaths(self, since: int = 0) -> list[tuple[int, str, str]]:
+        """(time, observer, member) for each member held for dead since a time, ns."""
         return [(at, who, whom) for at, who, whom, life in self.changes if life is Life.DEAD and at >= since]
 
     def all_hold(self, name: str, life: Life) -> bool:
+        """Whether all other running gateways hold a member in that state."""
         return all(self.core(x).members[name].life is life for x in self.net.nodes if x != name)
--- a/copperyard/lab/sites/drawn.py
+++ b/copperyard/lab/sites/site_settings.py
@@ -1,7 +1,7 @@
-"""Settings of sites for runs at scale: drawn ones, and ones that an operator has, widened to more gateways.
+"""Settings of sites for scale tests: generated ones, and an operator's own with more gateways added.
 
-A drawn site has 2 regions with 5 zones (three and two), a council of five with one voter in each zone, and four
-stand-in hosts a zone whose links grow with the number of gateways, as a fleet's do.
+A generated site has 5 zones in 2 regions (three and two), one voter in each zone, and four stand-in hosts a zone,
+whose links grow with the number of gateways.
 """
 
 from __future__ import annotations
@@ -16,28 +16,30 @@
 from ...config import BadSettings, Mistake
 
 ZONES = (("z1", "north"), ("z2", "north"), ("z3", "north"), ("z4", "south"), ("z5", "south"))
-HOSTS = 4  # a zone
+HOSTS_PER_ZONE = 4  # stand-in hosts in each zone
 TITLES = 8
-LINK = 2000.0  # kB/s of a host's link in a site of twelve gateways
+HOST_LINK_KB = 2000.0  # kB/s of a host's link in a site of twelve gateways
 PORT = 7400
-BLOCKS = range(64, 127)  # second numbers of the loopback addresses that runs take: a run, a block
-A_ROW = 250  # gateways in one 127.A.B.0/24
-MOST = 250 * A_ROW
+BLOCK_NUMBERS = range(64, 127)  # second byte of the loopback addresses; each run takes one
+GATEWAYS_PER_SUBNET = 250  # gateways in one 127.A.B.0/24
+MAX_GATEWAYS = 250 * GATEWAYS_PER_SUBNET
 
 
-def drawn_site(gateways: int, seed: int) -> bytes:
-    """Settings of a drawn site with so many gateways, an equal number in each zone as far as that goes; the links of
-    its hosts come from the seed. The addresses are placeholders, for `placed`."""
+def generate_site(gateways: int, seed: int) -> bytes:
+    """Settings of a generated site with so many gateways, spread evenly over the zones.
+
+    The links of its hosts are drawn from the seed. Addresses are placeholders, for `with_addresses`.
+    """
     rng = random.Random(seed)
     root = etree.Element("copperyard")
     zones = _add(root, "zones")
     for name, region in ZONES:
         _add(zones, "zone", name=name, region=region)
-    place = _add(root, "gateways")
+    gateway_list = _add(root, "gateways")
     for n in range(gateways):
         zone = ZONES[n % len(ZONES)][0]
-        one = _add(
-            place,
+        gateway = _add(
+            gateway_list,
             "gateway",
             name=f"{zone}-{n // len(ZONES) + 1:04d}",
             zone=zone,
@@ -45,7 +47,7 @@
             peers="127.0.0.1:0",
         )
         if n < len(ZONES):
-            one.set("votes", "yes")
+            gateway.set("votes", "yes")
     ladder = _add(root, "ladder")
     for rate, worth in ((230, 0.22), (420, 0.45), (680, 0.66), (1100, 0.85)):
         _add(ladder, "rung", rate=f"{rate}kB/s", worth=str(worth))
@@ -64,8 +66,8 @@
         seats="200",
         **{"set-up": "once"},
     )
-    cells = len(ZONES) * HOSTS
-    link = LINK * max(1.0, gateways / 12)
+    cells = len(ZONES) * HOSTS_PER_ZONE
+    link = HOST_LINK_KB * max(1.0, gateways / 12)
     _add(
         root,
         "fleet",
@@ -107,40 +109,48 @@
         reserve="0.1",
         dwell="4s",
     )
-    shelf = _add(root, "titles")
+    title_list = _add(root, "titles")
     for n in range(TITLES):
         title = _add(
-            shelf, "title", path=f"/classes/{n + 1}", name=f"Film {n + 1}", length="20s", cell="0", holders=str(cells)
+            title_list,
+            "title",
+            path=f"/classes/{n + 1}",
+            name=f"Film {n + 1}",
+            length="20s",
+            cell="0",
+            holders=str(cells),
         )
         _add(title, "track", kind="video", codec="JPEG", clock="90000", **{"payload-type": "26"})
     lab = _add(root, "lab", **{"media-scale": "0.002", "list-late": "300ms"})
     for n in range(cells):
-        zone = ZONES[n // HOSTS][0]
+        zone = ZONES[n // HOSTS_PER_ZONE][0]
         _add(
             lab,
             "host",
-            name=f"{zone}-h{n % HOSTS + 1}",
+            name=f"{zone}-h{n % HOSTS_PER_ZONE + 1}",
             cell=str(n),
             zone=zone,
             link=f"{link * rng.uniform(0.9, 1.1):.0f}kB/s",
         )
-    return _text(root)
+    return _serialize(root)
+
 
+def add_gateways(text: bytes, name: str, gateways: int) -> bytes:
+    """The same settings with so many gateways; each missing one is added to the zone with the fewest.
 
-def widened(text: bytes, name: str, gateways: int) -> bytes:
-    """The same settings with so many gateways: what is missing is added, to the zone with the fewest each time.
-    BadSettings where the settings list more than that, or are only a part of a site."""
+    BadSettings if the settings list more than that, or only a part of a site.
+    """
     root = etree.fromstring(text)
-    place = root.find("gateways")
-    assert place is not None
-    listed = list(place.iterfind("gateway"))
-    fronts = int(place.get("fronts", len(listed)))
+    gateway_list = root.find("gateways")
+    assert gateway_list is not None
+    listed = list(gateway_list.iterfind("gateway"))
+    fronts = int(gateway_list.get("fronts", len(listed)))
     if fronts != len(listed):
         raise BadSettings(
             name,
             [
                 Mistake(
-                    int(place.sourceline or 0),
+                    int(gateway_list.sourceline or 0),
                     f"fronts '{fronts}': settings of other gateways "
                     f"than the {len(listed)} listed here; all of a site are needed",
                 )
@@ -158,7 +168,7 @@
                 )
             ],
         )
-    zones = [str(one.get("name")) for one in root.iterfind("zones/zone")]
+    zones = [str(gateway.get("name")) for gateway in root.iterfind("zones/zone")]
     counts = Counter({zone: 0 for zone in zones})
     counts.update(str(one.get("zone")) for one in listed if one.get("zone"))
     names = {str(one.get("name")) for one in listed}
@@ -169,51 +179,55 @@
         while (label := f"{zone or 'gw'}-x{number:04d}") in names:
             number += 1
         names.add(label)
-        one = _add(place, "gateway", name=label, listen="127.0.0.1:0", peers="127.0.0.1:0")
+        one = _add(gateway_list, "gateway", name=label, listen="127.0.0.1:0", peers="127.0.0.1:0")
         if zone:
             one.set("zone", zone)
-    return _text(root)
+    return _serialize(root)
 
 
-def placed(text: bytes, addresses: Mapping[str, str]) -> bytes:
-    """The settings with the gateways' links at these addresses; where viewers reach them is left to the system."""
+def with_addresses(text: bytes, addresses: Mapping[str, str]) -> bytes:
+    """The settings with these addresses for links between gateways; viewers' ports are left to the system."""
     root = etree.fromstring(text)
     for one in root.iterfind("gateways/gateway"):
         one.set("listen", "127.0.0.1:0")
         one.set("peers", addresses[str(one.get("name"))])
         one.attrib.pop("reach", None)
-    return _text(root)
+    return _serialize(root)
+
 
+class AddressBlock:
+    """Loopback addresses of one run.
 
-class Block:
-    """Loopback addresses of one run, fixed before it starts, so that settings name them and a restart keeps them. The
-    block is this run's while the object lives: a socket holds it."""
+    They are fixed before the run starts, so that settings name them and a restart keeps them. A listening socket
+    reserves the block while the object is open.
+    """
 
     def __init__(self) -> None:
-        for number in BLOCKS:
-            self._claim = socket.socket()
+        for number in BLOCK_NUMBERS:
+            self._lock_socket = socket.socket()
             try:
-                self._claim.bind((f"127.{number}.255.254", PORT))
-                self._claim.listen()
+                self._lock_socket.bind((f"127.{number}.255.254", PORT))
+                self._lock_socket.listen()
             except OSError:
-                self._claim.close()
+                self._lock_socket.close()
                 continue
             self.number = number
             return
-        raise OSError(f"no block of loopback addresses is free: {len(BLOCKS)} runs go on")
+        raise OSError(f"no block of loopback addresses is free: {len(BLOCK_NUMBERS)} runs go on")
 
-    def address(self, n: int) -> str:
-        """Where gateway n of the settings listens."""
-        return f"127.{self.number}.{n // A_ROW}.{n % A_ROW + 1}:{PORT}"
+    def gateway_address(self, n: int) -> str:
+        """Where gateway number n of the settings listens."""
+        return f"127.{self.number}.{n // GATEWAYS_PER_SUBNET}.{n % GATEWAYS_PER_SUBNET + 1}:{PORT}"
 
     def close(self) -> None:
-        self._claim.close()
+        """Releases the block."""
+        self._lock_socket.close()
 
 
 def _add(parent: etree._Element, tag: str, **attributes: str) -> etree._Element:
     return etree.SubElement(parent, tag, attributes)
 
 
-def _text(root: etree._Element) -> bytes:
+def _serialize(root: etree._Element) -> bytes:
     text: bytes = etree.tostring(root, pretty_print=True, xml_declaration=True, encoding="UTF-8")
     return text
--- a/copperyard/lab/sites/leash.py
+++ b/copperyard/lab/sites/watchdog.py
@@ -1,7 +1,8 @@
-"""Runs the program's command line until its standard input ends: whoever started it holds the other end, so the process
-goes with it, however that ended.
+"""Runs the program's command line until its standard input ends.
 
-    python -m copperyard.lab.sites.leash serve SITE --name NAME
+The parent process holds the other end, so this process ends with its parent, however that ended.
+
+    python -m copperyard.lab.sites.watchdog serve SITE --name NAME
 """
 
 from __future__ import annotations
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -17,11 +17,22 @@
 from copperyard.cli.main import app
 from copperyard.config import BadSettings, parse
 from copperyard.gateway.net import TcpNetwork
-from copperyard.lab.sites import drawn, layout, scale
-from copperyard.lab.sites.drawn import Block, drawn_site, placed, widened
-from copperyard.lab.sites.hollow import Wire, plan_digest
-from copperyard.lab.sites.scalefaults import Trouble, read_troubles, usual_troubles
-from copperyard.lab.sites.tally import GRACE, Death, Down, Plan, Tally, Used, quantile, rates, traffic, weighted
+from copperyard.lab.sites import layout, scale, site_settings
+from copperyard.lab.sites.hollow import CountingNetwork, plan_digest
+from copperyard.lab.sites.run_statistics import (
+    OUTAGE_GRACE_S,
+    DeathReport,
+    Outage,
+    PlanAdoption,
+    RunStatistics,
+    UsageSample,
+    byte_rates,
+    cpu_rates,
+    quantile,
+    weighted_quantile,
+)
+from copperyard.lab.sites.scale_faults import ScaleFault, default_faults, read_scale_faults
+from copperyard.lab.sites.site_settings import AddressBlock, add_gateways, generate_site, with_addresses
 from copperyard.protocol.peers import Hello, hello
 
 ROOT = Path(__file__).parents[2]
@@ -31,9 +42,9 @@
 
 
 def settings(gateways, seed=1):
-    text = drawn_site(gateways, seed)
+    text = generate_site(gateways, seed)
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
-    return placed(text, {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(names)})
+    return with_addresses(text, {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(names)})
 
 
 def prepare(gateways=40, real=4, processes=None, seconds=60.0, seed=1, text=None, faults=None, room=PLENTY):
@@ -53,30 +64,32 @@
     assert len(site.gateways) == 61 and len(site.zones) == 5
     assert site.common.terms.regions == (0, 0, 0, 1, 1)
     assert sorted(site.common.roster[name] for name in site.common.voters) == [0, 1, 2, 3, 4]
-    assert drawn_site(61, 1) == drawn_site(61, 1) != drawn_site(61, 2)
+    assert generate_site(61, 1) == generate_site(61, 1) != generate_site(61, 2)
 
 
 def test_where_links_listen_is_no_part_of_what_gateways_agree_on():
-    one = drawn_site(12, 1)
+    one = generate_site(12, 1)
     names = [str(g.get("name")) for g in etree.fromstring(one).iterfind("gateways/gateway")]
     first, other = (
-        parse(placed(one, {name: f"127.{k}.0.{n + 1}:7400" for n, name in enumerate(names)})) for k in (64, 65)
+        parse(with_addresses(one, {name: f"127.{k}.0.{n + 1}:7400" for n, name in enumerate(names)})) for k in (64, 65)
     )
     assert first.common.fleet == other.common.fleet and first.common.reach != other.common.reach
     assert first.common.fleet != parse(settings(13)).common.fleet
 
 
 def test_two_runs_at_a_time_take_two_blocks_of_addresses():
-    one, other = Block(), Block()
+    one, other = AddressBlock(), AddressBlock()
     try:
-        assert one.number != other.number and one.address(251) != one.address(250) != other.address(250)
+        assert one.number != other.number and one.gateway_address(251) != one.gateway_address(
+            250
+        ) != other.gateway_address(250)
     finally:
         one.close()
         other.close()
 
 
 def test_an_operators_site_is_widened_evenly_and_keeps_its_own_gateways():
-    text = widened(SITES.read_bytes(), "sites.xml", 30)
+    text = add_gateways(SITES.read_bytes(), "sites.xml", 30)
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
     assert names[:12] == [g.name for g in parse(SITES.read_bytes()).gateways] and len(set(names)) == 30
     zones = [g.get("zone") for g in etree.fromstring(text).iterfind("gateways/gateway")]
@@ -103,7 +116,7 @@
 def test_what_is_to_stand_still_shares_its_process_with_nobody_else():
     body = '<fault kind="pause" at="5s" for="3s" who="rack"/><fault kind="pause" at="9s" for="3s" who="z4"/>'
     _, site, plan, _ = prepare(60, 4, faults=faults(body))
-    paused = [set(names) for _, names, _ in plan.troubles]
+    paused = [set(names) for _, names, _ in plan.faults]
     assert all(paused)
     for group in plan.groups:
         for names in paused:
@@ -112,15 +125,15 @@
 
 def test_who_is_drawn_comes_from_the_seed():
     def drawn(seed):
-        return [names for _, names, _ in prepare(60, 4, seed=seed)[2].troubles]
+        return [names for _, names, _ in prepare(60, 4, seed=seed)[2].faults]
 
     assert drawn(3) == drawn(3) and len({tuple(map(tuple, drawn(n))) for n in range(5)}) > 1
 
 
 def test_without_a_file_there_is_a_calm_third_then_one_gateway_and_a_zone_that_comes_back():
-    one, zone = usual_troubles(60.0)
-    assert (one.kind, one.at, one.who) == ("kill", 20.0, ("gateway",)) and one.until == one.at
-    assert zone.who == ("zone",) and zone.at > one.at + 12 and 15 < zone.until - zone.at < 60 - zone.at
+    one, zone = default_faults(60.0)
+    assert (one.kind, one.at, one.targets) == ("kill", 20.0, ("gateway",)) and one.until == one.at
+    assert zone.targets == ("zone",) and zone.at > one.at + 12 and 15 < zone.until - zone.at < 60 - zone.at
 
 
 # ---- what it refuses, with nothing started
@@ -213,9 +226,9 @@
         )
         + '<fault kind="churn" at="1s" for="2s"/>'
     )
-    found = read_troubles(faults(body), site, ("north",) * 3 + ("south",) * 2, 60.0, "x")
+    found = read_scale_faults(faults(body), site, ("north",) * 3 + ("south",) * 2, 60.0, "x")
     assert [one.kind for one in found] == ["kill"] * 3 + ["pause", "cut", "start", "kill", "churn"]
-    assert found[-1] == Trouble("churn", 1.0, 3.0, (), 0.1)
+    assert found[-1] == ScaleFault("churn", 1.0, 3.0, (), 0.1)
 
 
 def test_settings_that_are_a_part_of_a_site_are_refused():
@@ -225,7 +238,7 @@
 
 
 def test_a_run_that_finds_no_addresses_says_so_in_a_line(monkeypatch):
-    monkeypatch.setattr(drawn, "BLOCKS", range(0))
+    monkeypatch.setattr(site_settings, "BLOCK_NUMBERS", range(0))
     found = CliRunner().invoke(app, ["lab", "scale", "--gateways", "12"])
     assert isinstance(found.exception, SystemExit) and found.exit_code == 1
     assert "no block of loopback addresses is free" in found.output.splitlines()[-1]
@@ -254,10 +267,10 @@
 
 def test_orders_are_carried_out_one_after_another(tmp_path):
     """Started, killed and started again in one breath, voters among them: all live, none twice."""
-    block = Block()
-    text = drawn_site(12, 1)
+    block = AddressBlock()
+    text = generate_site(12, 1)
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
-    text = placed(text, {name: block.address(n) for n, name in enumerate(names)})
+    text = with_addresses(text, {name: block.gateway_address(n) for n, name in enumerate(names)})
     (tmp_path / "site.xml").write_bytes(text)
     process = subprocess.Popen(
         [
@@ -296,84 +309,104 @@
 
 
 def tally(downs=(), begin=100.0, end=200.0):
-    found = Tally(frozenset("abcd"), frozenset("r"), begin, end, downs=list(downs))
+    found = RunStatistics(frozenset("abcd"), frozenset("r"), begin, end, outages=list(downs))
     for name in "abcdr":
-        found.lives[name].append(50.0)
+        found.starts[name].append(50.0)
     return found
 
 
 def test_a_death_is_false_unless_something_was_done_to_whom_it_names():
-    one = tally([Down("kill", frozenset("a"), 120.0, 130.0)])
-    one.deaths = [Death(125.0, "b", "a", True), Death(130.0 + GRACE / 2, "c", "a", False)]
-    assert len(one.falsely_dead()) == 0
-    one.deaths.append(Death(110.0, "b", "a", True))
-    assert len(one.falsely_dead()) == 1
-    one.deaths = [Death(131.0 + GRACE, "c", "a", False), Death(125.0, "a", "b", True), Death(99.0, "c", "d", True)]
-    assert len(one.falsely_dead()) == 2
+    one = tally([Outage("kill", frozenset("a"), 120.0, 130.0)])
+    one.deaths = [DeathReport(125.0, "b", "a", True), DeathReport(130.0 + OUTAGE_GRACE_S / 2, "c", "a", False)]
+    assert len(one.false_deaths()) == 0
+    one.deaths.append(DeathReport(110.0, "b", "a", True))
+    assert len(one.false_deaths()) == 1
+    one.deaths = [
+        DeathReport(131.0 + OUTAGE_GRACE_S, "c", "a", False),
+        DeathReport(125.0, "a", "b", True),
+        DeathReport(99.0, "c", "d", True),
+    ]
+    assert len(one.false_deaths()) == 2
 
 
 def test_over_a_cut_each_side_may_hold_the_other_for_dead_and_not_its_own():
-    one = tally([Down("cut", frozenset("ab"), 120.0, 130.0)])
-    one.deaths = [Death(125.0, "a", "c", True), Death(125.0, "c", "a", True), Death(135.0, "c", "d", False)]
-    assert len(one.falsely_dead()) == 0
-    one.deaths = [Death(125.0, "a", "b", True), Death(125.0, "c", "d", True)]
-    assert len(one.falsely_dead()) == 2
+    one = tally([Outage("cut", frozenset("ab"), 120.0, 130.0)])
+    one.deaths = [
+        DeathReport(125.0, "a", "c", True),
+        DeathReport(125.0, "c", "a", True),
+        DeathReport(135.0, "c", "d", False),
+    ]
+    assert len(one.false_deaths()) == 0
+    one.deaths = [DeathReport(125.0, "a", "b", True), DeathReport(125.0, "c", "d", True)]
+    assert len(one.false_deaths()) == 2
 
 
 def test_who_stood_still_may_be_wrong_for_a_while():
-    one = tally([Down("pause", frozenset("a"), 120.0, 130.0)])
-    one.deaths = [Death(131.0, "a", "b", True)]
-    assert len(one.falsely_dead()) == 0
-    one.deaths = [Death(131.0, "c", "b", False)]
-    assert len(one.falsely_dead()) == 1
+    one = tally([Outage("pause", frozenset("a"), 120.0, 130.0)])
+    one.deaths = [DeathReport(131.0, "a", "b", True)]
+    assert len(one.false_deaths()) == 0
+    one.deaths = [DeathReport(131.0, "c", "b", False)]
+    assert len(one.false_deaths()) == 1
 
 
 def test_a_death_is_known_when_the_last_that_lives_knows():
-    one = tally([Down("kill", frozenset("a"), 120.0, math.inf), Down("kill", frozenset("bc"), 150.0, math.inf)])
+    one = tally([Outage("kill", frozenset("a"), 120.0, math.inf), Outage("kill", frozenset("bc"), 150.0, math.inf)])
     one.deaths = [
-        Death(125.0, "d", "a", True),
-        Death(128.0, "r", "a", False),
-        Death(129.0, "r", "a", False),
-        Death(160.0, "d", "b", True),
+        DeathReport(125.0, "d", "a", True),
+        DeathReport(128.0, "r", "a", False),
+        DeathReport(129.0, "r", "a", False),
+        DeathReport(160.0, "d", "b", True),
     ]
     # b and c did not live all the while
-    assert one.dead_known() == {"dead_known_s": 8.0, "dead_first_s": 5.0, "dead_median_s": 8.0, "dead_known_by": [2, 2]}
+    assert one.death_detection() == {
+        "dead_known_s": 8.0,
+        "dead_first_s": 5.0,
+        "dead_median_s": 8.0,
+        "dead_known_by": [2, 2],
+    }
 
 
 def test_a_zone_is_known_when_the_plan_without_it_is_in_force_at_all_that_live():
-    one = tally([Down("kill", frozenset("ab"), 120.0, 160.0, "z1")])
+    one = tally([Outage("kill", frozenset("ab"), 120.0, 160.0, "z1")])
     for name, at in (("c", 130.0), ("d", 132.0)):
-        one.plans[name] = [Plan(110.0, 1, "x", ()), Plan(125.0, 2, "y", ("z2",)), Plan(at, 3, "z", ("z1",))]
-    assert one.zone_known()["zone_known_s"] is None and one.zone_known()["zone_known_by"] == [2, 3]
-    one.plans["r"] = [Plan(133.5, 3, "z", ("z1",))]
-    assert one.zone_known() == {"zone_known_s": 13.5, "zone_agreed_s": 10.0, "zone_known_by": [3, 3]}
+        one.plans[name] = [
+            PlanAdoption(110.0, 1, "x", ()),
+            PlanAdoption(125.0, 2, "y", ("z2",)),
+            PlanAdoption(at, 3, "z", ("z1",)),
+        ]
+    assert one.zone_loss_detection()["zone_known_s"] is None and one.zone_loss_detection()["zone_known_by"] == [2, 3]
+    one.plans["r"] = [PlanAdoption(133.5, 3, "z", ("z1",))]
+    assert one.zone_loss_detection() == {"zone_known_s": 13.5, "zone_agreed_s": 10.0, "zone_known_by": [3, 3]}
 
 
 def test_an_entry_is_in_force_where_it_or_a_later_one_was_taken_up():
-    one = tally([Down("kill", frozenset("d"), 105.0, 130.0)])
-    one.plans["a"] = [Plan(60.0, 1, "x", ()), Plan(110.0, 2, "y", ()), Plan(120.0, 3, "z", ())]
-    one.plans["b"] = [Plan(61.0, 1, "x", ()), Plan(121.0, 3, "z", ())]
-    one.plans["c"] = [Plan(61.0, 1, "x", ()), Plan(110.5, 2, "y", ())]
-    one.plans["d"] = [Plan(61.0, 1, "x", ()), Plan(140.0, 3, "z", ())]
-    assert one.change_in_force() == {"p50": 0.5, "p99": 11.0, "last": 11.0, "epochs": 2, "missing": 1}
-    assert tally().change_in_force() is None
+    one = tally([Outage("kill", frozenset("d"), 105.0, 130.0)])
+    one.plans["a"] = [PlanAdoption(60.0, 1, "x", ()), PlanAdoption(110.0, 2, "y", ()), PlanAdoption(120.0, 3, "z", ())]
+    one.plans["b"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(121.0, 3, "z", ())]
+    one.plans["c"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(110.5, 2, "y", ())]
+    one.plans["d"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(140.0, 3, "z", ())]
+    assert one.plan_propagation() == {"p50": 0.5, "p99": 11.0, "last": 11.0, "epochs": 2, "missing": 1}
+    assert tally().plan_propagation() is None
 
 
 def test_two_plans_of_one_epoch_are_two_histories():
     one = tally()
-    assert one.histories() == 0
-    one.plans["a"], one.plans["b"] = [Plan(1.0, 1, "x", ()), Plan(2.0, 2, "y", ())], [Plan(1.5, 1, "x", ())]
-    assert one.histories() == 1
-    one.plans["b"].append(Plan(3.0, 2, "other", ()))
-    assert one.histories() == 2
+    assert one.history_count() == 0
+    one.plans["a"], one.plans["b"] = (
+        [PlanAdoption(1.0, 1, "x", ()), PlanAdoption(2.0, 2, "y", ())],
+        [PlanAdoption(1.5, 1, "x", ())],
+    )
+    assert one.history_count() == 1
+    one.plans["b"].append(PlanAdoption(3.0, 2, "other", ()))
+    assert one.history_count() == 2
 
 
 def test_a_rejoin_lasts_until_a_plan_is_in_force_in_that_life():
-    one = tally([Down("kill", frozenset("a"), 110.0, 120.0)])
-    one.lives["a"] += [120.0, 150.0]
-    one.plans["a"] = [Plan(60.0, 1, "x", ()), Plan(123.0, 4, "y", ())]
-    assert one.rejoin() == {"rejoin_s": 3.0, "rejoin_median_s": 3.0, "rejoin_missing": 1}
-    assert tally().rejoin()["rejoin_s"] is None
+    one = tally([Outage("kill", frozenset("a"), 110.0, 120.0)])
+    one.starts["a"] += [120.0, 150.0]
+    one.plans["a"] = [PlanAdoption(60.0, 1, "x", ()), PlanAdoption(123.0, 4, "y", ())]
+    assert one.rejoin_times() == {"rejoin_s": 3.0, "rejoin_median_s": 3.0, "rejoin_missing": 1}
+    assert tally().rejoin_times()["rejoin_s"] is None
 
 
 def test_the_same_plan_has_the_same_digest_in_a_note_and_in_a_line_of_the_log():
@@ -388,12 +421,12 @@
 )
 def test_a_run_in_which_a_process_ran_late_between_begin_and_end_is_void(lags, void, tmp_path):
     text, site, plan, _ = prepare(12, 0)
-    block = Block()
+    block = AddressBlock()
     try:
         run = scale.Scale(
             site,
             text,
-            layout.regions_of(text),
+            layout.zone_regions(text),
             plan,
             layout.Wish(12, 0, None, 60.0, 1),
             tmp_path,
@@ -403,22 +436,25 @@
         )
     finally:
         block.close()
-    run.tally.begin, run.tally.end = 100.0, 200.0
-    run.hollow[0].lags = lags
+    run.statistics.begin, run.statistics.end = 100.0, 200.0
+    run.hollow_processes[0].lags = lags
     assert run._result().figures["void"] is void
 
 
 def test_what_processes_used_is_told_by_gateway_and_second():
     samples = [
-        Used(10.0, 1.0, 0, {"a": (0, 0)}),
-        Used(11.0, 1.1, 0, {"a": (100, 50)}),
-        Used(13.0, 1.5, 0, {"a": (20, 10)}),
-        Used(14.0, 2.5, 0, {"a": (40, 30)}),
+        UsageSample(10.0, 1.0, 0, {"a": (0, 0)}),
+        UsageSample(11.0, 1.1, 0, {"a": (100, 50)}),
+        UsageSample(13.0, 1.5, 0, {"a": (20, 10)}),
+        UsageSample(14.0, 2.5, 0, {"a": (40, 30)}),
     ]
-    assert rates(samples, 10.0, 13.0, 10) == pytest.approx([10.0, 20.0])
-    assert traffic(samples, 10.0, 20.0) == {"a": [(100.0, 50.0), (20.0, 20.0)]}  # 13 s: another life
+    assert cpu_rates(samples, 10.0, 13.0, 10) == pytest.approx([10.0, 20.0])
+    assert byte_rates(samples, 10.0, 20.0) == {"a": [(100.0, 50.0), (20.0, 20.0)]}  # 13 s: another life
     assert quantile([1, 2, 3, 4], 0.5) == 2 and quantile([1, 2, 3, 4], 0.99) == 4
-    assert weighted([(5.0, 1), (1.0, 98), (9.0, 1)], 0.5) == 1.0 and weighted([(5.0, 1), (1.0, 99)], 0.995) == 5.0
+    assert (
+        weighted_quantile([(5.0, 1), (1.0, 98), (9.0, 1)], 0.5) == 1.0
+        and weighted_quantile([(5.0, 1), (1.0, 99)], 0.995) == 5.0
+    )
 
 
 def test_a_cut_closes_what_stands_and_refuses_both_ways():
@@ -430,7 +466,7 @@
     network = TcpNetwork()
     listeners = {name: await network.listen("127.0.0.1:0") for name in "ab"}
     names = {one.address: name for name, one in listeners.items()}
-    wires["a"], wires["b"] = Wire(network, names), Wire(network, names)
+    wires["a"], wires["b"] = CountingNetwork(network, names), CountingNetwork(network, names)
     for one in listeners.values():
         one.close()
     address = {name: one for one, name in names.items()}
@@ -445,18 +481,18 @@
 
     out, came = await link()
     assert await came.receive_some(1000) == first and came.name == "a"
-    assert (wires["a"].sent, wires["b"].received, wires["a"].most) == (len(first), len(first), 1)
-    wires["b"].refuse(["a"])
-    assert not wires["b"].open and await out.receive_some(10) == b""
+    assert (wires["a"].sent, wires["b"].received, wires["a"].max_open) == (len(first), len(first), 1)
+    wires["b"].set_refused(["a"])
+    assert not wires["b"].open_streams and await out.receive_some(10) == b""
     out.close()
     out, came = await link()
     with pytest.raises(OSError):
         await came.receive_some(1000)  # it dialled, and says who it is
-    wires["a"].refuse(["b"])
+    wires["a"].set_refused(["b"])
     with pytest.raises(OSError):
         await wires["a"].connect(address["b"])
-    wires["a"].refuse([])
-    wires["b"].refuse([])
+    wires["a"].set_refused([])
+    wires["b"].set_refused([])
     out, came = await link()
     assert await came.receive_some(1000) == first
     out.close()
