--- a/copperyard/lab/sites/evening.py
+++ b/copperyard/lab/sites/evening.py
@@ -93,10 +93,10 @@
                 nursery.start_soon(lag.watch)
                 nursery.start_soon(self._sample)
                 self.begin, self.begin_date = trio.current_time(), time.time()
-                async with trio.open_nursery() as crowd:
+                async with trio.open_nursery() as tasks:
                     for n, fault in enumerate(self.scenario.faults):
-                        crowd.start_soon(self._inject, fault, random.Random(self.seed * 31 + n))
-                    await self._arrivals(crowd)
+                        tasks.start_soon(self._inject, fault, random.Random(self.seed * 31 + n))
+                    await self._arrivals(tasks)
                 await trio.sleep(0.5)
                 outcome.faults += [f"{name} ended by itself" for name in self.processes.crashed()]
                 nursery.cancel_scope.cancel()
@@ -120,15 +120,15 @@
     # ---- load
 
     async def _arrivals(self, nursery: trio.Nursery) -> None:
-        rng, evening = self.random, self.scenario
+        rng, scenario = self.random, self.scenario
         longest = max(c.deadline for c in self.site.rules.settings.classes)
         paths = [t.path for t in self.site.titles]
         at = 0.0
-        while (at := at + rng.expovariate(evening.rate)) < evening.seconds:
+        while (at := at + rng.expovariate(scenario.rate)) < scenario.seconds:
             await trio.sleep_until(self.begin + at)
             home = rng.randrange(len(self.site.zones))
-            code = f"c{self.seed}x{len(self.visits)}" if rng.random() < evening.paid else ""
-            watch = rng.uniform(*evening.watch)
+            code = f"c{self.seed}x{len(self.visits)}" if rng.random() < scenario.paid else ""
+            watch = rng.uniform(*scenario.watch)
             visit = Visit(rng.choice(paths), code, "plain", round((self.begin + at) * 1e9), watch)
             self.visits.append(visit)
             self.homes.append(home)
@@ -306,8 +306,8 @@
     def _crossing_share(self) -> float:
         """The share of the asked rates that crossed zones."""
         total = sum(kb for s in self.samples for row in s.rates for kb in row)
-        abroad = sum(kb for s in self.samples for h, row in enumerate(s.rates) for z, kb in enumerate(row) if z != h)
-        return abroad / total if total else 0.0
+        crossing = sum(kb for s in self.samples for h, row in enumerate(s.rates) for z, kb in enumerate(row) if z != h)
+        return crossing / total if total else 0.0
 
     def _count_over_cap(self, outcome: Outcome) -> int:
         """Counts samples in which fronts of one zone asked more of another's hosts than allowed.
--- a/copperyard/lab/sites/events.py
+++ b/copperyard/lab/sites/events.py
@@ -62,17 +62,15 @@
         self.now = 0
         self.manner = manner if manner is not None else Manner()
         self.manners: dict[tuple[str, str], Manner] = {}
-        self.cuts: list[
-            tuple[frozenset[str], frozenset[str]]
-        ] = []  # links from any of the first to any of the second are cut
+        # links from any of the first to any of the second are cut
+        self.cuts: list[tuple[frozenset[str], frozenset[str]]] = []
         self.nodes: dict[str, _Node] = {}
         self.sent = self.lost = 0
         self.sizes: Callable[[Any], int] | None = None
         self.bytes = 0
         self.watch: Callable[[int], None] | None = None  # called after every event
-        self.sending: Callable[[str, str, Any], None] | None = (
-            None  # from, to, message; also called for messages that get lost
-        )
+        # callbacks with from, to, message; the first one also for messages that get lost
+        self.sending: Callable[[str, str, Any], None] | None = None
         self.arriving: Callable[[str, str, Any], None] | None = None
         self.joined: Callable[[str, CoreLike], None] | None = None  # a node starts; called before it sends
         self.gone: Callable[[str, CoreLike], None] | None = None  # a node was killed or replaced
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -444,11 +444,11 @@
             f"{settings}: settings of other gateways: their digest is '{found}', this run's '{fleet}'", file=sys.stderr
         )
         return 2
-    crowd = HollowGroup(site, Path(folder), int(seed))
+    group = HollowGroup(site, Path(folder), int(seed))
 
     async def run() -> None:
         # duplicates the descriptors, because the pipes are made non-blocking
-        await crowd.run(trio.lowlevel.FdStream(os.dup(0)), trio.lowlevel.FdStream(os.dup(1)))
+        await group.run(trio.lowlevel.FdStream(os.dup(0)), trio.lowlevel.FdStream(os.dup(1)))
 
     try:
         trio.run(run)
--- a/copperyard/lab/sites/layout.py
+++ b/copperyard/lab/sites/layout.py
@@ -24,16 +24,12 @@
 GATEWAYS_PER_PROCESS = 120  # hollow gateways a process if `processes` is not given
 MAX_PROCESSES = 300
 RACK_SIZE = 20  # gateways of one zone that fail together
-EMPTY_PROCESS_MB, PARENT_MB, REAL_GATEWAY_MB = (
-    60,
-    150,
-    80,
-)  # process without gateways, this process, process of a real gateway
+# memory of a process without gateways, of this process, of a real gateway's process
+EMPTY_PROCESS_MB, PARENT_MB, REAL_GATEWAY_MB = 60, 150, 80
 # measured memory of a hollow gateway: itself, for each other gateway, for each open link
 HOLLOW_GATEWAY_MB, ROSTER_KB, LINK_KB = 0.5, 0.6, 18.0
-MAX_OPEN_LINKS = (
-    130  # open at a non-voter, in both directions; a voter may have one in each direction with every gateway
-)
+# open links of a non-voter, in both directions; a voter may have one in each direction with every gateway
+MAX_OPEN_LINKS = 130
 OWN_DESCRIPTORS = 64  # descriptors of a process besides its links
 
 
@@ -76,9 +72,8 @@
 
     real: tuple[str, ...]
     groups: tuple[tuple[str, ...], ...]
-    faults: tuple[
-        tuple[ScaleFault, tuple[str, ...], str], ...
-    ]  # fault, targets (none: found when it strikes), whole zone
+    # fault, its targets (none: determined when it strikes), the zone if it hits a whole one
+    faults: tuple[tuple[ScaleFault, tuple[str, ...], str], ...]
 
     @property
     def hollow(self) -> tuple[str, ...]:
@@ -201,7 +196,7 @@
     if site.common is None:
         raise Refused(f"{name}: no <common>: its gateways decide nothing together")
     if site.lab is None or not site.lab.hosts:
-        raise Refused(f"{name}: no <lab> with hosts: there is nothing to rehearse with")
+        raise Refused(f"{name}: no <lab> with hosts: a scale test needs stand-in hosts")
     return len(site.common.voters)
 
 
--- a/copperyard/lab/sites/run_statistics.py
+++ b/copperyard/lab/sites/run_statistics.py
@@ -84,7 +84,7 @@
 
     def was_healthy(self, name: str, since: float, until: float) -> bool:
         """Whether no outage hit a gateway in that time."""
-        return not any(name in down.names and down.begin < until and down.end > since for down in self.outages)
+        return not any(name in outage.names and outage.begin < until and outage.end > since for outage in self.outages)
 
     def leader(self, at: float) -> str | None:
         """The last gateway that became leader up to a time."""
@@ -102,16 +102,16 @@
             {
                 death.subject
                 for death in self.deaths
-                if death.at >= self.begin and not any(self._is_expected(death, down) for down in self.outages)
+                if death.at >= self.begin and not any(self._is_expected(death, outage) for outage in self.outages)
             }
         )
 
-    def _is_expected(self, death: DeathReport, down: Outage) -> bool:
-        if not down.begin <= death.at <= down.end + OUTAGE_GRACE_S:
+    def _is_expected(self, death: DeathReport, outage: Outage) -> bool:
+        if not outage.begin <= death.at <= outage.end + OUTAGE_GRACE_S:
             return False
-        if down.kind == "cut":
-            return death.at > down.end or (death.subject in down.names) != (death.reporter in down.names)
-        return death.subject in down.names or (down.kind == "pause" and death.reporter in down.names)
+        if outage.kind == "cut":
+            return death.at > outage.end or (death.subject in outage.names) != (death.reporter in outage.names)
+        return death.subject in outage.names or (outage.kind == "pause" and death.reporter in outage.names)
 
     def death_detection(self) -> dict[str, object]:
         """Detection times of single gateways that were killed.
@@ -120,20 +120,20 @@
         ran all the while.
         """
         last, first, median, aware, observer_count = None, None, None, 0, 0
-        for down in self.outages:
-            if down.kind != "kill" or len(down.names) != 1:
+        for outage in self.outages:
+            if outage.kind != "kill" or len(outage.names) != 1:
                 continue
-            whom = next(iter(down.names))
-            until = min(down.end, self.end)
+            subject = next(iter(outage.names))
+            until = min(outage.end, self.end)
             observers = {
                 n
                 for n in self.hollow | self.real
-                if n != whom and n in self.starts and self.was_healthy(n, down.begin, until)
+                if n != subject and n in self.starts and self.was_healthy(n, outage.begin, until)
             }
             delays: dict[str, float] = {}
             for death in self.deaths:
-                if death.subject == whom and down.begin <= death.at <= until and death.reporter in observers:
-                    delays.setdefault(death.reporter, death.at - down.begin)
+                if death.subject == subject and outage.begin <= death.at <= until and death.reporter in observers:
+                    delays.setdefault(death.reporter, death.at - outage.begin)
             observer_count, aware = observer_count + len(observers), aware + len(delays)
             if delays and (last is None or max(delays.values()) > last):
                 times = sorted(delays.values())
@@ -154,22 +154,22 @@
         agreed: float | None = None
         last: float | None = None
         aware = observer_count = 0
-        for down in self.outages:
-            if down.kind != "kill" or not down.zone:
+        for outage in self.outages:
+            if outage.kind != "kill" or not outage.zone:
                 continue
-            until = min(down.end, self.end)
+            until = min(outage.end, self.end)
             observers = [
                 n
                 for n in self.hollow | self.real
-                if n not in down.names and n in self.starts and self.was_healthy(n, down.begin, until)
+                if n not in outage.names and n in self.starts and self.was_healthy(n, outage.begin, until)
             ]
             times = []
             for name in observers:
                 at = next(
-                    (p.at for p in self.plans[name] if down.begin <= p.at <= until and down.zone in p.closed), None
+                    (p.at for p in self.plans[name] if outage.begin <= p.at <= until and outage.zone in p.closed), None
                 )
                 if at is not None:
-                    times.append(at - down.begin)
+                    times.append(at - outage.begin)
             observer_count, aware = observer_count + len(observers), aware + len(times)
             if times:
                 agreed = max(agreed or 0.0, min(times))
--- a/copperyard/lab/sites/scale.py
+++ b/copperyard/lab/sites/scale.py
@@ -157,17 +157,17 @@
             self.kill()
 
     def _handle_line(self, line: dict[str, Any]) -> None:
-        tally = self.statistics
+        statistics = self.statistics
         if "notes" in line:
             for at, name, kind, *words in line["notes"]:
                 if kind == "plan":
-                    tally.plans[name].append(PlanAdoption(at, words[0], words[1], tuple(words[2])))
+                    statistics.plans[name].append(PlanAdoption(at, words[0], words[1], tuple(words[2])))
                 elif kind == "dead":
-                    tally.deaths.append(DeathReport(at, name, words[0], words[1]))
+                    statistics.deaths.append(DeathReport(at, name, words[0], words[1]))
                 elif kind == "started":
-                    tally.starts[name].append(at)
+                    statistics.starts[name].append(at)
                 elif kind == "leads":
-                    tally.leader_changes.append((at, name))
+                    statistics.leader_changes.append((at, name))
                 elif kind in ("failed", "defect"):
                     self.failures.append(f"{name} {kind}: {words[0]}")
         if "cpu" in line:
@@ -252,12 +252,12 @@
         self.process_of = {name: one for one in self.hollow_processes for name in one.names}
         rate = options.rate if options.rate is not None else len(layout.real) / 4
         self.rate = rate if layout.real else 0.0
-        evening = Evening("scale", max(1.0, options.seconds - WATCH_S[1] - 1), self.rate, 0.2, WATCH_S, (), 1 << 60)
+        scenario = Evening("scale", max(1.0, options.seconds - WATCH_S[1] - 1), self.rate, 0.2, WATCH_S, (), 1 << 60)
         # the real gateways, hosts and viewers reuse a scenario run: its arrivals, samples and audit
         self.real_run = ScenarioRun(
             replace(site, gateways=tuple(g for g in site.gateways if g.name in layout.real)),
             self.text,
-            evening,
+            scenario,
             options.seed,
             False,
             folder,
@@ -305,10 +305,12 @@
             async with trio.open_nursery() as starting:
                 for one in self.hollow_processes:
                     starting.start_soon(nursery.start, one.run, settings, self.folder, self.options.seed, fleet)
-        held = {name for trouble, names, _ in self.layout.faults if trouble.kind == "start" for name in names}
-        self.report(f"{len(self.hollow_processes)} processes are ready; {len(self.zone_of) - len(held)} gateways start")
+        delayed = {name for fault, names, _ in self.layout.faults if fault.kind == "start" for name in names}
+        self.report(
+            f"{len(self.hollow_processes)} processes are ready; {len(self.zone_of) - len(delayed)} gateways start"
+        )
         self.started_at = time.monotonic()
-        await self._start([name for name in self.zone_of if name not in held])
+        await self._start([name for name in self.zone_of if name not in delayed])
         nursery.start_soon(self._sample_real)
 
     async def _start(self, names: Sequence[str]) -> None:
@@ -361,11 +363,11 @@
             nursery.start_soon(run._sample)
         nursery.start_soon(self.lag.watch)
         before = run.relay.bytes
-        async with trio.open_nursery() as crowd:
-            for n, (trouble, names, zone) in enumerate(self.layout.faults):
-                crowd.start_soon(self._inject, trouble, names, zone, random.Random(self.options.seed * 31 + n), begin)
+        async with trio.open_nursery() as tasks:
+            for n, (fault, names, zone) in enumerate(self.layout.faults):
+                tasks.start_soon(self._inject, fault, names, zone, random.Random(self.options.seed * 31 + n), begin)
             if self.rate:
-                crowd.start_soon(run._arrivals, crowd)
+                tasks.start_soon(run._arrivals, tasks)
             for second in range(1, math.ceil(self.options.seconds) + 1):
                 await trio.sleep_until(begin + min(second, self.options.seconds))
                 self.progress(second)
@@ -429,48 +431,48 @@
         return at - time.time() + time.monotonic()
 
     async def _inject(
-        self, trouble: ScaleFault, names: tuple[str, ...], zone: str, rng: random.Random, begin: float
+        self, fault: ScaleFault, names: tuple[str, ...], zone: str, rng: random.Random, begin: float
     ) -> None:
-        if trouble.kind == "start":
+        if fault.kind == "start":
             self.statistics.outages.append(Outage("start", frozenset(names), 0.0, math.inf, zone))
-        await trio.sleep_until(begin + trouble.at)
+        await trio.sleep_until(begin + fault.at)
         who = list(names)
         assert self.site.common is not None
-        for word in trouble.targets:
+        for word in fault.targets:
             if word == "leader":
                 who.append(self._leader())
             elif word == "voter":
                 leader = self._leader()
                 who.append(rng.choice([v for v in self.site.common.voters if v != leader] or [leader]))
         who = list(dict.fromkeys(who))
-        shown = " ".join(trouble.targets) if len(who) != 1 else who[0]
-        self.report(f"{trouble.at:.1f} s {trouble.kind} {shown or 'here and there'}: {len(who)} gateways")
-        until = begin + trouble.until
-        if trouble.kind == "churn":
-            await self._churn(trouble, rng, until)
+        shown = " ".join(fault.targets) if len(who) != 1 else who[0]
+        self.report(f"{fault.at:.1f} s {fault.kind} {shown or 'random gateways'}: {len(who)} gateways")
+        until = begin + fault.until
+        if fault.kind == "churn":
+            await self._churn(fault, rng, until)
             return
         at = time.monotonic()
         place = len(self.statistics.outages)
-        if trouble.kind != "start":
+        if fault.kind != "start":
             others = [name for name in self.zone_of if name not in who]
             voters = self.site.common.voters
             more = 2 * sum(name in voters for name in who) > len(voters)
-            hit = others if trouble.kind == "cut" and more else who
-            self.statistics.outages.append(Outage(trouble.kind, frozenset(hit), at, math.inf, zone))
-        if trouble.kind == "kill":
-            await self._kill_for(who, zone, trouble.until > trouble.at, until)
-        elif trouble.kind == "pause":
+            hit = others if fault.kind == "cut" and more else who
+            self.statistics.outages.append(Outage(fault.kind, frozenset(hit), at, math.inf, zone))
+        if fault.kind == "kill":
+            await self._kill_for(who, zone, fault.until > fault.at, until)
+        elif fault.kind == "pause":
             await self._pause(who, until)
-        elif trouble.kind == "cut":
+        elif fault.kind == "cut":
             await self._cut(who, until)
         else:
             place = next(
                 n
-                for n, down in enumerate(self.statistics.outages)
-                if down.kind == "start" and down.names == frozenset(names)
+                for n, outage in enumerate(self.statistics.outages)
+                if outage.kind == "start" and outage.names == frozenset(names)
             )
             await self._start(who)
-        if trouble.until > trouble.at or trouble.kind == "start":
+        if fault.until > fault.at or fault.kind == "start":
             self.statistics.outages[place] = replace(self.statistics.outages[place], end=time.monotonic())
 
     async def _kill_for(self, who: list[str], zone: str, back: bool, until: float) -> None:
@@ -521,11 +523,11 @@
         self.real_run.relay.heal(real[0], real[1])
         await self._send_to_all("cut", pairs=self.cuts)
 
-    async def _churn(self, trouble: ScaleFault, rng: random.Random, until: float) -> None:
+    async def _churn(self, fault: ScaleFault, rng: random.Random, until: float) -> None:
         """Restarts hollow non-voters one after another, `share` of all gateways a minute."""
         assert self.site.common is not None
         voters = self.site.common.voters
-        every = 60 / max(1e-9, trouble.share * len(self.zone_of))
+        every = 60 / max(1e-9, fault.share * len(self.zone_of))
         while trio.current_time() + every < until:
             await trio.sleep(every)
             found = sorted(
@@ -561,37 +563,42 @@
 
     def _result(self) -> Result:
         self._read_real()
-        tally, wish = self.statistics, self.options
+        statistics, options = self.statistics, self.options
         outcome = Outcome()
         if self.layout.real:
             self.real_run._audit(outcome, self.lag.most)
-        plans = any(tally.plans.values())
+        plans = any(statistics.plans.values())
         self.problems += [text for text in outcome.faults if not (plans and text.startswith("no plan"))]
-        histories = tally.history_count()
+        histories = statistics.history_count()
         if histories != 1:
             self.problems.append(f"{histories} histories of plans")
-        calm = tally.begin + min((t.at for t, *_ in self.layout.faults), default=wish.seconds)
+        calm = statistics.begin + min((t.at for t, *_ in self.layout.faults), default=options.seconds)
         lag = max(
-            (late for one in self.hollow_processes for at, late in one.lags if tally.begin <= at <= tally.end + 1),
+            (
+                late
+                for one in self.hollow_processes
+                for at, late in one.lags
+                if statistics.begin <= at <= statistics.end + 1
+            ),
             default=0.0,
         )
         figures: dict[str, object] = {
-            "gateways": wish.gateways,
+            "gateways": options.gateways,
             "real": len(self.layout.real),
             "hollow": len(self.layout.hollow),
-            **self._costs(tally.begin, calm),
-            **tally.death_detection(),
-            **tally.zone_loss_detection(),
-            "false_deaths": len(tally.false_deaths()),
-            "change_in_force_s": tally.plan_propagation(),
-            **tally.rejoin_times(),
+            **self._costs(statistics.begin, calm),
+            **statistics.death_detection(),
+            **statistics.zone_loss_detection(),
+            "false_deaths": len(statistics.false_deaths()),
+            "change_in_force_s": statistics.plan_propagation(),
+            **statistics.rejoin_times(),
             "links_most": max((one.max_links for one in self.hollow_processes), default=None),
             "histories": histories,
             "rules": outcome.summary.get("rules"),
             "state": self._state_counts(),
             "agreed_s": rounded(self.first_plan_s),
-            "calm_s": rounded(calm - tally.begin),
-            "whole": self._whole_run(tally.begin, tally.end),
+            "calm_s": rounded(calm - statistics.begin),
+            "whole": self._whole_run(statistics.begin, statistics.end),
             "viewers": {
                 key: outcome.summary.get(key) for key in ("requests", "answered", "played", "refused", "over_cap")
             }
@@ -604,10 +611,10 @@
             },
             "void": max(self.lag.most, lag) > MAX_LAG_S,
             "processes": len(self.hollow_processes) + len(self.layout.real),
-            "seed": wish.seed,
-            "for_s": wish.seconds,
+            "seed": options.seed,
+            "for_s": options.seconds,
             "mechanism": MECHANISM,
-            "falsely_dead": tally.false_deaths()[:20],
+            "falsely_dead": statistics.false_deaths()[:20],
             "faults": self.problems[:20],
         }
         broken = [f"rule {b.rule} broken at {b.time / 1e9:.3f} s by {b.front}: {b.text}" for b in outcome.breaks]
@@ -735,21 +742,21 @@
 
     def _state_counts(self) -> dict[str, object]:
         """Sums and extremes of the state that the living hollow gateways hold at the end, and their log events."""
-        held = [one for process in self.hollow_processes for one in process.state.values()]
+        states = [one for process in self.hollow_processes for one in process.state.values()]
         events: Counter[str] = Counter()
         for process in self.hollow_processes:
             events.update(process.events)
         return {
-            "living": len(held),
-            "members_most": max((one["members"] for one in held), default=None),
-            "members_least": min((one["members"] for one in held), default=None),
-            "reports_most": max((one["reports"] for one in held), default=None),
-            "epochs_apart": max((one["plan"] for one in held), default=0)
-            - min((one["plan"] for one in held), default=0),
-            "links_now": sum(one["links"] for one in held),
-            "frames": sum(one["frames"] for one in held),
-            "heard": sum(one["heard"] for one in held),
-            "dropped": sum(one["dropped"] for one in held),
+            "living": len(states),
+            "members_most": max((one["members"] for one in states), default=None),
+            "members_least": min((one["members"] for one in states), default=None),
+            "reports_most": max((one["reports"] for one in states), default=None),
+            "epochs_apart": max((one["plan"] for one in states), default=0)
+            - min((one["plan"] for one in states), default=0),
+            "links_now": sum(one["links"] for one in states),
+            "frames": sum(one["frames"] for one in states),
+            "heard": sum(one["heard"] for one in states),
+            "dropped": sum(one["dropped"] for one in states),
             "events": dict(sorted(events.items())),
         }
 
--- a/copperyard/lab/sites/shelf.py
+++ b/copperyard/lab/sites/shelf.py
@@ -48,7 +48,7 @@
         self.plate.torn.clear()
         for number, (body, check) in enumerate(self.plate.rows):
             if self.plate.check(number, body) != check:
-                raise Damaged(f"record {number + 1} does not hold its check")
+                raise Damaged(f"record {number + 1} has a wrong checksum")
         return [body for body, _ in self.plate.rows]
 
     async def append(self, records: Sequence[bytes]) -> None:
--- a/copperyard/lab/sites/simulated.py
+++ b/copperyard/lab/sites/simulated.py
@@ -28,9 +28,8 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 RATE = 100.0  # kB/s of a session
 CHECK = 50 * MS  # ns between checks; a check also follows each event that raised a front's cap
-CAP_UNITS = (
-    1 << 20
-)  # caps are summed as integers in units of 2**-20 kB/s, so that adding and removing one leaves no rounding error
+# caps are summed as integers in units of 2**-20 kB/s, so that adding and removing one leaves no rounding error
+CAP_UNITS = 1 << 20
 
 
 class Broken(AssertionError):
@@ -205,9 +204,8 @@
         self.starts = 0
         self.plans: dict[int, Plan] = {}
         self.committed: list[tuple[int, Plan]] = []
-        self._free: deque[tuple[int, tuple[float, ...]]] = (
-            deque()
-        )  # what the plans found free, for plans that a front may still follow
+        # capacity that the plans found free, for plans that a front may still follow
+        self._free: deque[tuple[int, tuple[float, ...]]] = deque()
         self._living = [0] * zones
         self._allowed = [0] * zones  # in units of 1 / CAP_UNITS kB/s: what fronts of other zones may ask of each zone
         self._cap_raised = False
--- a/copperyard/lab/sites/site_settings.py
+++ b/copperyard/lab/sites/site_settings.py
@@ -213,7 +213,7 @@
                 continue
             self.number = number
             return
-        raise OSError(f"no block of loopback addresses is free: {len(BLOCK_NUMBERS)} runs go on")
+        raise OSError(f"no block of loopback addresses is free: {len(BLOCK_NUMBERS)} runs are under way")
 
     def gateway_address(self, n: int) -> str:
         """Where gateway number n of the settings listens."""
