--- a/copperyard/lab/sites/processes.py
+++ b/copperyard/lab/sites/processes.py
@@ -78,7 +78,7 @@
     async def start(self, name: str) -> None:
         """Starts a gateway and returns when it is ready.
 
-        RuntimeError with the end of its log if it is not ready in time.
+        RuntimeError with the end of its log if it ends or is not ready in time.
         """
         one = self.all[name]
         pipe = self._spawn(one)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Runs at scale: what they are laid out to be, what they refuse, what they come to, and that nothing stays behind."""
+"""Scale tests: layout, refused options, statistics, whole runs, and that no process remains."""
 
 import json
 import math
@@ -37,7 +37,7 @@
 
 ROOT = Path(__file__).parents[2]
 SITES = ROOT / "examples" / "sites.xml"
-PLENTY = layout.Room(1e6, 1 << 20, 300, 60_000)
+AMPLE = layout.Room(1e6, 1 << 20, 300, 60_000)
 COMMAND = [sys.executable, "-m", "copperyard.cli.main", "lab", "scale"]
 
 
@@ -47,7 +47,7 @@
     return with_addresses(text, {name: f"127.0.0.1:{n + 1}" for n, name in enumerate(names)})
 
 
-def prepare(gateways=40, real=4, processes=None, seconds=60.0, seed=1, text=None, faults=None, room=PLENTY):
+def prepare(gateways=40, real=4, processes=None, seconds=60.0, seed=1, text=None, faults=None, room=AMPLE):
     wish = layout.Wish(gateways, real, processes, seconds, seed)
     return layout.prepare(text, "site.xml", wish, faults, "faults.xml", room)
 
@@ -56,10 +56,10 @@
     return f'<scale name="x">\n{body}\n</scale>'.encode()
 
 
-# ---- what a run is laid out to be
+# ---- layout
 
 
-def test_a_drawn_site_has_two_regions_five_zones_and_a_voter_in_each():
+def test_generated_site_has_two_regions_five_zones_and_a_voter_in_each():
     site = parse(settings(61))
     assert len(site.gateways) == 61 and len(site.zones) == 5
     assert site.common.terms.regions == (0, 0, 0, 1, 1)
@@ -67,7 +67,7 @@
     assert generate_site(61, 1) == generate_site(61, 1) != generate_site(61, 2)
 
 
-def test_where_links_listen_is_no_part_of_what_gateways_agree_on():
+def test_link_addresses_do_not_change_the_fleet_digest():
     one = generate_site(12, 1)
     names = [str(g.get("name")) for g in etree.fromstring(one).iterfind("gateways/gateway")]
     first, other = (
@@ -77,7 +77,7 @@
     assert first.common.fleet != parse(settings(13)).common.fleet
 
 
-def test_two_runs_at_a_time_take_two_blocks_of_addresses():
+def test_concurrent_runs_take_different_address_blocks():
     one, other = AddressBlock(), AddressBlock()
     try:
         assert one.number != other.number and one.gateway_address(251) != one.gateway_address(
@@ -88,7 +88,7 @@
         other.close()
 
 
-def test_an_operators_site_is_widened_evenly_and_keeps_its_own_gateways():
+def test_add_gateways_fills_zones_evenly_and_keeps_the_listed_gateways():
     text = add_gateways(SITES.read_bytes(), "sites.xml", 30)
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
     assert names[:12] == [g.name for g in parse(SITES.read_bytes()).gateways] and len(set(names)) == 30
@@ -96,7 +96,7 @@
     assert [zones.count(zone) for zone in dict.fromkeys(zones)] == [6] * 5
 
 
-def test_real_ones_are_spread_over_zones_and_voters_are_the_last_to_be_real():
+def test_real_gateways_are_spread_over_zones_and_voters_are_the_last_to_be_real():
     _, site, plan, _ = prepare(40, 10)
     zones = [site.common.roster[name] for name in plan.real]
     assert [zones.count(z) for z in range(5)] == [2] * 5
@@ -105,7 +105,7 @@
     assert set(plan.real) == set(site.common.roster) and plan.groups == ()
 
 
-def test_each_hollow_voter_has_a_process_of_its_own_and_all_others_share_as_many_as_were_asked_for():
+def test_each_hollow_voter_has_its_own_process_and_others_share_the_requested_number():
     _, site, plan, takes = prepare(100, 4, processes=3)
     assert plan.groups[:5] == tuple((name,) for name in site.common.voters)
     assert [len(group) for group in plan.groups[5:]] == [31, 31, 29]
@@ -113,7 +113,7 @@
     assert takes.processes == 12
 
 
-def test_what_is_to_stand_still_shares_its_process_with_nobody_else():
+def test_gateways_to_be_paused_share_a_process_with_no_others():
     body = '<fault kind="pause" at="5s" for="3s" who="rack"/><fault kind="pause" at="9s" for="3s" who="z4"/>'
     _, site, plan, _ = prepare(60, 4, faults=faults(body))
     paused = [set(names) for _, names, _ in plan.faults]
@@ -123,23 +123,23 @@
             assert set(group) <= names or not set(group) & names
 
 
-def test_who_is_drawn_comes_from_the_seed():
+def test_drawn_fault_targets_depend_on_the_seed_only():
     def drawn(seed):
         return [names for _, names, _ in prepare(60, 4, seed=seed)[2].faults]
 
     assert drawn(3) == drawn(3) and len({tuple(map(tuple, drawn(n))) for n in range(5)}) > 1
 
 
-def test_without_a_file_there_is_a_calm_third_then_one_gateway_and_a_zone_that_comes_back():
+def test_default_faults_kill_one_gateway_after_a_third_and_later_restart_a_zone():
     one, zone = default_faults(60.0)
     assert (one.kind, one.at, one.targets) == ("kill", 20.0, ("gateway",)) and one.until == one.at
     assert zone.targets == ("zone",) and zone.at > one.at + 12 and 15 < zone.until - zone.at < 60 - zone.at
 
 
-# ---- what it refuses, with nothing started
+# ---- refusals, with nothing started
 
 
-def test_a_wish_beyond_the_machine_is_told_how_many_fit_and_so_many_do():
+def test_too_many_gateways_are_refused_with_the_number_that_fits():
     room = layout.Room(3000, 20_000, 40, 1000)
     with pytest.raises(layout.Refused, match="--gateways '5000': [0-9]+ fit this machine") as caught:
         prepare(5000, 4, room=room)
@@ -158,13 +158,13 @@
         layout.Room(1e6, 1 << 20, 300, 150),
     ],
 )
-def test_memory_descriptors_processes_and_the_settings_bound_it(room):
+def test_memory_descriptors_processes_and_settings_each_limit_the_run(room):
     assert prepare(600)
     with pytest.raises(layout.Refused, match="fit this machine"):
         prepare(600, room=room)
 
 
-BAD = [
+IMPOSSIBLE = [
     (["--gateways", "4"], "--gateways '4': below the 5 voters"),
     (["--gateways", "2", str(SITES)], "--gateways '2': below the 3 voters"),
     (["--gateways", "12", "--real", "13"], "--real '13': not from 0 up to the 12 gateways"),
@@ -179,8 +179,8 @@
 ]
 
 
-@pytest.mark.parametrize(("words", "said"), BAD)
-def test_what_cannot_be_is_one_line_and_nothing_starts(words, said, monkeypatch, tmp_path):
+@pytest.mark.parametrize(("words", "said"), IMPOSSIBLE)
+def test_impossible_options_print_one_line_and_start_nothing(words, said, monkeypatch, tmp_path):
     monkeypatch.setattr(scale, "run_scale", None)
     found = CliRunner().invoke(app, ["lab", "scale", *(word.format(folder=tmp_path) for word in words)])
     assert found.exit_code == 2, found.output
@@ -200,7 +200,7 @@
         ('<fault kind="change" at="1s"/>', "kind 'change': a change of settings is a restart of all today"),
     ],
 )
-def test_a_fault_that_cannot_be_is_one_line_with_its_place(body, said, monkeypatch, tmp_path):
+def test_an_impossible_fault_prints_one_line_with_file_and_line(body, said, monkeypatch, tmp_path):
     monkeypatch.setattr(scale, "run_scale", None)
     place = tmp_path / "faults.xml"
     place.write_bytes(faults(body))
@@ -209,7 +209,7 @@
     assert said in found.output and f"{place}:line 2:" in found.output
 
 
-def test_every_kind_of_fault_reads_but_a_change_of_settings():
+def test_every_kind_of_fault_except_a_settings_change_is_read():
     site = parse(settings(20))
     body = (
         "".join(
@@ -231,28 +231,28 @@
     assert found[-1] == ScaleFault("churn", 1.0, 3.0, (), 0.1)
 
 
-def test_settings_that_are_a_part_of_a_site_are_refused():
+def test_settings_of_a_part_of_a_site_are_refused():
     text = SITES.read_bytes().replace(b"<gateways>", b'<gateways fronts="14">')
     with pytest.raises(BadSettings, match="fronts '14': settings of other gateways"):
         prepare(20, text=text)
 
 
-def test_a_run_that_finds_no_addresses_says_so_in_a_line(monkeypatch):
+def test_no_free_address_block_is_reported_in_one_line(monkeypatch):
     monkeypatch.setattr(site_settings, "BLOCK_NUMBERS", range(0))
     found = CliRunner().invoke(app, ["lab", "scale", "--gateways", "12"])
     assert isinstance(found.exception, SystemExit) and found.exit_code == 1
     assert "no block of loopback addresses is free" in found.output.splitlines()[-1]
-    assert len(found.output.splitlines()) == 2  # what it takes is told first
+    assert len(found.output.splitlines()) == 2  # the first line tells the resources that the run takes
 
 
-def test_a_run_whose_processes_do_not_start_says_so_in_a_line(monkeypatch):
+def test_processes_that_do_not_start_are_reported_in_one_line(monkeypatch):
     monkeypatch.setattr(sys, "executable", "/bin/false")
     found = CliRunner().invoke(app, ["lab", "scale", "--gateways", "6", "--real", "0"])
     assert isinstance(found.exception, SystemExit) and found.exit_code == 1
     assert "a process of 1 hollow gateways ended by itself" in found.output.splitlines()[-1]
 
 
-def test_a_hollow_process_refuses_settings_of_other_gateways(tmp_path):
+def test_hollow_process_refuses_settings_with_another_fleet_digest(tmp_path):
     (tmp_path / "site.xml").write_bytes(settings(12))
     other = parse(settings(13)).common.fleet.hex()
     found = subprocess.run(
@@ -265,8 +265,8 @@
     assert found.returncode == 2 and len(lines) == 1 and "settings of other gateways" in lines[0] and other in lines[0]
 
 
-def test_orders_are_carried_out_one_after_another(tmp_path):
-    """Started, killed and started again in one breath, voters among them: all live, none twice."""
+def test_hollow_process_executes_commands_in_order(tmp_path):
+    """Start, kill and start again without a pause, voters included: all gateways run, each once."""
     block = AddressBlock()
     text = generate_site(12, 1)
     names = [str(g.get("name")) for g in etree.fromstring(text).iterfind("gateways/gateway")]
@@ -305,18 +305,18 @@
         block.close()
 
 
-# ---- what a run comes to
+# ---- statistics
 
 
-def tally(downs=(), begin=100.0, end=200.0):
+def statistics(downs=(), begin=100.0, end=200.0):
     found = RunStatistics(frozenset("abcd"), frozenset("r"), begin, end, outages=list(downs))
     for name in "abcdr":
         found.starts[name].append(50.0)
     return found
 
 
-def test_a_death_is_false_unless_something_was_done_to_whom_it_names():
-    one = tally([Outage("kill", frozenset("a"), 120.0, 130.0)])
+def test_a_death_report_is_false_unless_its_subject_had_an_outage():
+    one = statistics([Outage("kill", frozenset("a"), 120.0, 130.0)])
     one.deaths = [DeathReport(125.0, "b", "a", True), DeathReport(130.0 + OUTAGE_GRACE_S / 2, "c", "a", False)]
     assert len(one.false_deaths()) == 0
     one.deaths.append(DeathReport(110.0, "b", "a", True))
@@ -329,8 +329,8 @@
     assert len(one.false_deaths()) == 2
 
 
-def test_over_a_cut_each_side_may_hold_the_other_for_dead_and_not_its_own():
-    one = tally([Outage("cut", frozenset("ab"), 120.0, 130.0)])
+def test_during_a_cut_each_side_may_report_only_the_other_side_dead():
+    one = statistics([Outage("cut", frozenset("ab"), 120.0, 130.0)])
     one.deaths = [
         DeathReport(125.0, "a", "c", True),
         DeathReport(125.0, "c", "a", True),
@@ -341,23 +341,25 @@
     assert len(one.false_deaths()) == 2
 
 
-def test_who_stood_still_may_be_wrong_for_a_while():
-    one = tally([Outage("pause", frozenset("a"), 120.0, 130.0)])
+def test_a_paused_gateway_may_report_others_dead_within_the_grace():
+    one = statistics([Outage("pause", frozenset("a"), 120.0, 130.0)])
     one.deaths = [DeathReport(131.0, "a", "b", True)]
     assert len(one.false_deaths()) == 0
     one.deaths = [DeathReport(131.0, "c", "b", False)]
     assert len(one.false_deaths()) == 1
 
 
-def test_a_death_is_known_when_the_last_that_lives_knows():
-    one = tally([Outage("kill", frozenset("a"), 120.0, math.inf), Outage("kill", frozenset("bc"), 150.0, math.inf)])
+def test_death_detection_lasts_until_the_last_running_gateway_knows():
+    one = statistics(
+        [Outage("kill", frozenset("a"), 120.0, math.inf), Outage("kill", frozenset("bc"), 150.0, math.inf)]
+    )
     one.deaths = [
         DeathReport(125.0, "d", "a", True),
         DeathReport(128.0, "r", "a", False),
         DeathReport(129.0, "r", "a", False),
         DeathReport(160.0, "d", "b", True),
     ]
-    # b and c did not live all the while
+    # b and c had an outage and do not count as observers
     assert one.death_detection() == {
         "dead_known_s": 8.0,
         "dead_first_s": 5.0,
@@ -366,8 +368,8 @@
     }
 
 
-def test_a_zone_is_known_when_the_plan_without_it_is_in_force_at_all_that_live():
-    one = tally([Outage("kill", frozenset("ab"), 120.0, 160.0, "z1")])
+def test_zone_loss_detection_lasts_until_all_running_gateways_adopt_the_plan_without_it():
+    one = statistics([Outage("kill", frozenset("ab"), 120.0, 160.0, "z1")])
     for name, at in (("c", 130.0), ("d", 132.0)):
         one.plans[name] = [
             PlanAdoption(110.0, 1, "x", ()),
@@ -379,18 +381,18 @@
     assert one.zone_loss_detection() == {"zone_known_s": 13.5, "zone_agreed_s": 10.0, "zone_known_by": [3, 3]}
 
 
-def test_an_entry_is_in_force_where_it_or_a_later_one_was_taken_up():
-    one = tally([Outage("kill", frozenset("d"), 105.0, 130.0)])
+def test_a_plan_is_in_force_where_it_or_a_later_one_was_adopted():
+    one = statistics([Outage("kill", frozenset("d"), 105.0, 130.0)])
     one.plans["a"] = [PlanAdoption(60.0, 1, "x", ()), PlanAdoption(110.0, 2, "y", ()), PlanAdoption(120.0, 3, "z", ())]
     one.plans["b"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(121.0, 3, "z", ())]
     one.plans["c"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(110.5, 2, "y", ())]
     one.plans["d"] = [PlanAdoption(61.0, 1, "x", ()), PlanAdoption(140.0, 3, "z", ())]
     assert one.plan_propagation() == {"p50": 0.5, "p99": 11.0, "last": 11.0, "epochs": 2, "missing": 1}
-    assert tally().plan_propagation() is None
+    assert statistics().plan_propagation() is None
 
 
-def test_two_plans_of_one_epoch_are_two_histories():
-    one = tally()
+def test_two_plans_of_one_epoch_count_as_two_histories():
+    one = statistics()
     assert one.history_count() == 0
     one.plans["a"], one.plans["b"] = (
         [PlanAdoption(1.0, 1, "x", ()), PlanAdoption(2.0, 2, "y", ())],
@@ -401,15 +403,15 @@
     assert one.history_count() == 2
 
 
-def test_a_rejoin_lasts_until_a_plan_is_in_force_in_that_life():
-    one = tally([Outage("kill", frozenset("a"), 110.0, 120.0)])
+def test_a_rejoin_lasts_until_a_plan_is_in_force_after_that_start():
+    one = statistics([Outage("kill", frozenset("a"), 110.0, 120.0)])
     one.starts["a"] += [120.0, 150.0]
     one.plans["a"] = [PlanAdoption(60.0, 1, "x", ()), PlanAdoption(123.0, 4, "y", ())]
     assert one.rejoin_times() == {"rejoin_s": 3.0, "rejoin_median_s": 3.0, "rejoin_missing": 1}
-    assert tally().rejoin_times()["rejoin_s"] is None
+    assert statistics().rejoin_times()["rejoin_s"] is None
 
 
-def test_the_same_plan_has_the_same_digest_in_a_note_and_in_a_line_of_the_log():
+def test_a_plan_has_the_same_digest_in_a_note_and_in_a_log_line():
     fields = {"epoch": 3, "index": 9, "z1": "open 1.00"}
     line = {"event": "plan", "front": "a", "timestamp": "t", "held_back": 2, **fields}
     assert plan_digest(fields) == plan_digest(line) != plan_digest({**fields, "z1": "closed 0.00"})
@@ -419,7 +421,7 @@
     ("lags", "void"),
     [([], False), ([(110.0, 0.4), (150.0, 0.5)], False), ([(99.0, 3.0), (202.0, 3.0)], False), ([(150.0, 0.6)], True)],
 )
-def test_a_run_in_which_a_process_ran_late_between_begin_and_end_is_void(lags, void, tmp_path):
+def test_a_run_is_void_if_a_process_lagged_between_begin_and_end(lags, void, tmp_path):
     text, site, plan, _ = prepare(12, 0)
     block = AddressBlock()
     try:
@@ -441,7 +443,7 @@
     assert run._result().figures["void"] is void
 
 
-def test_what_processes_used_is_told_by_gateway_and_second():
+def test_usage_is_computed_by_gateway_and_second():
     samples = [
         UsageSample(10.0, 1.0, 0, {"a": (0, 0)}),
         UsageSample(11.0, 1.1, 0, {"a": (100, 50)}),
@@ -449,7 +451,7 @@
         UsageSample(14.0, 2.5, 0, {"a": (40, 30)}),
     ]
     assert cpu_rates(samples, 10.0, 13.0, 10) == pytest.approx([10.0, 20.0])
-    assert byte_rates(samples, 10.0, 20.0) == {"a": [(100.0, 50.0), (20.0, 20.0)]}  # 13 s: another life
+    assert byte_rates(samples, 10.0, 20.0) == {"a": [(100.0, 50.0), (20.0, 20.0)]}  # at 13 s: after a restart
     assert quantile([1, 2, 3, 4], 0.5) == 2 and quantile([1, 2, 3, 4], 0.99) == 4
     assert (
         weighted_quantile([(5.0, 1), (1.0, 98), (9.0, 1)], 0.5) == 1.0
@@ -457,42 +459,42 @@
     )
 
 
-def test_a_cut_closes_what_stands_and_refuses_both_ways():
+def test_a_cut_closes_open_connections_and_refuses_new_ones_in_both_directions():
     trio.run(_cut)
 
 
 async def _cut():
-    wires = {}
+    networks = {}
     network = TcpNetwork()
     listeners = {name: await network.listen("127.0.0.1:0") for name in "ab"}
     names = {one.address: name for name, one in listeners.items()}
-    wires["a"], wires["b"] = CountingNetwork(network, names), CountingNetwork(network, names)
+    networks["a"], networks["b"] = CountingNetwork(network, names), CountingNetwork(network, names)
     for one in listeners.values():
         one.close()
     address = {name: one for one, name in names.items()}
-    listener = await wires["b"].listen(address["b"])
+    listener = await networks["b"].listen(address["b"])
     first = hello(Hello(b"f", "a", "b", 1, 1))
 
     async def link():
-        out = await wires["a"].connect(address["b"])
+        out = await networks["a"].connect(address["b"])
         came = await listener.accept()
         await out.send_some(first)
         return out, came
 
     out, came = await link()
     assert await came.receive_some(1000) == first and came.name == "a"
-    assert (wires["a"].sent, wires["b"].received, wires["a"].max_open) == (len(first), len(first), 1)
-    wires["b"].set_refused(["a"])
-    assert not wires["b"].open_streams and await out.receive_some(10) == b""
+    assert (networks["a"].sent, networks["b"].received, networks["a"].max_open) == (len(first), len(first), 1)
+    networks["b"].set_refused(["a"])
+    assert not networks["b"].open_streams and await out.receive_some(10) == b""
     out.close()
     out, came = await link()
     with pytest.raises(OSError):
-        await came.receive_some(1000)  # it dialled, and says who it is
-    wires["a"].set_refused(["b"])
+        await came.receive_some(1000)  # the hello of the incoming connection names a refused peer
+    networks["a"].set_refused(["b"])
     with pytest.raises(OSError):
-        await wires["a"].connect(address["b"])
-    wires["a"].set_refused([])
-    wires["b"].set_refused([])
+        await networks["a"].connect(address["b"])
+    networks["a"].set_refused([])
+    networks["b"].set_refused([])
     out, came = await link()
     assert await came.receive_some(1000) == first
     out.close()
@@ -510,9 +512,11 @@
     return found, json.loads(found.stdout.splitlines()[-1]) if found.stdout else {}
 
 
-def test_120_gateways_of_which_a_rack_is_killed_and_comes_back(tmp_path):
-    """The short form. Counts are told, not times. (200 took 42 s on eight cores with a load of 18, and more than a
-    minute with 20.)"""
+def test_120_gateways_recover_when_a_rack_is_killed_and_restarted(tmp_path):
+    """A short run; it checks counts and no times.
+
+    200 gateways took 42 s on eight cores with a load of 18, and more than a minute with a load of 20.
+    """
     found, last = play(
         tmp_path,
         "--gateways",
@@ -531,10 +535,10 @@
     assert (last["gateways"], last["real"], last["hollow"], last["processes"]) == (120, 2, 118, 11)
     assert last["histories"] == 1 and last["rules"] == {str(n): 0 for n in range(1, 7)} and last["faults"] == []
     state = last["state"]
-    # one cell of 24 a zone and three contacts in each other zone; a voter holds one cell's reports for each cell
+    # one cell of 24 in each zone and three contacts in each other zone; a voter has one report for each cell
     assert state["living"] == 118 and state["members_least"] == state["members_most"] == 23 + 4 * 3
     assert state["reports_most"] <= 5 and 5 <= last["links_most"] <= 2 * 119
-    # the rack, of which each comes back within its period, asked and answered since: nobody is silent, nobody floods
+    # bounds on messages, the restarted rack included: no gateway is silent, and none floods
     assert 118 * 10 < state["frames"] < 118 * 60 * 60 and state["events"]["plan"] >= 118
     assert state["events"].get("defect", 0) == 0 and "plan refused" not in state["events"]
     keys = {
@@ -554,8 +558,8 @@
     assert set(last["bytes_per_s"]) == {"median", "p99", "leader", "relay"} and last["cpu_ms_per_s"]["leader"] > 0
 
 
-def offspring(pid):
-    """Processes that a process has started, and theirs."""
+def descendants(pid):
+    """All descendants of a process."""
     found = []
     for place in Path("/proc").iterdir():
         if place.name.isdigit():
@@ -564,11 +568,11 @@
             except (OSError, IndexError):
                 continue
             if parent == pid:
-                found += [int(place.name), *offspring(int(place.name))]
+                found += [int(place.name), *descendants(int(place.name))]
     return found
 
 
-def runs(pid):
+def is_running(pid):
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
@@ -576,7 +580,7 @@
 
 
 def begin(tmp_path, *words, body=""):
-    """A run of 12 under way: its process, and those that it has started, once all gateways run."""
+    """Starts a run of 12 gateways; returns its process and descendants once all gateways run."""
     place = tmp_path / "faults.xml"
     place.write_bytes(faults(body))
     process = subprocess.Popen(
@@ -590,31 +594,31 @@
         said = line
         if ("a plan everywhere" in line and not body) or " pause " in line:
             break
-    time.sleep(0.5)  # for a signal that follows the line
-    return process, offspring(process.pid), said
+    time.sleep(0.5)  # the signal that the line announces is sent after it
+    return process, descendants(process.pid), said
 
 
 @pytest.mark.parametrize("body", ["", '<fault kind="pause" at="1s" for="50s" who="rack"/>'])
-def test_no_process_stays_when_the_run_is_killed(tmp_path, body):
+def test_no_process_remains_when_the_run_is_killed(tmp_path, body):
     process, started, said = begin(tmp_path, "--real", "2", body=body)
     try:
         assert len(started) >= 8, said
         process.kill()
         process.wait()
         for _ in range(300):
-            if not any(runs(pid) for pid in started):
+            if not any(is_running(pid) for pid in started):
                 break
             time.sleep(0.1)
-        assert not [pid for pid in started if runs(pid)]
+        assert not [pid for pid in started if is_running(pid)]
     finally:
         for pid in started:
-            if runs(pid):
+            if is_running(pid):
                 os.kill(pid, signal.SIGKILL)
         process.kill()
         process.communicate()
 
 
-def test_a_process_that_ends_by_itself_is_told_and_the_run_does_not_pass(tmp_path):
+def test_a_process_that_ends_by_itself_is_reported_and_fails_the_run(tmp_path):
     process, started, said = begin(tmp_path, "--real", "0", "--for", "5s")
     try:
         assert len(started) == 6, said
@@ -623,7 +627,7 @@
         last = json.loads(out.splitlines()[-1])
         assert process.returncode == 1 and "ended by itself" in errors
         assert any("ended by itself" in text for text in last["faults"])
-        assert not [pid for pid in started if runs(pid)]
+        assert not [pid for pid in started if is_running(pid)]
     finally:
         process.kill()
         process.wait()
--- a/tests/lab/test_sites.py
+++ b/tests/lab/test_sites.py
@@ -1,4 +1,4 @@
-"""Evenings of processes as files, and the network of events that the cores run on."""
+"""Scenario files for sites of gateway processes, and the simulated network."""
 
 from pathlib import Path
 
@@ -13,21 +13,23 @@
 MS = 1_000_000
 
 
-def evening(faults, seconds="30"):
+def scenario(faults, seconds="30"):
     return (f'<evening name="x" teaches="y" seconds="{seconds}" rate="5">\n{faults}\n</evening>').encode()
 
 
 @pytest.mark.parametrize("name", ["short", "council", "sites"])
-def test_the_evenings_that_come_with_it_read(name):
+def test_packaged_scenarios_are_valid(name):
     place = ROOT / "copperyard" / "lab" / "sites" / "evenings" / f"{name}.xml"
     found = read_evening(place.read_bytes(), SITE, name)
     assert found.name == name and found.faults and all(f.until < found.seconds for f in found.faults)
 
 
-def test_who_is_named_by_zone_gateway_or_leader_and_the_other_end_is_everybody_else():
-    found = read_evening(evening('<fault kind="cut" at="1s" for="2s" who="milano leader"/>'), SITE, "x").faults[0]
+def test_targets_are_zones_gateways_or_the_leader_and_the_other_end_defaults_to_all_others():
+    found = read_evening(scenario('<fault kind="cut" at="1s" for="2s" who="milano leader"/>'), SITE, "x").faults[0]
     assert found.who == ("mi-1", "mi-2", "mi-3", LEADER) and len(found.others) == 9
-    found = read_evening(evening('<fault kind="slow" at="1s" for="2s" who="pa-1" from="torino"/>'), SITE, "x").faults[0]
+    found = read_evening(scenario('<fault kind="slow" at="1s" for="2s" who="pa-1" from="torino"/>'), SITE, "x").faults[
+        0
+    ]
     assert found.others == ("to-1", "to-2") and (found.at, found.until) == (1.0, 3.0)
 
 
@@ -42,14 +44,14 @@
         ('<fault kind="melt" at="1s" who="mi-1"/>', "melt"),
     ],
 )
-def test_a_mistake_is_told_with_its_line(fault, words):
+def test_a_mistake_is_reported_with_its_line(fault, words):
     with pytest.raises(BadSettings) as caught:
-        read_evening(evening(fault), SITE, "x")
+        read_evening(scenario(fault), SITE, "x")
     assert any(words in m.text and m.line == 2 for m in caught.value.mistakes), caught.value
 
 
-class Echo:
-    """Says a number to another core each second and keeps what it hears."""
+class Ticker:
+    """Sends a number to another node each second and records what it receives."""
 
     def __init__(self, to):
         self.to, self.next, self.count, self.heard, self.out = to, 0, 0, [], []
@@ -71,13 +73,13 @@
 
 def pair(manner=None):
     net = Events(3, manner or Manner())
-    one, two = Echo("two"), Echo("one")
+    one, two = Ticker("two"), Ticker("one")
     net.add("one", one)
     net.add("two", two)
     return net, one, two
 
 
-def test_a_cut_one_way_holds_one_direction_only():
+def test_a_one_way_cut_stops_one_direction_only():
     net, one, two = pair()
     net.part(["one"], ["two"], both=False)
     net.run(5000 * MS)
@@ -87,7 +89,7 @@
     assert two.heard
 
 
-def test_what_reaches_a_core_that_stands_still_is_heard_when_it_goes_on():
+def test_messages_to_a_paused_node_are_handled_when_it_resumes():
     net, one, two = pair()
     net.run(1500 * MS)
     before = len(two.heard)
@@ -98,10 +100,10 @@
     assert len(two.heard) >= before + 4
 
 
-def test_the_same_seed_is_the_same_course():
-    def course():
+def test_the_same_seed_gives_the_same_run():
+    def play():
         net, one, two = pair(Manner(loss=0.3, twice=0.3, delay=(1 * MS, 900 * MS)))
         net.run(60_000 * MS)
         return one.heard, two.heard, net.lost
 
-    assert course() == course() and course()[2] > 0
+    assert play() == play() and play()[2] > 0
