--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,10 +1,10 @@
-"""What all fronts together send to cold hosts, counted: `python -m benchmarks.cold [SEEDS]` prints a table.
+"""Counts what all fronts together send to cold hosts: `python -m benchmarks.cold [SEEDS]` prints a table.
 
-Fronts that cannot talk draw their turns at a host that has just started, each on the assumption that the others are
-like it. Here they are not: traffic is uneven, news come late, fronts restart, and everybody wants the new hosts because
-all others are full. Counted is the worst window of the settings' length at each new host, against the budget N that
-the settings allow there at that time (warm by a straight line from `cold_from`) and what is put down to chance beyond
-it, 2 x root of N + 2. Settings are of no deployment; the hosts are counters, with links that sessions share.
+Fronts that cannot communicate draw their turns at a host that has just started, each assuming that the others are like
+itself. Here that assumption fails: traffic is uneven, news arrive late, fronts restart, and all of them want the new
+hosts because the others are full. The count is of the worst window of the settings' length at each new host. It is
+compared with the budget N that the settings allow there at that time (warmth rises linearly from `cold_from`) plus an
+allowance for chance of 2 x sqrt(N) + 2. The settings are of no deployment; the hosts are counters with shared links.
 """
 
 from __future__ import annotations
@@ -28,9 +28,12 @@
 
 @dataclass(frozen=True)
 class Case:
-    """`places` of a host make the budget; `uneven` is the spread of fronts' traffic (of its logarithm), `load` what is
-    asked of all links, `restarts` s over which all fronts restart from the hosts' start on, 0: none do; `late` s by
-    which news of the start spread over the fronts."""
+    """Parameters of one simulation.
+
+    `places` of a host set the budget. `uneven` is the standard deviation of the logarithm of fronts' traffic. `load` is
+    the demand as a part of all links' capacity. Counted from the new hosts' start, all fronts restart within `restarts`
+    seconds (0: none does) and hear of the new hosts within `late` seconds.
+    """
 
     fronts: int
     places: int
@@ -50,15 +53,15 @@
 
 
 @dataclass
-class Sum:
-    """What came to each new host, and when; `budget` at its start."""
+class HostArrivals:
+    """Times of set-ups at each new host, from its start on; `budget` is a window's budget at that start."""
 
     case: Case
     sent: dict[int, list[int]] = field(default_factory=dict)
     budget: float = 0.0
 
     def worst(self) -> float:
-        """The most that any window had over its budget, as a part of what is put down to chance."""
+        """The largest excess of any window over its budget, as a part of the allowance for chance."""
         case, found = self.case, 0.0
         for times in self.sent.values():
             for at in times:
@@ -69,16 +72,16 @@
         return found
 
     def mean(self) -> float:
-        """Set-ups that a new host got."""
+        """The mean number of set-ups at a new host."""
         return sum(map(len, self.sent.values())) / len(self.sent)
 
 
 class World:
-    """Fronts, hosts and arrivals on a clock of its own."""
+    """Discrete-event simulation of fronts, hosts and arriving session requests."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case, self.rng = case, random.Random(seed)
-        self.link = case.places / 2.4 * RATES[1]
+        self.link_kb = case.places / 2.4 * RATES[1]
         self.settings = api.Settings(
             fronts=case.fronts,
             zone=0,
@@ -88,8 +91,8 @@
             rung_worth=(0.3, 0.6, 1.0),
             cells=case.hosts,
             racks=max(1, case.hosts // 9),
-            uplink_kb=self.link * 8,
-            weight_kb=self.link,
+            uplink_kb=self.link_kb * 8,
+            weight_kb=self.link_kb,
             places_by_kind=(case.places,),
             full_from=1.0,
             join_adds=1.0,
@@ -122,72 +125,81 @@
         )
         self.weights = [self.rng.lognormvariate(0, case.uneven) for _ in range(case.fronts)]
         self.titles = [self.rng.randrange(case.hosts) for _ in range(5 * case.hosts)]
-        self.wanted = [(k + 1) ** -0.8 for k in range(len(self.titles))]
-        self.rate = case.load * case.hosts * self.link / RATES[1] / case.life
-        self.asked: dict[int, float] = {}
+        self.popularity = [(k + 1) ** -0.8 for k in range(len(self.titles))]
+        self.rate = case.load * case.hosts * self.link_kb / RATES[1] / case.life
+        self.load_kb: dict[int, float] = {}
         self.playing: dict[tuple[int, int], tuple[int, float]] = {}
         self.rungs: dict[tuple[int, int], float] = {}
         self.queue: list[tuple[int, int, tuple[Any, ...]]] = []
         self.count = self.ref = 0
-        self.began = 25 * SECOND  # when the new hosts start
+        self.new_hosts_start = 25 * SECOND  # when the new hosts start
         n, step = case.hosts, case.hosts // case.fresh
-        self.old = {
+        self.replaced_hosts = {
             k * step: api.ServerEntry(k * step, 1.0, 0, k * step, 0, api.ServerState.READY, 0)
             for k in range(case.fresh)
         }
-        self.kept = [api.ServerEntry(k, 1.0, 0, k, 0, api.ServerState.READY, 0) for k in range(n) if k not in self.old]
-        self.new = [
-            api.ServerEntry(n + k, 1.0, 0, k * step, 0, api.ServerState.READY, self.began) for k in range(case.fresh)
+        self.steady_hosts = [
+            api.ServerEntry(k, 1.0, 0, k, 0, api.ServerState.READY, 0) for k in range(n) if k not in self.replaced_hosts
+        ]
+        self.new_hosts = [
+            api.ServerEntry(n + k, 1.0, 0, k * step, 0, api.ServerState.READY, self.new_hosts_start)
+            for k in range(case.fresh)
         ]
         budget = case.multiple * case.places / case.warm * case.fall * case.cold_from
-        self.sum = Sum(case, {one.server: [] for one in self.new}, budget)
+        self.arrivals = HostArrivals(case, {one.server: [] for one in self.new_hosts}, budget)
         self.fronts: list[Controller] = []
         for front in range(case.fronts):
             self.fronts.append(Controller(self.settings, self.rng.getrandbits(32)))
-            self.tell(1, front, api.ServerList(api.ListKind.CACHED, (*self.kept, *self.old.values())))
-            self.tell(1, front, api.Carried(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
+            self.handle(
+                1, front, api.ServerList(api.ListKind.CACHED, (*self.steady_hosts, *self.replaced_hosts.values()))
+            )
+            self.handle(1, front, api.Carried(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
 
-    def at(self, when: int, *what: Any) -> None:
+    def schedule(self, when: int, *what: Any) -> None:
+        """Schedule a call: a method and its arguments after the time."""
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, what))
 
-    def tell(self, now: int, front: int, event: api.Event) -> None:
+    def handle(self, now: int, front: int, event: api.Event) -> None:
+        """Pass an event to a front's controller and carry out its actions."""
         one = self.fronts[front]
         for action in one.handle(now, event):
             if isinstance(action, api.SetTimer):
-                self.at(max(now + 1, action.at), self.wakes, front, one, action.token)
+                self.schedule(max(now + 1, action.at), self.on_timer, front, one, action.token)
             elif isinstance(action, api.Probe):
-                self.at(now + 2 * MS, self.probed, front, one, action.server)
+                self.schedule(now + 2 * MS, self.on_probe_answer, front, one, action.server)
             elif isinstance(action, api.Rate):
                 key = (front, action.ref)
                 self.rungs[key] = RATES[action.rung]
                 if key in self.playing:
                     host, kb = self.playing[key]
-                    self.asked[host] += RATES[action.rung] - kb
+                    self.load_kb[host] += RATES[action.rung] - kb
                     self.playing[key] = host, RATES[action.rung]
             elif isinstance(action, api.Send):
-                if action.server in self.sum.sent:
-                    self.sum.sent[action.server].append(now - self.began)
-                self.at(now + 2 * MS, self.opens, front, one, action.ref, action.server)
+                if action.server in self.arrivals.sent:
+                    self.arrivals.sent[action.server].append(now - self.new_hosts_start)
+                self.schedule(now + 2 * MS, self.on_open, front, one, action.ref, action.server)
 
-    def run(self) -> Sum:
+    def run(self) -> HostArrivals:
+        """Run until `seconds` after the new hosts' start."""
         case, rng = self.case, self.rng
-        self.at(SECOND, self.arrives)
+        self.schedule(SECOND, self.on_arrival)
         for front in range(case.fronts):
-            self.at(self.began + int(rng.random() * case.late * SECOND), self.hears, front)
+            self.schedule(self.new_hosts_start + int(rng.random() * case.late * SECOND), self.on_list_change, front)
             if case.restarts:
-                self.at(self.began + int(rng.random() * case.restarts * SECOND), self.restarts, front)
-        while self.queue[0][0] < self.began + case.seconds * SECOND:
+                self.schedule(self.new_hosts_start + int(rng.random() * case.restarts * SECOND), self.on_restart, front)
+        while self.queue[0][0] < self.new_hosts_start + case.seconds * SECOND:
             now, _, (what, *about) = heapq.heappop(self.queue)
             what(now, *about)
-        return self.sum
+        return self.arrivals
 
-    def arrives(self, now: int) -> None:
+    def on_arrival(self, now: int) -> None:
+        """A session request arrives at a front; schedules the next one."""
         rng, case = self.rng, self.case
         (front,) = rng.choices(range(case.fronts), self.weights)
-        (title,) = rng.choices(range(len(self.titles)), self.wanted)
+        (title,) = rng.choices(range(len(self.titles)), self.popularity)
         self.ref += 1
-        self.tell(
+        self.handle(
             now,
             front,
             api.Request(
@@ -201,54 +213,71 @@
                 int(case.life * SECOND),
             ),
         )
-        self.at(now + int(rng.expovariate(self.rate) * SECOND), self.arrives)
+        self.schedule(now + int(rng.expovariate(self.rate) * SECOND), self.on_arrival)
 
-    def wakes(self, now: int, front: int, one: Controller, token: int) -> None:
+    def on_timer(self, now: int, front: int, one: Controller, token: int) -> None:
+        """A front's timer expires, unless the front has restarted."""
         if self.fronts[front] is one:
-            self.tell(now, front, api.Wake(token))
+            self.handle(now, front, api.Wake(token))
 
-    def probed(self, now: int, front: int, one: Controller, host: int) -> None:
+    def on_probe_answer(self, now: int, front: int, one: Controller, host: int) -> None:
+        """A host answers a probe with its load."""
         if self.fronts[front] is one:
-            report = api.Report(self.asked.get(host, 0.0) / self.link)
-            self.tell(now, front, api.Probed(host, api.Code.OK, 2 * MS, report))
+            report = api.Report(self.load_kb.get(host, 0.0) / self.link_kb)
+            self.handle(now, front, api.Probed(host, api.Code.OK, 2 * MS, report))
 
-    def opens(self, now: int, front: int, one: Controller, ref: int, host: int) -> None:
+    def on_open(self, now: int, front: int, one: Controller, ref: int, host: int) -> None:
+        """A host opens a session, or refuses it when its link is full."""
         if self.fronts[front] is not one or ref not in one.sessions:
             return
         attempt = one.sessions[ref].attempts - 1
-        if self.asked.get(host, 0.0) >= self.link:
-            return self.tell(now, front, api.Outcome(ref, attempt, host, api.Code.FULL, 2 * MS, False))
+        if self.load_kb.get(host, 0.0) >= self.link_kb:
+            return self.handle(now, front, api.Outcome(ref, attempt, host, api.Code.FULL, 2 * MS, False))
         kb = self.rungs.get((front, ref), RATES[1])
-        self.asked[host] = self.asked.get(host, 0.0) + kb
+        self.load_kb[host] = self.load_kb.get(host, 0.0) + kb
         self.playing[front, ref] = host, kb
-        self.tell(now, front, api.Opened(ref, attempt, host, 2 * MS))
-        self.at(now + int(self.rng.uniform(0.5, 1.5) * self.case.life * SECOND), self.ends, front, one, ref, attempt)
+        self.handle(now, front, api.Opened(ref, attempt, host, 2 * MS))
+        self.schedule(
+            now + int(self.rng.uniform(0.5, 1.5) * self.case.life * SECOND),
+            self.on_session_end,
+            front,
+            one,
+            ref,
+            attempt,
+        )
 
-    def ends(self, now: int, front: int, one: Controller, ref: int, attempt: int) -> None:
+    def on_session_end(self, now: int, front: int, one: Controller, ref: int, attempt: int) -> None:
+        """A session ends and frees its share of the host's link."""
         if (front, ref) in self.playing:
             host, kb = self.playing.pop((front, ref))
-            self.asked[host] -= kb
+            self.load_kb[host] -= kb
             if self.fronts[front] is one:
-                self.tell(now, front, api.Outcome(ref, attempt, host, api.Code.OK, SECOND, True))
+                self.handle(now, front, api.Outcome(ref, attempt, host, api.Code.OK, SECOND, True))
 
-    def hears(self, now: int, front: int) -> None:
-        gone = tuple(api.ServerEntry(e.server, 1.0, 0, e.cell, 0, api.ServerState.GONE, 0) for e in self.old.values())
-        self.tell(now, front, api.ServerList(api.ListKind.DELTA, (*gone, *self.new)))
+    def on_list_change(self, now: int, front: int) -> None:
+        """A front hears that the new hosts replace the old ones."""
+        gone = tuple(
+            api.ServerEntry(e.server, 1.0, 0, e.cell, 0, api.ServerState.GONE, 0) for e in self.replaced_hosts.values()
+        )
+        self.handle(now, front, api.ServerList(api.ListKind.DELTA, (*gone, *self.new_hosts)))
 
-    def restarts(self, now: int, front: int) -> None:
+    def on_restart(self, now: int, front: int) -> None:
+        """A front restarts: it loses its sessions and knows the new list from its cache."""
         self.fronts[front] = Controller(self.settings, self.rng.getrandbits(32))
         for key in [key for key in self.playing if key[0] == front]:
             host, kb = self.playing.pop(key)
-            self.asked[host] -= kb
-        self.tell(now, front, api.ServerList(api.ListKind.CACHED, (*self.kept, *self.new)))
+            self.load_kb[host] -= kb
+        self.handle(now, front, api.ServerList(api.ListKind.CACHED, (*self.steady_hosts, *self.new_hosts)))
 
 
-def play(job: tuple[Case, int]) -> Sum:
+def run_case(job: tuple[Case, int]) -> HostArrivals:
+    """Run one case with one seed."""
     case, seed = job
     return World(case, seed).run()
 
 
 def cases() -> list[Case]:
+    """The cases of the table: numbers of fronts and places, each with four traffic patterns."""
     found = []
     for fronts in (1, 2, 3, 20, 30, 230):
         for places in (2, 10, 60):
@@ -262,6 +291,7 @@
 
 
 def main() -> None:
+    """Run all cases and print the table."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 10
     print(
         "| fronts | N at the start | traffic | load | worst over the budget, of 2 root N + 2 | runs over it "
@@ -269,7 +299,9 @@
     )
     with multiprocessing.Pool() as pool:
         for case in cases():
-            found = pool.map(play, [(case, seed) for seed in range(max(2, seeds // 5) if case.fronts > 100 else seeds)])
+            found = pool.map(
+                run_case, [(case, seed) for seed in range(max(2, seeds // 5) if case.fronts > 100 else seeds)]
+            )
             worst = [one.worst() for one in found]
             print(
                 f"| {case.fronts} | {found[0].budget:.1f} | {'even' if not case.uneven else 'uneven'}"
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,9 +1,9 @@
-"""Measures the gateway beside plain things in the same run, and prints figures and ratios as JSON lines.
+"""Measures the gateway against simple baselines in the same run, and prints figures and ratios as JSON lines.
 
     python -m benchmarks.gateway relay|setups|latency|memory|all
 
-Everything is on loopback, bounded, and ends by itself. Hosts here are as small as they can be, so that the
-gateway's own cost shows.
+All benchmarks run over loopback, are bounded and end by themselves. The hosts do as little as possible, so that the
+figures show the gateway's own cost.
 """
 
 from __future__ import annotations
@@ -32,23 +32,28 @@
 from copperyard.protocol.rtsp import Connection, Limits, Request, Response
 from copperyard.protocol.rtsp.messages import Headers
 
-WIRE = Limits(8192, 64, 65536, 65535, 256)
-FRAME = 1400
-RELAYED = 200_000_000
-CHUNK = 65536
+RTSP_LIMITS = Limits(8192, 64, 65536, 65535, 256)
+FRAME_BYTES = 1400
+RELAY_BYTES = 200_000_000
+READ_BYTES = 65536
 
 
-def tell(name: str, **figures: object) -> None:
+def print_figures(name: str, **figures: object) -> None:
+    """Print a benchmark's figures as one line of JSON."""
     print(json.dumps({"bench": name, **figures}), flush=True)
 
 
 class Host:
-    """Answers every set-up at once; sends `burst` bytes of frames after PLAY, or a frame every `every` s."""
+    """A host that answers every request at once.
 
-    def __init__(self, burst: int = 0, every: float = 0.0) -> None:
-        self.writes, self.every, self.address = frames_of(burst), every, ""
+    After PLAY it sends `burst` bytes of frames, or a frame every `interval_s` seconds.
+    """
+
+    def __init__(self, burst: int = 0, interval_s: float = 0.0) -> None:
+        self.writes, self.interval_s, self.address = frames_of(burst), interval_s, ""
 
     async def run(self, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+        """Listen on loopback and serve until cancelled; `task_status` gets the address."""
         listener = await TcpNetwork().listen("127.0.0.1:0")
         self.address = listener.address
         async with trio.open_nursery() as nursery:
@@ -57,10 +62,10 @@
                 nursery.start_soon(self._serve, await listener.accept())
 
     async def _serve(self, stream: Stream) -> None:
-        wire = Connection(WIRE)
+        wire = Connection(RTSP_LIMITS)
         try:
             async with trio.open_nursery() as nursery:
-                while data := await stream.receive_some(CHUNK):
+                while data := await stream.receive_some(READ_BYTES):
                     for event in wire.receive(data):
                         if isinstance(event, Request):
                             await self._answer(stream, event, nursery)
@@ -75,47 +80,48 @@
         if request.method == "SETUP":
             headers += (("Transport", request.header("Transport") or ""),)
         await send(stream, Connection.answer(request, Response(200, headers)))
-        if request.method == "PLAY" and (self.writes or self.every):
+        if request.method == "PLAY" and (self.writes or self.interval_s):
             nursery.start_soon(self._media, stream)
 
     async def _media(self, stream: Stream) -> None:
-        if self.every:
+        if self.interval_s:
             seq = 0
             while True:
                 seq += 1
                 await send(stream, Connection.frame(0, pack(Packet(26, seq, seq * 3600, 9), b"x" * 200)))
-                await trio.sleep(self.every)
+                await trio.sleep(self.interval_s)
         for data in self.writes:
             await send(stream, data)
 
 
 def frames_of(size: int) -> list[bytes]:
-    """Interleaved frames of FRAME bytes, in writes of about CHUNK."""
-    per = CHUNK // (FRAME + 4)
+    """Interleaved frames of FRAME_BYTES, joined into writes of about READ_BYTES."""
+    per = READ_BYTES // (FRAME_BYTES + 4)
     writes, seq = [], 0
-    for _ in range(size // (per * (FRAME + 4))):
+    for _ in range(size // (per * (FRAME_BYTES + 4))):
         frames = []
         for _ in range(per):
-            frames.append(Connection.frame(0, pack(Packet(26, seq, seq * 90, 9), b"x" * (FRAME - 12))))
+            frames.append(Connection.frame(0, pack(Packet(26, seq, seq * 90, 9), b"x" * (FRAME_BYTES - 12))))
             seq += 1
         writes.append(b"".join(frames))
     return writes
 
 
 async def send(stream: Stream, data: bytes) -> None:
+    """Send all of the data."""
     while data:
         data = data[await stream.send_some(data) :]
 
 
-async def lists(address: str, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-    """A list service with one host, which answers a long poll never."""
+async def serve_host_list(address: str, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+    """Run a list service with one host; it never answers a long poll."""
     listener = await TcpNetwork().listen("127.0.0.1:0")
     body = json.dumps(
         {"generation": 1, "hosts": [{"id": "h", "address": address, "cell": 0, "weight": 100000}]}
     ).encode()
 
     async def serve(stream: Stream) -> None:
-        data = await stream.receive_some(CHUNK)
+        data = await stream.receive_some(READ_BYTES)
         if b"after=" not in data:
             await send(stream, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         await trio.sleep_forever()
@@ -127,7 +133,7 @@
 
 
 def one_host_site() -> Site:
-    """The example's site with room for everything on one host, and no host taken for cold."""
+    """The example site with room for everything on one host, which never counts as cold."""
     site = load("examples/caruso.xml")
     settings = replace(
         site.rules.settings,
@@ -146,10 +152,11 @@
 
 
 async def with_gateway(host: Host, body: Callable[[Gateway, str], Awaitable[None]]) -> None:
+    """Run `body` with a gateway, which serves in this process, and its address."""
     site = one_host_site()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(host.run)
-        place = list_place(f"http://{await nursery.start(lists, address)}/", 3600 * 10**9, 7200 * 10**9)
+        place = list_place(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
         station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
         gateway = Gateway(station, TcpNetwork(), 1, random.Random(1), lambda event, fields: None)
         where = await nursery.start(gateway.run)
@@ -159,8 +166,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def viewer(address: str, path: str = "/classes/1") -> Client:
-    """A viewer whose film plays."""
+async def play_as_viewer(address: str, path: str = "/classes/1") -> Client:
+    """Connect a viewer and start a title; exits if PLAY is refused."""
     stream = await TcpNetwork().connect(address)
     client = Client(stream, Side("x"))
     url = f"rtsp://{address}{path}"
@@ -172,19 +179,19 @@
     return client
 
 
-async def drink(stream: Stream, size: int) -> float:
-    """Read `size` bytes; the seconds that it took."""
+async def time_read(stream: Stream, size: int) -> float:
+    """The seconds that it takes to read `size` bytes."""
     begin = time.perf_counter()
     while size > 0:
-        data = await stream.receive_some(CHUNK)
+        data = await stream.receive_some(READ_BYTES)
         if not data:
             raise SystemExit("the stream ended early")
         size -= len(data)
     return time.perf_counter() - begin
 
 
-async def pump_time(writes: list[bytes]) -> float:
-    """The same bytes through a bare trio byte pump: source, pump and sink, three tasks."""
+async def time_bare_pump(writes: list[bytes]) -> float:
+    """The seconds that the same bytes take through a bare trio byte pump of three tasks: source, pump and sink."""
     network = TcpNetwork()
     source, out = await network.listen("127.0.0.1:0"), await network.listen("127.0.0.1:0")
 
@@ -195,35 +202,36 @@
 
     async def pump() -> None:
         inward, outward = await network.connect(source.address), await out.accept()
-        while data := await inward.receive_some(CHUNK):
+        while data := await inward.receive_some(READ_BYTES):
             await send(outward, data)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(feed)
         nursery.start_soon(pump)
-        taken = await drink(await network.connect(out.address), sum(map(len, writes)))
+        taken = await time_read(await network.connect(out.address), sum(map(len, writes)))
         nursery.cancel_scope.cancel()
     return taken
 
 
 async def relay() -> None:
-    writes = frames_of(RELAYED)
+    """Throughput of one stream through the gateway, against a bare byte pump."""
+    writes = frames_of(RELAY_BYTES)
     total = sum(map(len, writes))
     ratios, rates = [], []
     for _ in range(5):
-        bare = await pump_time(writes)
+        bare = await time_bare_pump(writes)
         found: list[float] = []
 
         async def body(gateway: Gateway, where: str, found: list[float] = found) -> None:
-            client = await viewer(where)
-            found.append(await drink(client.stream, total - CHUNK))
+            client = await play_as_viewer(where)
+            found.append(await time_read(client.stream, total - READ_BYTES))
 
-        await with_gateway(Host(burst=RELAYED), body)
+        await with_gateway(Host(burst=RELAY_BYTES), body)
         ratios.append(bare / found[0])
         rates.append(total / found[0] / 1e6)
-    tell(
+    print_figures(
         "relay",
-        frame_bytes=FRAME,
+        frame_bytes=FRAME_BYTES,
         mb=round(total / 1e6),
         gateway_mb_s=round(statistics.median(rates)),
         ratio_to_bare_pump=round(statistics.median(ratios), 3),
@@ -232,6 +240,8 @@
 
 
 async def setups() -> None:
+    """Set-ups a second, and the decision module's share of the processor time."""
+
     async def body(gateway: Gateway, where: str) -> None:
         spent = [0.0]
         whole = gateway.core.plays.controller.handle
@@ -249,13 +259,13 @@
 
         async def one() -> None:
             async with limit:
-                (await viewer(where)).stream.close()
+                (await play_as_viewer(where)).stream.close()
 
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(one)
         taken, used = time.perf_counter() - begin, time.process_time() - cpu
-        tell(
+        print_figures(
             "setups",
             count=count,
             a_second=round(count / taken),
@@ -268,18 +278,20 @@
 
 
 async def latency() -> None:
+    """Set-up latency through the gateway and directly at the host, in alternation."""
+
     async def body(gateway: Gateway, where: str) -> None:
         direct: list[float] = []
         through: list[float] = []
         for n in range(1000):
             for place, found in ((host.address, direct), (where, through)):
                 begin = time.perf_counter()
-                client = await viewer(place, f"/classes/{n % 8 + 1}")
+                client = await play_as_viewer(place, f"/classes/{n % 8 + 1}")
                 found.append((time.perf_counter() - begin) * 1e3)
                 client.stream.close()
             await trio.lowlevel.checkpoint()
         cuts = [statistics.quantiles(x, n=100) for x in (direct, through)]
-        tell(
+        print_figures(
             "latency",
             pairs=1000,
             direct_ms={"p50": round(cuts[0][49], 2), "p99": round(cuts[0][98], 2)},
@@ -291,25 +303,28 @@
     await with_gateway(host, body)
 
 
-def resident() -> int:
+def resident_bytes() -> int:
+    """Resident memory of this process, after a garbage collection."""
     gc.collect()
     with open("/proc/self/statm") as source:
         return int(source.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 async def memory() -> None:
+    """Resident memory of an idle connection and of a playing session."""
+
     async def body(gateway: Gateway, where: str) -> None:
         network = TcpNetwork()
         idle = [await network.connect(where) for _ in range(50)]
-        before = resident()
+        before = resident_bytes()
         idle += [await network.connect(where) for _ in range(1000)]
         await trio.sleep(0.5)
-        idles = resident() - before
-        before = resident()
-        playing = [await viewer(where, f"/classes/{n % 8 + 1}") for n in range(1000)]
+        idles = resident_bytes() - before
+        before = resident_bytes()
+        playing = [await play_as_viewer(where, f"/classes/{n % 8 + 1}") for n in range(1000)]
         await trio.sleep(3)
-        plays = resident() - before
-        tell(
+        plays = resident_bytes() - before
+        print_figures(
             "memory",
             idle_connection_kb=round(idles / 1000 / 1024, 1),
             playing_session_kb=round(plays / 1000 / 1024, 1),
@@ -320,15 +335,16 @@
         for client in playing:
             client.stream.close()
 
-    await with_gateway(Host(every=1.0), body)
+    await with_gateway(Host(interval_s=1.0), body)
 
 
 BENCHES = {"relay": relay, "setups": setups, "latency": latency, "memory": memory}
 
 
 def main() -> None:
+    """Run the benchmarks named on the command line, all by default."""
     wanted = sys.argv[1:] or ["all"]
-    tell("machine", cores=os.cpu_count(), python=platform.python_version(), trio=trio.__version__)
+    print_figures("machine", cores=os.cpu_count(), python=platform.python_version(), trio=trio.__version__)
     for name in BENCHES if wanted == ["all"] else wanted:
         trio.run(BENCHES[name])
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,13 +1,13 @@
-"""What a fleet's control costs and how soon it knows, by the number of gateways. Virtual clock, one process.
+"""Measures a fleet's control cost and detection times by number of gateways, on a virtual clock in one process.
 
     python -m benchmarks.scale N --seed S [--voters V] [--for S] [--faults NAME ...] [--json FILE]
 
-N gateways in 5 zones of 2 regions; an odd council spread over all zones. Each scenario of `SCENARIOS` goes on where
-the one before it ended; links take 1 to 60 ms and lose 1 message in 100. The last line is one JSON object, also where
-the run was stopped (`stopped` says why). Processor time is this thread's, of the product's common part alone (hear,
-wake, next_wake, take); bytes are those of true frames, sent and received. Both are taken at the council, some 50
-relays and some 200 drawn gateways: what is said of all is said of these. Exit: 0 all ran and all rules held, 1 not so,
-2 bad input, with one line and nothing started.
+N gateways in 5 zones of 2 regions, with an odd number of voters spread over all zones. Each scenario of `SCENARIOS`
+continues where the one before it ended; links delay messages by 1 to 60 ms and lose 1 in 100. The last line is one JSON
+object, also where the run was stopped (`stopped` says why). Processor time is this thread's, in the product's common
+part alone (hear, wake, next_wake, take); bytes are those of encoded frames, sent and received. Both are measured at the
+voters, some 50 relays and a random sample of some 200 gateways; figures for all gateways are figures for these.
+Exit codes: 0 all scenarios ran and all rules held, 1 otherwise, 2 bad input, with one line and nothing started.
 """
 
 from __future__ import annotations
@@ -37,24 +37,31 @@
 
 ZONES, REGIONS = 5, [0, 0, 0, 1, 1]
 LINKS = Manner(loss=0.01, delay=(1 * MS, 60 * MS))
-CPU, BYTES = 12.0, 18_000.0  # what the operators allow a gateway: ms of a core a second, bytes a second
-SESSIONS, KB = 4, 100.0  # sessions of a gateway here, kB/s of each
-ROOM = 2.0  # hosts' room over what is asked
-WEIGHED, HELD = 200, 8  # gateways drawn whose time and frames are taken, whose memory is walked
-CELL = 24  # of so many gateways one is killed where the mechanism knows no relays: as many as a delegate each
+CPU_BUDGET_MS_PER_S, BUDGET_BYTES_PER_S = (
+    12.0,
+    18_000.0,
+)  # the operators' budget for a gateway: ms of a core and bytes, each per second
+SESSIONS_PER_GATEWAY, SESSION_KB_PER_S = 4, 100.0  # sessions of a gateway, kB/s of a session
+ROOM_RATIO = 2.0  # capacity of the hosts over demand
+SAMPLED_GATEWAYS, MEMORY_SAMPLED_GATEWAYS = (
+    200,
+    8,
+)  # gateways sampled for time and frames; for memory
+CELL = 24  # gateways of a cell: without relays 1 in 10 * CELL is killed, as many as with a delegate per cell
 RACK = 40
-WEEK = {"failures": 126 / 7400, "replaced": 11_900 / 7400}  # of a week's, a gateway
-GOES_ON = 0.25  # virtual seconds between looks at limits
+WEEKLY_EVENTS_PER_GATEWAY = {"failures": 126 / 7400, "replaced": 11_900 / 7400}  # a week's events per gateway
+LIMIT_CHECK_INTERVAL_S = 0.25  # virtual seconds between checks of the wall-clock and memory limits
 
 
 class Stopped(Exception):
-    """The run ends before its scenarios do; the text says why."""
+    """The run hit its wall-clock or memory limit before its scenarios ended; the message says which."""
 
 
 # ---- what a gateway holds
 
 
 def attributes(thing: object) -> Iterator[tuple[str, Any]]:
+    """Names and values of an object's attributes, in its dictionary and in slots."""
     names = list(getattr(thing, "__dict__", ()))
     for kind in type(thing).__mro__:
         slots = kind.__dict__.get("__slots__", ())
@@ -62,13 +69,16 @@
     return ((name, getattr(thing, name)) for name in names if hasattr(thing, name))
 
 
-def ours(thing: object) -> bool:
+def is_product_object(thing: object) -> bool:
+    """Whether the object is an instance of one of the product's classes, enumerations aside."""
     return type(thing).__module__.startswith("copperyard.") and not isinstance(thing, Enum | type)
 
 
 def census(thing: object, shared: set[int]) -> Counter[str]:
-    """How many entries each container has that hangs on a gateway's part, by the way to it; `shared`: ids of what is
-    passed over. What is in frozen messages counts as one."""
+    """The number of entries of each container reachable from an object, by attribute path.
+
+    Objects whose ids are in `shared` are skipped. A frozen message counts as one entry, whatever it contains.
+    """
     found: Counter[str] = Counter()
     seen = set(shared)
 
@@ -79,9 +89,9 @@
         if isinstance(one, dict | list | set | deque):
             found[path] += len(one)
             for value in one.values() if isinstance(one, dict) else one:
-                if isinstance(value, dict | list | set | deque) or ours(value) and not frozen(value):
+                if isinstance(value, dict | list | set | deque) or is_product_object(value) and not is_frozen(value):
                     walk(value, path + "[]")
-        elif ours(one) and not frozen(one):
+        elif is_product_object(one) and not is_frozen(one):
             for name, value in attributes(one):
                 walk(value, f"{path}.{name}" if path else name)
 
@@ -89,13 +99,16 @@
     return found
 
 
-def frozen(thing: object) -> bool:
+def is_frozen(thing: object) -> bool:
+    """Whether the object is a frozen dataclass."""
     return is_dataclass(thing) and bool(getattr(type(thing), "__dataclass_params__").frozen)  # noqa: B009
 
 
 def held_bytes(thing: object, shared: set[int]) -> int:
-    """Bytes of all that hangs on a thing, by `sys.getsizeof`, each once; code and classes are passed over. The
-    allocator's own loss is not in it."""
+    """Bytes of all objects reachable from one, by `sys.getsizeof`, each counted once.
+
+    Code and classes are skipped. The allocator's overhead is not included.
+    """
     seen, stack, size = set(shared), [thing], 0
     while stack:
         one = stack.pop()
@@ -110,29 +123,29 @@
 
 
 def settings(site: Site, name: str) -> set[int]:
-    """Ids of what a gateway has from its settings: its place, all names, zones, terms."""
+    """Object ids of what a gateway has from its settings: its place, all names, zones, terms."""
     place = site.place(name)
     found = {id(place)} | {id(getattr(place, field.name)) for field in fields(place)}
     return found | {id(place) for place in (site.roster, site.terms)} | {id(one) for one in site.roster}
 
 
-# ---- what the mechanism tells of itself
+# ---- queries about the control mechanism
 
 
-def relays(front: Front) -> bool:
-    """Whether a gateway stands between others and the council. Nobody does in a flat site."""
+def is_relay(front: Front) -> bool:
+    """Whether a gateway relays between others and the voters. A flat site has no relays."""
     duty: Any = getattr(front.core, "duty", None)
     return duty is not None and front.name in duty.delegates(front.site.time(front.name))
 
 
 def knows_dead(core: Common, name: str) -> bool:
-    """Whether a gateway holds another for dead by its own membership."""
+    """Whether a gateway's own membership has another as dead."""
     member = core.members.members.get(name)
     return member is not None and member.life >= Life.DEAD
 
 
-def told_dead(site: Site, message: Any) -> Iterator[str]:
-    """Names that a message's reports of cells, if it has any, say are dead: bits over the sorted names of a cell."""
+def reported_dead(site: Site, message: Any) -> Iterator[str]:
+    """Gateways that a message's cell reports declare dead: set bits over the sorted names of a cell."""
     reports = [one for one, _ in message.reports] if hasattr(message, "reports") else [message]
     for one in reports:
         if hasattr(one, "digest") and hasattr(one, "dead") and one.dead:
@@ -141,6 +154,7 @@
 
 
 def mechanism() -> str:
+    """The control mechanism of this version: cells or flat."""
     return "cells" if any(field.name == "cells" for field in fields(CommonPlace)) else "flat"
 
 
@@ -148,31 +162,33 @@
 
 
 def resident_mb() -> float:
+    """Resident memory of this process, in MB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def free_mb() -> float:
+    """Memory available on this machine, in MB."""
     lines = Path("/proc/meminfo").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("MemAvailable")) / 1e3
 
 
-def cut(values: list[float], part: float) -> float | None:
-    """The value at that part of all, None of none."""
+def quantile(values: list[float], fraction: float) -> float | None:
+    """The value at that fraction of the sorted values; None if there are none."""
     found = sorted(values)
-    return round(found[min(len(found) - 1, int(part * len(found)))], 3) if found else None
+    return round(found[min(len(found) - 1, int(fraction * len(found)))], 3) if found else None
 
 
 class Run:
-    """A site that scenarios play on. `wall`: real seconds, `memory`: MB, after which Stopped is raised."""
+    """A site that scenarios run on. RunStoppedError is raised after `wall` real seconds or above `memory` MB."""
 
     def __init__(
         self, gateways: int, seed: int, voters: int, wall: float = 1e9, memory: float = 1e9, calm_s: float = 10.0
     ) -> None:
         sizes = [gateways // ZONES + (z < gateways % ZONES) for z in range(ZONES)]
-        self.gateways, self.wall, self.memory, self.calm = gateways, wall, memory, calm_s
+        self.gateways, self.wall, self.memory, self.calm_s = gateways, wall, memory, calm_s
         self.begun = time.monotonic()
-        self.ran = 0.0  # real seconds in which virtual ones passed
+        self.simulation_s = 0.0  # real seconds spent in simulation
         self.random = random.Random(seed)
         self.site = Site(
             seed,
@@ -186,27 +202,29 @@
             measured=True,
             begin=False,
         )
-        self.site.demand = [size * SESSIONS * KB for size in sizes]
-        self.site.rooms = [ROOM * kb for kb in self.site.demand]
-        self.full = list(self.site.rooms)
+        self.site.demand = [size * SESSIONS_PER_GATEWAY * SESSION_KB_PER_S for size in sizes]
+        self.site.rooms = [ROOM_RATIO * kb for kb in self.site.demand]
+        self.full_rooms = list(self.site.rooms)
         assert self.site.tallies is not None
         self.tallies = self.site.tallies
-        self.weighed: set[str] = set()
-        self.windows: list[dict[str, tuple[float, float]]] = []  # of a second each: ms, bytes (weighed ones)
+        self.sampled: set[str] = set()
+        self.windows: list[
+            dict[str, tuple[float, float]]
+        ] = []  # per recorded second: ms, bytes of each sampled gateway
         self.recording = False
-        self.found: dict[str, Any] = {}  # what a scenario knows before its end, kept where it is stopped
-        self.sorts: dict[str, list[int]] = {}  # by kind of message: how many were weighed as they were sent, bytes
-        self.dead_at: dict[str, dict[str, int]] = {}  # of watched ones: who held it for dead, when
-        self.told: dict[tuple[str, str], int] = {}  # (voter, watched one): when reports of cells said that it is dead
-        self.wrong: dict[str, set[str]] = {}  # gateways that run and were held for dead: by whom
-        self.since: dict[str, int] = {}  # when a gateway last began, or was last killed or cut off
-        self.took: dict[int, dict[str, int]] = {}  # by epoch: when who took it up
-        self.at: dict[str, int] = {}  # when who took up its newest
+        self.found: dict[str, Any] = {}  # partial results of a scenario, kept if it is stopped
+        self.sent_by_kind: dict[str, list[int]] = {}  # by message kind: number sent, bytes
+        self.dead_at: dict[str, dict[str, int]] = {}  # by watched gateway: when each other first held it dead
+        self.reported_at: dict[tuple[str, str], int] = {}  # (voter, watched gateway): first cell report of its death
+        self.wrong: dict[str, set[str]] = {}  # running gateways that were held dead, and by whom
+        self.changed_at: dict[str, int] = {}  # when a gateway last started, was killed or was cut off
+        self.adopted_at: dict[int, dict[str, int]] = {}  # by epoch: when each gateway adopted it
+        self.at: dict[str, int] = {}  # when each gateway adopted its newest plan
         self.epoch: dict[str, int] = {}
         net = self.site.net
         net.sending, net.arriving, self.site.noted = self._sending, self._arriving, self._noted
 
-    # ---- what the site tells
+    # ---- callbacks of the site
 
     def _sending(self, sender: str, to: str, message: Any) -> None:
         tally = self.tallies[sender]
@@ -215,7 +233,7 @@
         if tally.weighed:
             size = len(MESSAGES.frame(message))
             tally.sent_bytes += size
-            sort = self.sorts.setdefault(type(message).__name__, [0, 0])
+            sort = self.sent_by_kind.setdefault(type(message).__name__, [0, 0])
             sort[0] += 1
             sort[1] += size
 
@@ -226,28 +244,28 @@
         if tally.weighed:
             tally.got_bytes += len(MESSAGES.frame(message))
         if self.dead_at and to in self.site.voters:
-            for name in told_dead(self.site, message):
-                self.told.setdefault((to, name), self.site.net.now)
+            for name in reported_dead(self.site, message):
+                self.reported_at.setdefault((to, name), self.site.net.now)
 
     def _noted(self, front: Front, note: Note) -> None:
         now = self.site.net.now
         if note.event == "plan":
             epoch = int(dict(note.fields)["epoch"])
-            self.took.setdefault(epoch, {})[front.name] = now
+            self.adopted_at.setdefault(epoch, {})[front.name] = now
             self.epoch[front.name] = epoch
-            if len(self.took) > 8:
-                del self.took[min(self.took)]
+            if len(self.adopted_at) > 8:
+                del self.adopted_at[min(self.adopted_at)]
         elif note.event == "gateway dead":
             name = str(dict(note.fields)["gateway"])
             if name in self.dead_at:
                 self.dead_at[name].setdefault(front.name, now)
-            if name in self.site.net.nodes and now - self.since.get(name, -1 << 62) > 60 * SECOND:
+            if name in self.site.net.nodes and now - self.changed_at.get(name, -1 << 62) > 60 * SECOND:
                 self.wrong.setdefault(name, set()).add(front.name)
 
     # ---- time
 
     def begin(self) -> None:
-        """Start all at once. Stopped where they do not fit."""
+        """Start all gateways at once; raises RunStoppedError where a limit is exceeded."""
         for n, name in enumerate(self.site.roster):
             if n % 25 == 0:
                 self._limits(f"{n} of {self.gateways} gateways had begun, {resident_mb() / max(n, 1):.2f} MB each")
@@ -261,7 +279,7 @@
             raise Stopped(f"time: {self.wall:.0f} real seconds are over; {so_far}")
 
     def step(self, seconds: float) -> None:
-        """Virtual time passes; what each second cost is kept while `recording`."""
+        """Advance virtual time; while `recording`, keep each second's cost."""
         net, end = self.site.net, self.site.net.now + round(seconds * SECOND)
         while net.now < end:
             self._limits(
@@ -272,8 +290,8 @@
             second = (net.now // SECOND + 1) * SECOND
             if net.now % SECOND == 0:
                 self._before = self._costs()
-            net.run(min(end, second, net.now + round(GOES_ON * SECOND)))
-            self.ran += time.monotonic() - begun
+            net.run(min(end, second, net.now + round(LIMIT_CHECK_INTERVAL_S * SECOND)))
+            self.simulation_s += time.monotonic() - begun
             if net.now % SECOND == 0 and self.recording and hasattr(self, "_before"):
                 after = self._costs()
                 self.windows.append(
@@ -290,11 +308,11 @@
         return {name: (one.spent, one.sent_bytes + one.got_bytes) for name, one in self.tallies.items() if one.weighed}
 
     def align(self) -> None:
-        """Up to a whole second, so that windows begin with what follows."""
+        """Advance to a whole second, so that recorded windows start there."""
         self.step(-self.site.net.now % SECOND / SECOND)
 
-    def until(self, done: Callable[[], bool], most: float, step: float = GOES_ON) -> float | None:
-        """Virtual seconds until so, None where it was not within `most`."""
+    def run_until(self, done: Callable[[], bool], most: float, step: float = LIMIT_CHECK_INTERVAL_S) -> float | None:
+        """Virtual seconds until the condition held; None if it did not within `most` seconds."""
         begin = self.site.net.now
         while not done():
             if self.site.net.now - begin >= most * SECOND:
@@ -302,68 +320,74 @@
             self.step(step)
         return round((self.site.net.now - begin) / SECOND, 3)
 
-    # ---- what is asked of the site
+    # ---- operations on the site and queries
 
     def kill(self, names: list[str]) -> None:
+        """Kill gateways."""
         for name in names:
             self.site.net.kill(name)
-            self.since[name] = self.site.net.now
+            self.changed_at[name] = self.site.net.now
 
     def start(self, names: list[str]) -> None:
+        """Start or restart gateways."""
         for name in names:
-            self.since[name] = self.site.net.now
+            self.changed_at[name] = self.site.net.now
             self.site.start(name)
 
-    def newest(self) -> int:
+    def newest_epoch(self) -> int:
+        """The epoch of the newest plan, 0 before the first."""
         return max(self.site.plans, default=0)
 
-    def follow(self, epoch: int) -> bool:
-        """Whether all that run took up that plan or a later one."""
+    def all_follow(self, epoch: int) -> bool:
+        """Whether all running gateways adopted that plan or a later one."""
         return all((one.core.plan.epoch if one.core.plan is not None else 0) >= epoch for one in self.site.fronts())
 
     def settled(self) -> bool:
+        """Whether there is a leader, all follow the newest plan and each reaches full strength."""
         return (
-            self.newest() > 0
-            and self.follow(self.newest())
+            self.newest_epoch() > 0
+            and self.all_follow(self.newest_epoch())
             and self.site.leader() is not None
             and min(self.site.strengths(list(self.site.net.nodes))) == 1.0
         )
 
     def relays(self) -> list[str]:
-        return [one.name for one in self.site.fronts() if relays(one)]
+        """The running gateways that relay between others and the voters."""
+        return [one.name for one in self.site.fronts() if is_relay(one)]
 
     def plain(self) -> list[str]:
-        """Those that run and are neither voter nor relay."""
+        """The running gateways that are neither voter nor relay."""
         out = set(self.site.voters) | set(self.relays())
         return [name for name in self.site.net.nodes if name not in out]
 
     def weigh(self, more: Iterable[str] = ()) -> None:
-        """Draw whose time and frames are taken from now on, these among them."""
+        """Draw the gateways whose time and frames are measured from now on; `more` are among them."""
         plain, between = self.plain(), self.relays()
-        self.weighed = {
+        self.sampled = {
             *self.site.voters,
             *more,
-            *self.random.sample(plain, min(WEIGHED, len(plain))),
-            *self.random.sample(between, min(WEIGHED // 4, len(between))),
+            *self.random.sample(plain, min(SAMPLED_GATEWAYS, len(plain))),
+            *self.random.sample(between, min(SAMPLED_GATEWAYS // 4, len(between))),
         }
         for name, tally in self.tallies.items():
-            tally.weighed = name in self.weighed
+            tally.weighed = name in self.sampled
 
     def by_role(self, of: dict[str, float]) -> dict[str, float | None]:
+        """Quantiles over plain gateways, the leader's value, and the medians of relays and of other voters."""
         leader, between = self.site.leader(), set(self.relays())
         voters = set(self.site.voters)
         plain = [v for name, v in of.items() if name not in voters and name not in between]
         return {
-            "median": cut(plain, 0.5),
-            "p99": cut(plain, 0.99),
-            "most": cut(plain, 1.0),
+            "median": quantile(plain, 0.5),
+            "p99": quantile(plain, 0.99),
+            "most": quantile(plain, 1.0),
             "leader": round(of[leader], 3) if leader in of else None,
-            "relay": cut([v for name, v in of.items() if name in between], 0.5),
-            "voter": cut([v for name, v in of.items() if name in voters and name != leader], 0.5),
+            "relay": quantile([v for name, v in of.items() if name in between], 0.5),
+            "voter": quantile([v for name, v in of.items() if name in voters and name != leader], 0.5),
         }
 
-    def worst(self, span: int) -> dict[str, float | None]:
-        """The most that any gateway but voters took in `span` seconds of the recorded ones, a second; the leader's."""
+    def worst_window(self, span: int) -> dict[str, float | None]:
+        """The greatest cost per second over any `span` recorded seconds, of non-voters and of voters."""
         ms: dict[str, float] = {}
         sent: dict[str, float] = {}
         voters = set(self.site.voters)
@@ -373,27 +397,31 @@
                 ms[name] = max(ms.get(name, 0.0), sum(w[name][0] for w in part if name in w) / span)
                 sent[name] = max(sent.get(name, 0.0), sum(w[name][1] for w in part if name in w) / span)
         return {
-            "ms_per_s": cut([v for name, v in ms.items() if name not in voters], 1.0),
-            "bytes_per_s": cut([v for name, v in sent.items() if name not in voters], 1.0),
-            "voter_ms_per_s": cut([v for name, v in ms.items() if name in voters], 1.0),
-            "voter_bytes_per_s": cut([v for name, v in sent.items() if name in voters], 1.0),
+            "ms_per_s": quantile([v for name, v in ms.items() if name not in voters], 1.0),
+            "bytes_per_s": quantile([v for name, v in sent.items() if name not in voters], 1.0),
+            "voter_ms_per_s": quantile([v for name, v in ms.items() if name in voters], 1.0),
+            "voter_bytes_per_s": quantile([v for name, v in sent.items() if name in voters], 1.0),
         }
 
-    def over(self) -> int:
-        """Longest row of seconds in which a gateway (no voter) took more than twice its budget."""
+    def longest_over_budget_s(self) -> int:
+        """The longest run of seconds in which a gateway that is no voter used more than twice its budget."""
         longest, row = 0, Counter[str]()
         for window in self.windows:
             for name, (ms, size) in window.items():
-                row[name] = row[name] + 1 if (ms > 2 * CPU or size > 2 * BYTES) and name not in self.site.voters else 0
+                row[name] = (
+                    row[name] + 1
+                    if (ms > 2 * CPU_BUDGET_MS_PER_S or size > 2 * BUDGET_BYTES_PER_S) and name not in self.site.voters
+                    else 0
+                )
                 longest = max(longest, row[name])
         return longest
 
-    def kinds(self) -> dict[str, list[int]]:
-        """Messages that the weighed ones sent, by kind: how many, the mean of bytes of one."""
-        return {kind: [count, round(size / count)] for kind, (count, size) in sorted(self.sorts.items())}
+    def messages_by_kind(self) -> dict[str, list[int]]:
+        """Messages that sampled gateways sent, by kind: their number and mean size in bytes."""
+        return {kind: [count, round(size / count)] for kind, (count, size) in sorted(self.sent_by_kind.items())}
 
     def counts(self, names: list[str]) -> dict[str, int]:
-        """The most entries of everything held by any of these."""
+        """By container, the most entries that any of these gateways holds."""
         found: Counter[str] = Counter()
         for name in names:
             if name in self.site.net.nodes:
@@ -401,19 +429,19 @@
         return dict(sorted(found.items()))
 
 
-# ---- scenarios: each gives keys of the result; all in virtual seconds, if nothing else is said
+# ---- scenarios: each returns keys of the result, in virtual seconds unless stated otherwise
 
 
 def calm(run: Run, seconds: float) -> dict[str, Any]:
-    """What some seconds (--calm) cost in which nothing happens, and what is held."""
+    """Cost and memory over some seconds (--calm) in which nothing happens."""
     run.weigh()
     run.align()
-    run.sorts.clear()
+    run.sent_by_kind.clear()
     before = {name: (t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes) for name, t in run.tallies.items()}
-    run.step(run.calm)
+    run.step(run.calm_s)
     part = {
         name: tuple(
-            (a - b) / run.calm
+            (a - b) / run.calm_s
             for a, b in zip((t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes), before[name], strict=True)
         )
         for name, t in run.tallies.items()
@@ -421,7 +449,11 @@
     }
     leader = run.site.leader()
     held: dict[str, float] = {}
-    sample = run.random.sample(run.plain(), min(HELD, len(run.plain()))) + run.relays()[:2] + list(run.site.voters)
+    sample = (
+        run.random.sample(run.plain(), min(MEMORY_SAMPLED_GATEWAYS, len(run.plain())))
+        + run.relays()[:2]
+        + list(run.site.voters)
+    )
     for name in sample:
         held[name] = round(held_bytes(run.site.front(name).core, settings(run.site, name)) / 1e6, 4)
     roles = run.by_role(held)
@@ -431,7 +463,7 @@
         "messages_per_s": run.by_role({name: one[1] + one[2] for name, one in part.items()}),
         "bytes_per_s": run.by_role({name: one[3] + one[4] for name, one in part.items()}),
         "sent_bytes_per_s": run.by_role({name: one[3] for name, one in part.items()}),
-        "kinds": run.kinds(),
+        "kinds": run.messages_by_kind(),
         "control_mb": max((held[name] for name in plain), default=None),
         "held_mb": roles,
         "settings_mb": round(held_bytes(run.site.place(plain[0]), set()) / 1e6, 3),
@@ -443,14 +475,14 @@
 
 
 def dead(run: Run, seconds: float) -> dict[str, Any]:
-    """Three gateways die, of three zones."""
+    """Three gateways die, one in each of three zones."""
     names = []
     for zone in (0, 1, 4):
-        here = [name for name in run.site.of(zone) if name not in run.site.voters]  # in a small zone all are relays
+        here = [name for name in run.site.of(zone) if name not in run.site.voters]  # all may be relays in a small zone
         plain = set(run.plain())
         names.append(run.random.choice([name for name in here if name in plain] or here))
     holders = {name: [one.name for one in run.site.fronts() if name in one.core.members.members] for name in names}
-    run.dead_at, run.told = {name: {} for name in names}, {}
+    run.dead_at, run.reported_at = {name: {} for name in names}, {}
     begin = run.site.net.now
     run.kill(names)
     leader: dict[str, float] = {}
@@ -462,7 +494,7 @@
             if (
                 name not in leader
                 and led is not None
-                and ((led, name) in run.told or knows_dead(run.site.front(led).core, name))
+                and ((led, name) in run.reported_at or knows_dead(run.site.front(led).core, name))
             ):
                 leader[name] = (now - begin) / SECOND
                 if len(leader) == len(names):
@@ -471,12 +503,12 @@
             who in run.dead_at[name] or who not in run.site.net.nodes for name in names for who in holders[name]
         )
 
-    run.until(known, 60)
+    run.run_until(known, 60)
     times = [(at - begin) / SECOND for name in names for at in run.dead_at[name].values()]
     all_know = all(who in run.dead_at[name] or who not in run.site.net.nodes for name in names for who in holders[name])
     in_time, run.dead_at = run.dead_at, {}
     run.start(names)
-    run.until(run.settled, 60)
+    run.run_until(run.settled, 60)
     near = [
         (at - begin) / SECOND
         for name in names
@@ -485,52 +517,55 @@
     ]
     return {
         "dead_known_s": round(max(times), 3) if all_know else None,
-        "dead_known_p50_s": cut(times, 0.5),
+        "dead_known_p50_s": quantile(times, 0.5),
         "dead_known_first_s": [round((min(one.values()) - begin) / SECOND, 3) for one in in_time.values() if one],
-        "dead_known_zone_s": cut(near, 1.0) if all_know else None,
+        "dead_known_zone_s": quantile(near, 1.0) if all_know else None,
         "dead_known_council_s": round(max(leader.values()), 3) if len(leader) == len(names) else None,
         "dead_holders": max(len(one) for one in holders.values()),
     }
 
 
-def committed(run: Run, at_once: Callable[[], None]) -> tuple[list[float], bool]:
-    """A change of zone 1's room makes an entry: seconds until each took it up, and whether all did. `at_once` is done
-    when the entry has just been committed."""
-    before = run.newest()
-    run.site.rooms[1] = run.full[1] * (0.45 if run.site.rooms[1] == run.full[1] else 1.0)
-    if run.until(lambda: run.newest() > before, 40, 0.05) is None:
+def commit_entry(run: Run, at_once: Callable[[], None]) -> tuple[list[float], bool]:
+    """Commit an entry by changing zone 1's room; `at_once` is called as soon as it is committed.
+
+    Returns the seconds until each gateway adopted it, and whether all did.
+    """
+    before = run.newest_epoch()
+    run.site.rooms[1] = run.full_rooms[1] * (0.45 if run.site.rooms[1] == run.full_rooms[1] else 1.0)
+    if run.run_until(lambda: run.newest_epoch() > before, 40, 0.05) is None:
         return [], False
-    epoch = run.newest()
+    epoch = run.newest_epoch()
     begin = next(at for at, plan in run.site.committed if plan.epoch == epoch)
     at_once()
-    all_took = run.until(lambda: run.follow(epoch), 60) is not None
+    all_took = run.run_until(lambda: run.all_follow(epoch), 60) is not None
     first: dict[str, int] = {}
-    for number in sorted(run.took):
+    for number in sorted(run.adopted_at):
         if number >= epoch:
-            for name, at in run.took[number].items():
+            for name, at in run.adopted_at[number].items():
                 first.setdefault(name, at)
     run.step(3)
     return [(at - begin) / SECOND for name, at in first.items() if name in run.site.net.nodes], all_took
 
 
 def change(run: Run, seconds: float) -> dict[str, Any]:
-    """Four committed entries, one after another: when each gateway that lives has taken them up."""
-    found = [committed(run, lambda: None) for _ in range(4)]
-    return {"change_in_force_s": in_force(found)}
+    """Four committed entries, one after another: how long running gateways take to adopt them."""
+    found = [commit_entry(run, lambda: None) for _ in range(4)]
+    return {"change_in_force_s": adoption_summary(found)}
 
 
-def in_force(found: list[tuple[list[float], bool]]) -> dict[str, Any]:
+def adoption_summary(found: list[tuple[list[float], bool]]) -> dict[str, Any]:
+    """Quantiles of the adoption times of some entries; `last` is None unless all gateways adopted each."""
     times = [one for row, _ in found for one in row]
     return {
-        "p50": cut(times, 0.5),
-        "p99": cut(times, 0.99),
-        "last": cut(times, 1.0) if all(done for _, done in found) else None,
+        "p50": quantile(times, 0.5),
+        "p99": quantile(times, 0.99),
+        "last": quantile(times, 1.0) if all(done for _, done in found) else None,
         "entries": len(found),
     }
 
 
 def killed(run: Run, seconds: float) -> dict[str, Any]:
-    """The same, and as it is committed a relay of every tenth cell dies; drawn gateways where there are no relays."""
+    """As `change`, but a relay of every tenth cell dies on commit; sampled plain gateways if there are no relays."""
     gone: list[str] = []
 
     def strike() -> None:
@@ -539,16 +574,16 @@
         gone.extend(run.random.sample(from_whom, max(1, len(from_whom) // each)))
         run.kill(gone)
 
-    found = [committed(run, strike)]
+    found = [commit_entry(run, strike)]
     killed_now = len(gone)
     run.start(gone)
-    found.append(committed(run, lambda: None))
-    run.until(run.settled, 60)
-    return {"change_in_force_killed_s": in_force(found[:1]), "killed": killed_now}
+    found.append(commit_entry(run, lambda: None))
+    run.run_until(run.settled, 60)
+    return {"change_in_force_killed_s": adoption_summary(found[:1]), "killed": killed_now}
 
 
 def quiet(run: Run, seconds: float) -> dict[str, Any]:
-    """Nothing dies, for --for seconds: whoever is held for dead is so wrongly."""
+    """Nothing dies for --for seconds: each gateway that is held dead is a false positive."""
     run.wrong = {}
     run.step(seconds)
     return {
@@ -559,7 +594,7 @@
 
 
 def slow(run: Run, seconds: float) -> dict[str, Any]:
-    """The same, with every tenth gateway's process standing still for 0.3 to 0.9 s, every two seconds or so."""
+    """As `quiet`, with every tenth plain gateway pausing for 0.3 to 0.9 s about every two seconds."""
     run.wrong = {}
     names = run.plain()[::10]
     end, net = run.site.net.now + round(seconds * SECOND), run.site.net
@@ -581,7 +616,7 @@
 
 
 def zone(run: Run, seconds: float) -> dict[str, Any]:
-    """A zone is lost with its hosts; the minute after it."""
+    """A zone is lost with its hosts; measures the minute after it."""
     site, lost = run.site, set(run.site.of(3))
     run.weigh()
     run.align()
@@ -589,15 +624,15 @@
     names = len(lost)
     site.lose(3)
     for name in lost:
-        run.since[name] = site.net.now
-    agreed = run.until(lambda: site.standing(3) is Standing.CLOSED, 60)
-    epoch = run.newest()
+        run.changed_at[name] = site.net.now
+    agreed = run.run_until(lambda: site.standing(3) is Standing.CLOSED, 60)
+    epoch = run.newest_epoch()
     run.found["zone_known_s"] = agreed
-    force = run.until(lambda: run.follow(epoch), 60) if agreed is not None else None
+    force = run.run_until(lambda: run.all_follow(epoch), 60) if agreed is not None else None
     run.found["zone_in_force_s"] = None if agreed is None or force is None else agreed + force
     run.step(max(0.0, 60 - (site.net.now - begin) / SECOND))
     run.recording = False
-    worst, minute = run.worst(10), run.worst(len(run.windows))
+    worst, minute = run.worst_window(10), run.worst_window(len(run.windows))
     held = [member.life for one in site.fronts() for member in one.core.members.members.values() if member.name in lost]
     return {
         "zone_known_s": agreed,
@@ -610,45 +645,45 @@
 
 
 def storm(run: Run, seconds: float) -> dict[str, Any]:
-    """All of that zone is started at once."""
+    """All gateways of the lost zone start at once."""
     site, names = run.site, run.site.of(3)
     if any(name in site.net.nodes for name in names):
         site.lose(3)
         run.step(40)
-    run.weigh(run.random.sample(names, min(WEIGHED, len(names))))
+    run.weigh(run.random.sample(names, min(SAMPLED_GATEWAYS, len(names))))
     run.align()
     run.windows, run.recording = [], True
-    run.sorts.clear()
-    site.rooms[3] = run.full[3]
+    run.sent_by_kind.clear()
+    site.rooms[3] = run.full_rooms[3]
     run.start(names)
-    here = run.until(
+    here = run.run_until(
         lambda: all(one.core.plan is not None for one in map(site.front, names)) and min(site.strengths(names)) == 1.0,
         60,
     )
     run.step(30)
     run.align()
     run.recording = False
-    worst = run.worst(1)
+    worst = run.worst_window(1)
     ms, size = worst["ms_per_s"], worst["bytes_per_s"]
     found = {
         "storm_gateways": len(names),
         "storm_joined_s": here,
         "storm_worst_1s": worst,
-        "storm_budget_times": round(max((ms or 0) / CPU, (size or 0) / BYTES), 3),
-        "storm_over_twice_s": run.over(),
-        "storm_kinds": run.kinds(),
+        "storm_budget_times": round(max((ms or 0) / CPU_BUDGET_MS_PER_S, (size or 0) / BUDGET_BYTES_PER_S), 3),
+        "storm_over_twice_s": run.longest_over_budget_s(),
+        "storm_kinds": run.messages_by_kind(),
     }
-    run.until(lambda: site.standing(3) is Standing.OPEN, 60)
+    run.run_until(lambda: site.standing(3) is Standing.OPEN, 60)
     return found
 
 
 def regions(run: Run, seconds: float) -> dict[str, Any]:
-    """Two regions are apart for 3 minutes while demand changes, and come back."""
+    """Two regions are partitioned for 3 minutes while demand changes; then the partition heals."""
     site = run.site
     ones, others = site.of(0, 1, 2), site.of(3, 4)
     site.net.part(ones, others)
     run.step(60)
-    site.demand[1] *= 1.5  # the majority would like what the minority may still hold
+    site.demand[1] *= 1.5  # the majority wants room that the minority may still be using
     run.step(60)
     site.demand[1] /= 1.5
     run.step(60)
@@ -656,9 +691,9 @@
     apart = site.strengths(others)
     site.net.heal()
     for name in site.roster:
-        run.since[name] = site.net.now
+        run.changed_at[name] = site.net.now
     return {
-        "rejoin_s": run.until(run.settled, 120),
+        "rejoin_s": run.run_until(run.settled, 120),
         "apart_s": 180,
         "apart_led": led is not None,
         "apart_minority_strength": max(apart, default=None),
@@ -666,17 +701,20 @@
 
 
 def week(run: Run, seconds: float) -> dict[str, Any]:
-    """A week's failures, replacements and a rack, in five minutes; those that live through all are looked at."""
+    """A week's failures, replacements and a rack failure within five minutes.
+
+    Containers of gateways that keep running throughout are checked for growth.
+    """
     site = run.site
     plain = run.plain()
-    stay = set(run.random.sample(plain, min(HELD, len(plain) // 4))) | set(site.voters)
+    stay = set(run.random.sample(plain, min(MEMORY_SAMPLED_GATEWAYS, len(plain) // 4))) | set(site.voters)
     some = [name for name in site.roster if name not in stay]
     start = run.counts(sorted(stay))
     gc.collect()
     began = resident_mb()
     span = 300 * SECOND
-    failures = max(1, round(WEEK["failures"] * run.gateways))
-    replaced = max(1, round(WEEK["replaced"] * run.gateways))
+    failures = max(1, round(WEEKLY_EVENTS_PER_GATEWAY["failures"] * run.gateways))
+    replaced = max(1, round(WEEKLY_EVENTS_PER_GATEWAY["replaced"] * run.gateways))
 
     def strike(name: str, back: int) -> None:
         if name in site.net.nodes:
@@ -696,10 +734,10 @@
         gc.collect()
         if n == 14:
             middle = run.counts(sorted(stay))
-    settled = run.until(run.settled, 90)
+    settled = run.run_until(run.settled, 90)
     run.step(30)
     end = run.counts(sorted(stay))
-    # a log is cut each 256 entries and may be anywhere up to that at any of the three
+    # a log is compacted every 256 entries, so its length may be anything up to that at each of the three samples
     grown = {
         name: [start.get(name, 0), middle.get(name, 0), n]
         for name, n in end.items()
@@ -742,6 +780,7 @@
 
 
 def arguments(argv: list[str]) -> argparse.Namespace:
+    """Parse and check the command line; exits with code 2 and one line on bad input."""
     parser = _Parser(prog="python -m benchmarks.scale", description="A fleet's control on a virtual clock.")
     parser.add_argument("gateways", type=int)
     parser.add_argument("--seed", type=int, default=1)
@@ -756,7 +795,9 @@
         metavar="NAME",
         help="of: " + " ".join(SCENARIOS),
     )
-    parser.add_argument("--json", type=Path, default=None, metavar="FILE", help="keep the last line there as well")
+    parser.add_argument(
+        "--json", type=Path, default=None, metavar="FILE", help="write the last line to this file as well"
+    )
     parser.add_argument("--wall", type=float, default=1e9, help="real s after which it stops")
     parser.add_argument("--memory", type=float, default=free_mb() / 2, help="MB after which it stops")
     found = parser.parse_args(argv)
@@ -777,6 +818,7 @@
 
 
 def commit() -> str:
+    """The commit that runs, as `git describe` names it; empty outside of a work tree."""
     try:
         found = subprocess.run(
             ["git", "describe", "--always", "--dirty"],
@@ -790,7 +832,7 @@
     return found.stdout.strip()
 
 
-def play(
+def run_scenarios(
     gateways: int,
     seed: int,
     voters: int,
@@ -801,8 +843,10 @@
     warm: float = 12.0,
     calm_s: float = 10.0,
 ) -> dict[str, Any]:
-    """Play scenarios one after another on one site, `warm` virtual seconds after all follow its first plan. The
-    result's keys are null where they were not measured."""
+    """Run scenarios one after another on one site, `warm` virtual seconds after all follow its first plan.
+
+    Keys of the result are null where nothing was measured.
+    """
     result: dict[str, Any] = dict.fromkeys(
         (
             "cpu_ms_per_s",
@@ -837,7 +881,7 @@
     run = Run(gateways, seed, voters, wall, memory, calm_s)
     try:
         run.begin()
-        result["settled_s"] = run.until(run.settled, 90)
+        result["settled_s"] = run.run_until(run.settled, 90)
         print(
             f"{gateways} gateways, seed {seed}: all follow one plan after {result['settled_s']} s; "
             f"{resident_mb():.0f} MB",
@@ -877,14 +921,15 @@
         "epochs": len(run.site.plans),
         "virtual_s": round(net.now / SECOND, 2),
         "real_s": round(time.monotonic() - run.begun, 1),
-        "virtual_s_per_real_s": round(net.now / SECOND / run.ran, 4) if run.ran else None,
+        "virtual_s_per_real_s": round(net.now / SECOND / run.simulation_s, 4) if run.simulation_s else None,
     }
     return result
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command; returns its exit code."""
     asked = arguments(sys.argv[1:] if argv is None else argv)
-    result = play(
+    result = run_scenarios(
         asked.gateways,
         asked.seed,
         asked.voters,
--- a/benchmarks/shards.py
+++ b/benchmarks/shards.py
@@ -1,13 +1,13 @@
-"""Where shards lie, worked out from who lives: ways weighed at true size, by numbers alone.
+"""Compares methods that compute a shard's owner from the set of live gateways, by calculation at full size.
 
-    python -m benchmarks.shards flat GATEWAYS     # rendezvous over all gateways: the best score of all owns the shard
-    python -m benchmarks.shards cells GATEWAYS    # rendezvous by steps: the zone, its cell, the gateway in it
-    python -m benchmarks.shards jump GATEWAYS     # jump hashing over the settings' places; a dead one's are drawn again
-    python -m benchmarks.shards bounded GATEWAYS  # rendezvous with a bound on load, what is over it listed by name
+    python -m benchmarks.shards flat GATEWAYS     # rendezvous hashing over all gateways: the highest score owns
+    python -m benchmarks.shards cells GATEWAYS    # hierarchical rendezvous: zone, then cell, then gateway
+    python -m benchmarks.shards jump GATEWAYS     # jump hashing over the configured places; a dead one is rehashed
+    python -m benchmarks.shards bounded GATEWAYS  # rendezvous with bounded loads; the overflow is listed by name
 
-`--shards N` (3,400,000), `--seed S` (1), `--keep FILE`. Each loses one gateway, a rack of 40 and a zone, and tells how
-many shards move, of them how many need not have moved; a day is that of the rates in `RATES`. The last line is a
-result for `benchmarks.capacity add`. After: Thaler and Ravishankar 1998 (rendezvous), Lamping and Veach 2014 (jump),
+`--shards N` (3,400,000), `--seed S` (1), `--keep FILE`. Each run fails one gateway, a rack of 40 and a zone, and counts
+the shards that move and those of them that need not have moved; a day has the events of `DAILY_RATES`. The last line is
+a result for `benchmarks.capacity add`. After Thaler and Ravishankar 1998 (rendezvous), Lamping and Veach 2014 (jump),
 Mirrokni, Thorup and Zadimoghaddam 2018 (bounded loads).
 """
 
@@ -25,22 +25,22 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from .viewers import Unfit, result
+from .viewers import MeasurementError, result
 
 Words = NDArray[np.uint64]
 Ints = NDArray[np.int64]
 SHARDS = 3_400_000
 ZONES = 5
 CELL = 24
-RACK = 40  # gateways that one rack or switch takes with it: a choice, the operators' number is not known
-RATES = {"failures": 18, "restarts": 1700}  # a day, the operators' words
-BYTES = 9  # a shard in a list, the operators' words
-BLOCK = 1 << 15
-LOOKUPS = 2000
+RACK = 40  # gateways behind one rack or switch; assumed, since the operators' number is not known
+DAILY_RATES = {"failures": 18, "restarts": 1700}  # events a day at 7,400 gateways, stated by the operators
+LISTED_SHARD_BYTES = 9  # bytes of a shard in a list, stated by the operators
+BLOCK_SHARDS = 1 << 15
+MAX_LOOKUPS = 2000
 
 
 def mix(words: Words) -> Words:
-    """The finalizer of splitmix64 (Steele, Lea and Flood 2014), in place: 64 bits in, 64 well mixed bits out."""
+    """Apply the finalizer of splitmix64 (Steele, Lea and Flood 2014) to each 64-bit word, in place."""
     words ^= words >> np.uint64(30)
     words *= np.uint64(0xBF58476D1CE4E5B9)
     words ^= words >> np.uint64(27)
@@ -50,24 +50,24 @@
 
 
 def keys(count: int, seed: int) -> Words:
-    """`count` well mixed words of their own for each seed."""
+    """`count` well-mixed words, different for each seed."""
     return mix(np.arange(1, count + 1, dtype=np.uint64) * np.uint64(0x9E3779B97F4A7C15) + np.uint64(seed << 40))
 
 
 def scores(shards: Words, one: np.uint64, number: int) -> Words:
-    """The scores of a candidate for some shards; its number is in the low 13 bits, so that no two are equal."""
+    """A candidate's scores for some shards; its number in the low 13 bits makes every score unique."""
     found = mix(shards ^ one)
     found &= np.uint64(0xFFFFFFFFFFFFE000)
     found |= np.uint64(number)
     return found
 
 
-def best(shards: Words, candidates: Words, deep: int, numbers: Ints | None = None) -> Ints:
-    """For each shard the `deep` candidates with the highest scores, best first: an array of (deep, shards)."""
-    found = np.empty((deep, len(shards)), dtype=np.int64)
-    for start in range(0, len(shards), BLOCK):
-        part = shards[start : start + BLOCK]
-        top = np.zeros((deep, len(part)), dtype=np.uint64)
+def best_candidates(shards: Words, candidates: Words, count: int, numbers: Ints | None = None) -> Ints:
+    """For each shard the `count` candidates with the highest scores, best first: an array of (count, shards)."""
+    found = np.empty((count, len(shards)), dtype=np.int64)
+    for start in range(0, len(shards), BLOCK_SHARDS):
+        part = shards[start : start + BLOCK_SHARDS]
+        top = np.zeros((count, len(part)), dtype=np.uint64)
         for number, one in enumerate(candidates):
             rest = scores(part, one, number)
             for row in top:
@@ -80,8 +80,8 @@
     return found
 
 
-def jump(shards: Words, count: int) -> Ints:
-    """Jump hashing: the place of each shard among `count`."""
+def jump_hash(shards: Words, count: int) -> Ints:
+    """The place of each shard among `count` by jump hashing."""
     word, place, ahead = shards.copy(), np.zeros(len(shards), dtype=np.int64), np.zeros(len(shards), dtype=np.int64)
     while True:
         going = ahead < count
@@ -94,99 +94,107 @@
 
 
 class Flat:
-    """Rendezvous over all gateways. What lay on the dead is drawn again among the living; nothing else moves."""
+    """Rendezvous hashing over all gateways; shards of dead gateways are rehashed among the live, others stay."""
 
     def __init__(self, shards: Words, count: int, seed: int) -> None:
         self.shards, self.count = shards, count
         self.gateways = keys(count, seed + 1000)
-        self.best = best(shards, self.gateways, 1)[0]
+        self.best = best_candidates(shards, self.gateways, 1)[0]
 
     def owners(self, dead: Ints) -> Ints:
+        """The owner of each shard while some gateways are dead."""
         gone = np.zeros(self.count, dtype=bool)
         gone[dead] = True
         found: Ints = self.best.copy()
         left = np.flatnonzero(gone[found])
         if len(left):
             living = np.flatnonzero(~gone)
-            found[left] = best(self.shards[left], self.gateways[living], 1, living)[0]
+            found[left] = best_candidates(self.shards[left], self.gateways[living], 1, living)[0]
         return found
 
     def lookup(self) -> tuple[Callable[[int], int], int, str]:
+        """A plain Python function from shard to owner, the hashes it takes, and what it has to know."""
         names = [int(one) for one in self.gateways]
         return (
-            (lambda shard: max(range(len(names)), key=lambda n: word_mix(shard ^ names[n]))),
+            (lambda shard: max(range(len(names)), key=lambda n: mix_word(shard ^ names[n]))),
             len(names),
             "all gateways that live, by name",
         )
 
 
-def word_mix(word: int) -> int:
-    """`mix` of one word in plain Python, for the time of a lookup."""
+def mix_word(word: int) -> int:
+    """`mix` of one word in plain Python, to time a lookup."""
     word = (word ^ word >> 30) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     word = (word ^ word >> 27) * 0x94D049BB133111EB & 0xFFFFFFFFFFFFFFFF
     return word ^ word >> 31
 
 
 class Cells:
-    """Rendezvous by steps: a zone, a cell of it, a gateway of that. A zone is passed over only when it is lost."""
+    """Rendezvous hashing over zones, then a zone's cells, then a cell's gateways; only a lost zone is skipped."""
 
     def __init__(self, shards: Words, count: int, seed: int) -> None:
         self.shards, self.count = shards, count
         self.zones = keys(ZONES, seed + 2000)
         self.gateways = keys(count, seed + 1000)
         self.members = []
-        for z in range(ZONES):  # by hash, so that a rack's gateways fall into many cells
+        for z in range(ZONES):  # ordered by hash, which spreads a rack over many cells
             here = np.arange(z, count, ZONES)
             here = here[np.argsort(self.gateways[here])]
             self.members.append(np.array_split(here, max(1, math.ceil(len(here) / CELL))))
         self.cells = [keys(len(cells), seed + 3000 + z) for z, cells in enumerate(self.members)]
 
     def owners(self, dead: Ints) -> Ints:
+        """The owner of each shard while some gateways are dead."""
         gone = np.zeros(self.count, dtype=bool)
         gone[dead] = True
         alive = [z for z in range(ZONES) if not all(gone[cell].all() for cell in self.members[z])]
-        zone = best(self.shards, self.zones[alive], 1, np.array(alive))[0]
+        zone = best_candidates(self.shards, self.zones[alive], 1, np.array(alive))[0]
         found = np.empty(len(self.shards), dtype=np.int64)
         for z in alive:
             here = np.flatnonzero(zone == z)
             there = np.array([c for c, cell in enumerate(self.members[z]) if not gone[cell].all()])
-            cell = best(self.shards[here], self.cells[z][there], 1, there)[0]
+            cell = best_candidates(self.shards[here], self.cells[z][there], 1, there)[0]
             for c in there:
                 some = here[cell == c]
                 living = self.members[z][c][~gone[self.members[z][c]]]
-                found[some] = best(self.shards[some], self.gateways[living], 1, living)[0]
+                found[some] = best_candidates(self.shards[some], self.gateways[living], 1, living)[0]
         return found
 
     def lookup(self) -> tuple[Callable[[int], int], int, str]:
+        """A plain Python function from shard to owner, the hashes it takes, and what it has to know."""
         zones, gateways = [int(one) for one in self.zones], [int(one) for one in self.gateways]
         cells = [[int(one) for one in some] for some in self.cells]
         members = [[[int(one) for one in cell] for cell in some] for some in self.members]
 
         def find(shard: int) -> int:
-            z = max(range(ZONES), key=lambda n: word_mix(shard ^ zones[n]))
-            c = max(range(len(cells[z])), key=lambda n: word_mix(shard ^ cells[z][n]))
-            return max(members[z][c], key=lambda n: word_mix(shard ^ gateways[n]))
+            z = max(range(ZONES), key=lambda n: mix_word(shard ^ zones[n]))
+            c = max(range(len(cells[z])), key=lambda n: mix_word(shard ^ cells[z][n]))
+            return max(members[z][c], key=lambda n: mix_word(shard ^ gateways[n]))
 
         return find, ZONES + len(cells[0]) + CELL, "zones, cells of a zone, who lives in one cell"
 
 
 class Jump:
-    """Jump hashing over the settings' places, dead or alive; where a dead one is drawn, it is drawn again with
-    another word, so that only what lay on the dead moves."""
+    """Jump hashing over all configured places, dead or alive.
+
+    A shard that falls on a dead gateway is rehashed with another word, so that only shards of the dead move.
+    """
 
     def __init__(self, shards: Words, count: int, seed: int) -> None:
         self.shards, self.count = mix(shards ^ np.uint64(seed)), count
 
     def owners(self, dead: Ints) -> Ints:
+        """The owner of each shard while some gateways are dead."""
         gone = np.zeros(self.count, dtype=bool)
         gone[dead] = True
-        found, word = jump(self.shards, self.count), self.shards.copy()
+        found, word = jump_hash(self.shards, self.count), self.shards.copy()
         while len(left := np.flatnonzero(gone[found])):
             word[left] = mix(word[left] + np.uint64(0x9E3779B97F4A7C15))
-            found[left] = jump(word[left], self.count)
+            found[left] = jump_hash(word[left], self.count)
         return found
 
     def lookup(self) -> tuple[Callable[[int], int], int, str]:
+        """A plain Python function from shard to owner, the hashes it takes, and what it has to know."""
         count = self.count
 
         def find(word: int) -> int:
@@ -201,61 +209,69 @@
 
 
 class Bounded:
-    """Rendezvous with no gateway above `OVER` times the mean: what does not fit its first choice goes to the next, by
-    deferred acceptance, whose outcome is one and the same in any order (Gale and Shapley 1962)."""
+    """Rendezvous hashing with each gateway's load bounded by `MAX_LOAD_RATIO` times the mean.
+
+    A shard that its first choice has no room for goes to the next one, by deferred acceptance, whose outcome does not
+    depend on the order (Gale and Shapley 1962).
+    """
 
-    OVER = 1.1
-    DEEP = 6
+    MAX_LOAD_RATIO = 1.1
+    CHOICES = 6
 
     def __init__(self, shards: Words, count: int, seed: int) -> None:
         self.shards, self.count = shards, count
-        self.choices = best(shards, keys(count, seed + 1000), self.DEEP)
+        self.choices = best_candidates(shards, keys(count, seed + 1000), self.CHOICES)
         self.listed = self.unplaced = 0
 
     def owners(self, dead: Ints) -> Ints:
+        """The owner of each shard while some gateways are dead."""
         gone = np.zeros(self.count, dtype=bool)
         gone[dead] = True
-        room = math.ceil(self.OVER * len(self.shards) / (self.count - len(dead)))
+        room = math.ceil(self.MAX_LOAD_RATIO * len(self.shards) / (self.count - len(dead)))
         step = np.zeros(len(self.shards), dtype=np.int64)
         every = np.arange(len(self.shards))
         while True:
-            at = self.choices[np.minimum(step, self.DEEP - 1), every]
+            at = self.choices[np.minimum(step, self.CHOICES - 1), every]
             out = gone[at]
-            order = np.lexsort((self.shards, step, at))  # a gateway keeps first choices first, then by the shard's word
+            order = np.lexsort((self.shards, step, at))  # gateways prefer first choices, then smaller shard words
             sorted_at = at[order]
             begins = np.r_[0, np.flatnonzero(np.diff(sorted_at)) + 1]
             rank = np.arange(len(at)) - np.repeat(begins, np.diff(np.r_[begins, len(at)]))
             out[order[rank >= room]] = True
-            out &= step < self.DEEP
+            out &= step < self.CHOICES
             if not out.any():
                 break
             step[out] += 1
         first = np.zeros(len(self.shards), dtype=np.int64)
-        for _ in range(self.DEEP):
-            first += gone[self.choices[np.minimum(first, self.DEEP - 1), every]]
+        for _ in range(self.CHOICES):
+            first += gone[self.choices[np.minimum(first, self.CHOICES - 1), every]]
         self.listed = int((step > first).sum())
-        self.unplaced = int((step >= self.DEEP).sum())
-        return np.where(step < self.DEEP, self.choices[np.minimum(step, self.DEEP - 1), every], -1)
+        self.unplaced = int((step >= self.CHOICES).sum())
+        return np.where(step < self.CHOICES, self.choices[np.minimum(step, self.CHOICES - 1), every], -1)
 
     def lookup(self) -> tuple[Callable[[int], int], int, str]:
+        """Not available: an owner depends on all other shards."""
         raise NotImplementedError
 
 
-WAYS: dict[str, Callable[[Words, int, int], Any]] = {"flat": Flat, "cells": Cells, "jump": Jump, "bounded": Bounded}
+METHODS: dict[str, Callable[[Words, int, int], Any]] = {"flat": Flat, "cells": Cells, "jump": Jump, "bounded": Bounded}
 
 
 def measure(name: str, count: int, shards: int, seed: int) -> dict[str, Any]:
-    """One way at one size: shards moved, loads, time of a lookup in plain Python. Unfit where sizes make no sense."""
+    """Shards moved, loads and the time of a lookup in plain Python, for one method at one size.
+
+    Raises MeasurementError where a size is out of range.
+    """
     if not 2 * ZONES <= count <= 8191:
-        raise Unfit(f"GATEWAYS: {count}: 10 to 8,191 can be simulated here")
+        raise MeasurementError(f"GATEWAYS: {count}: 10 to 8,191 can be simulated here")
     if not count <= shards <= 10_000_000:
-        raise Unfit(f"--shards: {shards}: at least the number of gateways, 10,000,000 at most")
+        raise MeasurementError(f"--shards: {shards}: at least the number of gateways, 10,000,000 at most")
     begin = time.perf_counter()
     rng = np.random.default_rng(seed)
     words = keys(shards, seed)
-    way = WAYS[name](words, count, seed)
+    method = METHODS[name](words, count, seed)
     none = np.array([], dtype=np.int64)
-    before = way.owners(none)
+    before = method.owners(none)
     loads = np.bincount(before, minlength=count)
     values: dict[str, float] = {
         "load_most": float(loads.max()),
@@ -264,12 +280,12 @@
     }
     raw: dict[str, list[float]] = {}
     if name == "bounded":
-        values["listed"] = way.listed
-        values["listed_kb"] = way.listed * BYTES / 1024
+        values["listed"] = method.listed
+        values["listed_kb"] = method.listed * LISTED_SHARD_BYTES / 1024
     ones = rng.choice(count, 3 if name == "bounded" else 5, replace=False)
     moved, needless = [], []
     for one in ones:
-        after = way.owners(np.array([one]))
+        after = method.owners(np.array([one]))
         change = after != before
         moved.append(float(change.sum()))
         needless.append(float((change & (before != one)).sum()))
@@ -278,20 +294,20 @@
     zone = np.arange(3 % ZONES, count, ZONES)
     rack = zone[: min(RACK, len(zone) - 1)]
     for what, dead in (("rack", rack), ("zone", zone)):
-        after = way.owners(dead)
+        after = method.owners(dead)
         change = after != before
         values[f"moved_{what}"] = float(change.sum())
         values[f"needless_{what}"] = float((change & ~np.isin(before, dead)).sum())
         values[f"load_most_{what}"] = float(np.bincount(after[after >= 0], minlength=count).max())
         if name == "bounded":
-            values[f"unplaced_{what}"] = way.unplaced
-    # each goes once and comes back once; on the day of the rates, at 7,400
-    changes = sum(RATES.values()) * count / 7400
+            values[f"unplaced_{what}"] = method.unplaced
+    # each gateway leaves once and returns once; the daily rates are those of 7,400 gateways
+    changes = sum(DAILY_RATES.values()) * count / 7400
     values["moved_day"] = 2 * changes * values["moved_one"]
     values["moved_a_second"] = values["moved_day"] / 86400
     if name != "bounded":
-        find, steps, _ = way.lookup()
-        some = [int(one) for one in words[: max(20, min(LOOKUPS, 200_000 // steps))]]
+        find, steps, _ = method.lookup()
+        some = [int(one) for one in words[: max(20, min(MAX_LOOKUPS, 200_000 // steps))]]
         at = time.process_time()
         for word in some:
             find(word)
@@ -310,21 +326,21 @@
 
 
 def main() -> None:
-    """0, or 2 with one line where sizes make no sense."""
+    """Run the command; exits with code 2 and one line where a size is out of range."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.shards")
-    parser.add_argument("what", choices=list(WAYS))
+    parser.add_argument("what", choices=list(METHODS))
     parser.add_argument("gateways", type=int)
     parser.add_argument("--shards", type=int, default=SHARDS)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--keep", type=Path)
-    wish = parser.parse_args()
+    options = parser.parse_args()
     try:
-        found = json.dumps(measure(wish.what, wish.gateways, wish.shards, wish.seed))
-    except Unfit as error:
+        found = json.dumps(measure(options.what, options.gateways, options.shards, options.seed))
+    except MeasurementError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
-    if wish.keep is not None:
-        wish.keep.write_text(found + "\n")
+    if options.keep is not None:
+        options.keep.write_text(found + "\n")
     print(found)
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,8 +1,8 @@
-"""What gateways' common decisions cost and how far from the best they are. Virtual clock and numbers only.
+"""Measures the cost of gateways' common decisions and their distance from the optimum, on a virtual clock.
 
-python -m benchmarks.sites optimum        # the water-filling against a linear program (scipy), 2,000 drawn sites
-python -m benchmarks.sites members 250    # time to detect, false deaths, messages and bytes a second, by size
-python -m benchmarks.sites lost 250       # from a zone's loss to a plan without it, epochs, everybody's time
+python -m benchmarks.sites optimum        # water-filling against a linear program (scipy), 2,000 random sites
+python -m benchmarks.sites members 250    # detection time, false deaths, messages and bytes a second, by size
+python -m benchmarks.sites lost 250       # time from a zone's loss to a plan without it, epochs, traffic, running time
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def optimum() -> None:
-    """Worth lost and distance paid, against a linear program that serves the most worth and then goes the shortest."""
+    """Lost worth and extra distance, against a linear program that maximizes worth and then minimizes distance."""
     import numpy as np
     from scipy.optimize import linprog
 
@@ -43,7 +43,7 @@
         begin = time.perf_counter()
         given = fill(terms, demand, rooms, free, [[1.0] * n for _ in range(n)])
         took.append(time.perf_counter() - begin)
-        # variables x[h][c][z]; worth first, distance second
+        # variables x[h][c][z]: demand of class c at home zone h served in zone z; worth first, distance second
         gain = np.array(
             [
                 terms.worths[c] / terms.loads[c] - 1e-5 * prices[h][z]
@@ -82,6 +82,7 @@
 
 
 def members(count: int) -> None:
+    """Membership alone: traffic, false deaths, and the time until one dead gateway and a dead zone are known."""
     world = World(1, count, 5, Manner(loss=0.01, delay=(1 * MS, 60 * MS)))
     world.net.sizes = lambda message: len(MESSAGES.frame(message))
     world.run(30)
@@ -110,6 +111,7 @@
 
 
 def lost(count: int) -> None:
+    """The loss of a zone with its hosts: time until it is agreed and known to all, epochs, and the traffic before."""
     each = count // 5
     closed, known, epochs, sizes = [], [], [], []
     begun = time.perf_counter()
@@ -141,6 +143,7 @@
 
 
 def main() -> None:
+    """Run the benchmark named on the command line."""
     what = sys.argv[1] if len(sys.argv) > 1 else "optimum"
     if what == "optimum":
         optimum()
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -1,5 +1,6 @@
-"""What durable state costs: commits, paid set-ups, recovery, the index of codes. All figures of one run, on a real
-folder.
+"""Measures the cost of durable state: commits, paid set-ups, recovery and the index of codes.
+
+All figures come from one run on a real folder.
 
     python -m benchmarks.state [commits|paid|recovery|index|all] [--folder DIR] [--most RECORDS]
 """
@@ -25,7 +26,7 @@
 import trio
 import typer
 
-from benchmarks.gateway import Host, lists, one_host_site, resident, tell
+from benchmarks.gateway import Host, one_host_site, print_figures, resident_bytes, serve_host_list
 from copperyard.control.scheduler import Scheduler
 from copperyard.gateway.background import Background
 from copperyard.gateway.daemon import Gateway, Station
@@ -41,37 +42,41 @@
 from copperyard.state.ledger import State
 from copperyard.state.recovery import Recovery, recover
 
-SESSIONS, EACH = 32, 40  # writers at once, facts that each writes one after another
+WRITERS, FACTS_PER_WRITER = 32, 40  # concurrent writers; facts that each writes one after another
 
 
-def cuts(took: list[float]) -> dict[str, float]:
+def percentiles(took: list[float]) -> dict[str, float]:
+    """Median and 99th percentile in ms, of times in seconds."""
     parts = statistics.quantiles(took, n=100)
     return {"p50_ms": round(parts[49] * 1e3, 2), "p99_ms": round(parts[98] * 1e3, 2)}
 
 
-def fact(n: int) -> Carried:
+def sample_fact(n: int) -> Carried:
+    """A fact about code number `n`, of a typical size."""
     return Carried(n, digest(str(n)), f"gw-1.5b3ce9b3/{n}", "streamer-07")
 
 
-async def crowd(name: str, one: Callable[[int], Awaitable[None]], **more: object) -> None:
-    """SESSIONS tasks, each making EACH facts durable one after another; what that came to."""
+async def run_writers(name: str, one: Callable[[int], Awaitable[None]], **more: object) -> None:
+    """Run WRITERS tasks that each make FACTS_PER_WRITER facts durable in turn, and print the figures."""
     took: list[float] = []
 
     async def session(k: int) -> None:
-        for n in range(EACH):
+        for n in range(FACTS_PER_WRITER):
             begun = time.perf_counter()
-            await one(k * EACH + n)
+            await one(k * FACTS_PER_WRITER + n)
             took.append(time.perf_counter() - begun)
 
     begun = time.perf_counter()
     async with trio.open_nursery() as nursery:
-        for k in range(SESSIONS):
+        for k in range(WRITERS):
             nursery.start_soon(session, k)
-    tell(name, facts=len(took), a_second=round(len(took) / (time.perf_counter() - begun)), **cuts(took), **more)
+    print_figures(
+        name, facts=len(took), a_second=round(len(took) / (time.perf_counter() - begun)), **percentiles(took), **more
+    )
 
 
 async def commits(folder: Path) -> None:
-    """Group commit, a sync for each fact, and SQLite in WAL mode both ways."""
+    """Compare group commit, one fsync per fact, and SQLite in WAL mode both ways."""
     async with trio.open_nursery() as nursery:
         disk = FolderDisk(folder / "book")
         disk.lock("a measurement")
@@ -87,14 +92,14 @@
 
         async def through_book(n: int) -> None:
             done = trio.Event()
-            waiting.append((book.write(now(), fact(n)), done))
+            waiting.append((book.write(now(), sample_fact(n)), done))
             store.look()
             await done.wait()
 
         for task in (background.run, store.run):
             nursery.start_soon(task)
-        await crowd("group commit", through_book)
-        tell("group commit", syncs=book.tally.commits, bytes_a_fact=round(book.tally.bytes / book.tally.facts))
+        await run_writers("group commit", through_book)
+        print_figures("group commit", syncs=book.tally.commits, bytes_a_fact=round(book.tally.bytes / book.tally.facts))
         nursery.cancel_scope.cancel()
     disk.close()
 
@@ -105,15 +110,16 @@
 
     async def each_synced(n: int) -> None:
         async with one_at_a_time:
-            await single.do(Append("a.seg", frames.record(n + 1, encode(fact(n)))))
+            await single.do(Append("a.seg", frames.record(n + 1, encode(sample_fact(n)))))
 
-    await crowd("one sync each", each_synced)
+    await run_writers("one sync each", each_synced)
     single.close()
     await sqlite(folder / "each.db", False)
     await sqlite(folder / "grouped.db", True)
 
 
 async def sqlite(path: Path, grouped: bool) -> None:
+    """Measure SQLite with a transaction for each fact, or for all facts that wait when the writer is free."""
     base = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
     base.execute("pragma journal_mode=wal")
     base.execute("pragma synchronous=full")
@@ -130,11 +136,11 @@
 
     async def each(n: int) -> None:
         async with lock:
-            await trio.to_thread.run_sync(write, [fact(n)])
+            await trio.to_thread.run_sync(write, [sample_fact(n)])
 
     async def group(n: int) -> None:
         done = trio.Event()
-        waiting.append((fact(n), done))
+        waiting.append((sample_fact(n), done))
         wake.set()
         await done.wait()
 
@@ -150,17 +156,18 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(writer)
-        await crowd("sqlite, grouped" if grouped else "sqlite, a transaction each", group if grouped else each)
+        await run_writers("sqlite, grouped" if grouped else "sqlite, a transaction each", group if grouped else each)
         nursery.cancel_scope.cancel()
     base.close()
 
 
 class SlowDisk(FolderDisk):
-    """A folder whose every tenth step takes 100 ms more."""
+    """A folder on which every tenth step takes 100 ms longer."""
 
     steps = 0
 
     async def do(self, step: Step) -> None:
+        """Do a step, every tenth after a delay."""
         self.steps += 1
         if self.steps % 10 == 0:
             await trio.sleep(0.1)
@@ -168,7 +175,7 @@
 
 
 class PaidHost(Host):
-    """Redeems whatever it is asked to."""
+    """A host that redeems every code."""
 
     async def _answer(self, stream, request, nursery):  # type: ignore[no-untyped-def]
         if request.method == "SETUP" and request.header("Redeem"):
@@ -188,8 +195,10 @@
 
 
 async def paid(folder: Path) -> None:
-    """Paid set-ups, one after another, through gateways without state, with it, and with a disk that pauses; in
-    turn, so that the machine's drift meets all alike."""
+    """Time paid set-ups in turn through gateways without durable state, with it, and with a disk that pauses.
+
+    The three take turns, so that drift of the machine's speed affects all alike.
+    """
     found: dict[str, list[float]] = {"off": [], "on": [], "pausing": []}
     for turn in range(3):
         for name, disk in (
@@ -197,16 +206,16 @@
             ("on", FolderDisk(folder / f"on{turn}")),
             ("pausing", SlowDisk(folder / f"slow{turn}")),
         ):
-            await _paid(disk, 150, found[name])
+            await _time_paid_setups(disk, 150, found[name])
     for name, took in found.items():
-        tell("paid set-ups", journal=name, count=len(took), **cuts(took))
+        print_figures("paid set-ups", journal=name, count=len(took), **percentiles(took))
 
 
-async def _paid(disk: FolderDisk | None, count: int, took: list[float]) -> None:
+async def _time_paid_setups(disk: FolderDisk | None, count: int, took: list[float]) -> None:
     site, host = one_host_site(), PaidHost()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(host.run)
-        place = list_place(f"http://{await nursery.start(lists, address)}/", 3600 * 10**9, 7200 * 10**9)
+        place = list_place(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
         station = replace(Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place), disk=disk)
         gateway = Gateway(station, TcpNetwork(), 1, random.Random(1), lambda event, fields: None)
         where = await nursery.start(gateway.run)
@@ -230,41 +239,41 @@
 
 
 async def recovery(folder: Path, most: int) -> None:
-    """Time and memory from files to state: as many records as given, a tenth of them codes that are kept."""
+    """Time and memory of recovery from files, for up to `most` records, a tenth of which are codes that are kept."""
     size = 10_000
     while size <= most:
         path = folder / f"recovery{size}"
         path.mkdir()
-        _fill(path, size)
+        _write_journal(path, size)
         for name in ("journal", "snapshot"):
             disk = FolderDisk(path)
             gc.collect()
-            before, begun = resident(), time.perf_counter()
+            before, begun = resident_bytes(), time.perf_counter()
             found = recover(disk.names(), disk.read)
             taken = time.perf_counter() - begun
-            tell(
+            print_figures(
                 "recovery",
                 records=size,
                 of=name,
                 seconds=round(taken, 3),
                 codes=len(found.state.codes),
                 us_a_record=round(taken / size * 1e6, 2),
-                mb=round((resident() - before) / 2**20),
+                mb=round((resident_bytes() - before) / 2**20),
                 bytes=sum(p.stat().st_size for p in path.iterdir()),
             )
             if name == "journal":
-                await _snapshot(found, disk)
+                await _write_snapshot(found, disk)
             disk.close()
             del found
         shutil.rmtree(path)
         size *= 10
 
 
-def _fill(path: Path, size: int) -> None:
+def _write_journal(path: Path, size: int) -> None:
     number, sequence, data = 1, 1, bytearray(frames.segment_head(1, 1))
     for n in range(size):
         code = n // 2 % max(1, size // 10)
-        one = fact(code) if n % 2 == 0 else Redeemed(n, digest(str(code)), f"receipt-{code}")
+        one = sample_fact(code) if n % 2 == 0 else Redeemed(n, digest(str(code)), f"receipt-{code}")
         data += frames.record(sequence, encode(one))
         sequence += 1
         if len(data) > 8 << 20 or n == size - 1:
@@ -273,7 +282,7 @@
             data = bytearray(frames.segment_head(number, sequence))
 
 
-async def _snapshot(found: Recovery, disk: FolderDisk) -> None:
+async def _write_snapshot(found: Recovery, disk: FolderDisk) -> None:
     book = Book(found, "gw", "g", 0, 0, begins=False)
     book.compact()
     while (step := book.commit(0) or book.chore(0)) is not None:
@@ -283,11 +292,11 @@
 
 
 async def index(folder: Path) -> None:
-    """The order of codes by age: a dict whose entries move to its end, against a plain dict with a heap beside it."""
+    """Compare two ways to order codes by age: a dict whose entries move to its end, and a dict with a heap."""
     count, rng = 300_000, random.Random(1)
     keys = [digest(str(n)) for n in range(count)]
     touched = [keys[rng.randrange(count)] for _ in range(count)]
-    for _ in range(2):  # the first round warms up
+    for _ in range(2):  # the first round is a warm-up
         state = State()
         begun = time.perf_counter()
         for n, key in enumerate([*keys, *touched]):
@@ -311,7 +320,7 @@
             if key in plain and plain[key][0] == at:
                 del plain[key]
         heaped = (filled, time.perf_counter() - begun)
-    tell(
+    print_figures(
         "index",
         codes=count,
         moved_fill_s=round(moved[0], 3),
@@ -322,14 +331,14 @@
 
 
 def main(what: Annotated[str, typer.Argument()] = "all", folder: Path | None = None, most: int = 1_000_000) -> None:
-    """Measure; `most` is the largest journal for recovery."""
+    """Run benchmarks; `most` is the largest number of journal records for recovery."""
     benches: dict[str, Callable[[Path], Awaitable[None]]] = {
         "commits": commits,
         "paid": paid,
         "recovery": lambda path: recovery(path, most),
         "index": index,
     }
-    tell("machine", cores=os.cpu_count(), python=platform.python_version(), sqlite=sqlite3.sqlite_version)
+    print_figures("machine", cores=os.cpu_count(), python=platform.python_version(), sqlite=sqlite3.sqlite_version)
     for name in benches if what == "all" else (what,):
         with tempfile.TemporaryDirectory(dir=folder) as place:
             trio.run(benches[name], Path(place))
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -1,14 +1,14 @@
-"""What viewers cost a gateway, on loopback sockets: the gateway in a process of its own, all else in this one.
+"""Measures what viewers cost a gateway over loopback; the gateway has a process of its own, this one has the rest.
 
-    python -m benchmarks.viewers idle N        # memory of N connections that ask for nothing
+    python -m benchmarks.viewers idle N        # memory of N connections that send no request
     python -m benchmarks.viewers playing N     # memory of N sessions, each with a frame every four seconds
     python -m benchmarks.viewers delivery B    # processor time of a media frame of B bytes written to a viewer
     python -m benchmarks.viewers setups N      # processor time of N set-ups, 32 at a time
-    python -m benchmarks.viewers fan N         # one small frame written to N sockets by one process, one after another
+    python -m benchmarks.viewers fan N         # processor time of writing one small frame to N sockets in turn
 
-`--seed S` (1), `--keep FILE` (the result also goes there). The last line is a result for `benchmarks.capacity add`.
-Everything is bounded and ends by itself; the gateway's process ends when this one does. What the kernel holds for a
-socket is in nobody's resident memory and is not counted.
+`--seed S` (1), `--keep FILE` (also write the result there). The last line is a result for `benchmarks.capacity add`.
+Every run is bounded and ends by itself; the gateway's process ends when this one does. The kernel's memory for sockets
+is in no process's resident memory and is not counted.
 """
 
 from __future__ import annotations
@@ -40,25 +40,25 @@
 from copperyard.protocol.rtp import Packet, pack
 from copperyard.protocol.rtsp import Connection
 
-from .gateway import CHUNK, Host, lists, one_host_site, send
+from .gateway import READ_BYTES, Host, one_host_site, send, serve_host_list
 
-QUIET = 4.0  # s between frames of a session whose memory is measured
-RATE = 800  # deliveries a second while their time is measured
-SESSIONS = 400  # over so many sessions
-CALM, BUSY = 4.0, 8.0  # s measured without frames, with them
-SETTLE = 2.0  # s from the last connection to the measure
-SPARE = 200  # descriptors for everything but connections
-MOST = 20_000  # connections at most, whatever the descriptors say
-ROUNDS = 20
-TRIES = 50
+FRAME_INTERVAL_S = 4.0  # between frames of a session while memory is measured
+DELIVERIES_PER_S = 800  # deliveries a second while their processor time is measured
+DELIVERY_SESSIONS = 400  # sessions that these deliveries are spread over
+IDLE_PERIOD_S, DELIVERY_PERIOD_S = 4.0, 8.0  # s measured without and with frames
+SETTLE_S = 2.0  # from the last connection to the start of the measurement
+RESERVED_DESCRIPTORS = 200  # file descriptors kept for everything but connections
+MAX_CONNECTIONS = 20_000  # whatever the limit on descriptors would allow
+FAN_ROUNDS = 20
+MAX_ATTEMPTS = 50
 
 
-class Unfit(Exception):
-    """The wish does not fit: one line that names place and value."""
+class MeasurementError(Exception):
+    """The measurement is impossible or failed; the message is one line that names the place and the value."""
 
 
 def machine() -> str:
-    """Processor, cores, memory and interpreter of this machine, without its name."""
+    """Processor, cores, memory and interpreter of this machine, without its host name."""
     model = platform.machine()
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
@@ -69,7 +69,7 @@
 
 
 def commit() -> str:
-    """The commit that runs, with a plus where files differ from it; empty outside of a work tree."""
+    """The checked-out commit, with a plus if measured files differ from it; empty outside of a work tree."""
 
     def git(*words: str) -> str:
         done = subprocess.run(["git", *words], capture_output=True, text=True, cwd=Path(__file__).parent, check=False)
@@ -98,7 +98,10 @@
     note: str = "",
     command: str = "",
 ) -> dict[str, Any]:
-    """One run as `benchmarks.capacity add` takes it. Load averages tell what else the machine was doing."""
+    """One run in the form that `benchmarks.capacity add` takes.
+
+    Its note has the load averages, which show how busy the shared machine was.
+    """
     load = " ".join(f"{one:.1f}" for one in os.getloadavg()[:2])
     busy = f"a shared machine, busy with other work: load average {load} over 1 and 5 minutes at the end"
     return {
@@ -116,78 +119,81 @@
     }
 
 
-def resident(pid: int) -> float:
+def resident_kb(pid: int) -> float:
     """Resident memory of a process, in kB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1024
 
 
-def spent(pid: int) -> float:
-    """Processor time of all threads of a process, in seconds, to the nanosecond that the scheduler keeps."""
+def cpu_seconds(pid: int) -> float:
+    """Processor time of all threads of a process in seconds, from the scheduler's nanosecond counters."""
     total = 0
     for one in Path(f"/proc/{pid}/task").iterdir():
         try:
             total += int((one / "schedstat").read_text().split()[0])
         except FileNotFoundError:
-            pass  # a thread that has just ended
+            pass  # the thread has just ended
     return total / 1e9
 
 
-def fits(count: int, each: int) -> None:
-    """Unfit where `count` connections with `each` descriptors in one process do not fit."""
+def check_descriptors(count: int, each: int) -> None:
+    """Raise MeasurementError unless one process can open `count` connections with `each` descriptors."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    most = min(MOST, (limit - SPARE) // each)
+    most = min(MAX_CONNECTIONS, (limit - RESERVED_DESCRIPTORS) // each)
     if not 1 <= count <= most:
-        raise Unfit(f"N: {count}: this machine's {limit} descriptors take 1 to {most} here")
+        raise MeasurementError(f"N: {count}: this machine's {limit} descriptors take 1 to {most} here")
 
 
-class Pacer(Host):
-    """A host that sends each playing session a frame of `size` bytes every `every` s, while `on`."""
+class PacedHost(Host):
+    """A host that, while `on`, sends each playing session a frame of `size` bytes every `interval_s` seconds."""
 
-    def __init__(self, size: int, every: float, rng: random.Random) -> None:
+    def __init__(self, size: int, interval_s: float, rng: random.Random) -> None:
         super().__init__()
-        self.size, self.pause, self.rng, self.on = size, every, rng, True
-        self.sent, self.every = 0, every
+        self.size, self.frame_interval_s, self.rng, self.on = size, interval_s, rng, True
+        self.sent, self.interval_s = 0, interval_s
 
     async def _media(self, stream: Stream) -> None:
         number = 0
-        await trio.sleep(self.rng.random() * self.pause)
+        await trio.sleep(self.rng.random() * self.frame_interval_s)
         while True:
             if self.on:
                 number += 1
                 packet = Packet(26, number % 65536, number * 3600 % 2**32, 9)
                 await send(stream, Connection.frame(0, pack(packet, b"x" * (self.size - 12))))
                 self.sent += 1
-            await trio.sleep(self.pause)
+            await trio.sleep(self.frame_interval_s)
 
 
 @asynccontextmanager
-async def gateway(host: Host, seed: int) -> AsyncIterator[tuple[str, int]]:
-    """A gateway in a process of its own, with `host` and its list here: its address and process id."""
+async def gateway_process(host: Host, seed: int) -> AsyncIterator[tuple[str, int]]:
+    """Run a gateway in a child process with `host` and its list service here; yields its address and process id."""
     async with trio.open_nursery() as nursery:
         address = await nursery.start(host.run)
-        where = await nursery.start(lists, address)
-        async with child("_gateway", where, str(seed)) as (at, pid):
+        where = await nursery.start(serve_host_list, address)
+        async with child_process("_gateway", where, str(seed)) as (at, pid):
             yield at, pid
         nursery.cancel_scope.cancel()
 
 
 @asynccontextmanager
-async def child(*words: str) -> AsyncIterator[tuple[str, int]]:
-    """A part of this program in a process of its own, which ends when its input does: its first line, its id."""
+async def child_process(*words: str) -> AsyncIterator[tuple[str, int]]:
+    """Run a part of this program in a child process that ends when its input closes.
+
+    Yields the first line that it prints and its process id.
+    """
     command = [sys.executable, "-m", "benchmarks.viewers", *words]
-    process = subprocess.Popen(  # noqa: ASYNC220 - once a run, before anything is measured
+    process = subprocess.Popen(  # noqa: ASYNC220 - once per run, before anything is measured
         command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
     assert process.stdin is not None and process.stdout is not None
     try:
         line = await trio.to_thread.run_sync(process.stdout.readline)
         if not line:
-            raise Unfit(f"{words[0]}: its process ended before it served")
+            raise MeasurementError(f"{words[0]}: the process ended before it was ready")
         yield line.strip(), process.pid
     finally:
         process.stdin.close()
         with trio.CancelScope(shield=True), trio.move_on_after(5):
-            while process.poll() is None:  # noqa: ASYNC110 - a few looks at the end of a run
+            while process.poll() is None:  # noqa: ASYNC110 - polls a few times at the end of a run
                 await trio.sleep(0.02)
         if process.poll() is None:
             process.kill()
@@ -195,10 +201,10 @@
         process.stdout.close()
 
 
-async def serve(where: str, seed: int) -> None:
-    """The gateway's process: serves until its input ends."""
+async def serve_gateway(where: str, seed: int) -> None:
+    """Main function of the gateway's process: serves until its input closes."""
     site = one_host_site()
-    settings = site.rules.settings  # room for every session on the one host: the list's weight alone ends at 7,018
+    settings = site.rules.settings  # the list's weight alone limits the one host to 7,018 sessions
     site = replace(site, rules=replace(site.rules, settings=replace(settings, weight_kb=100 * settings.weight_kb)))
     place = list_place(f"http://{where}/", 3600 * 10**9, 7200 * 10**9)
     station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
@@ -212,16 +218,16 @@
         nursery.cancel_scope.cancel()
 
 
-class Crowd:
-    """Viewers whose films play. One that is refused, as on a machine too busy to connect in time, comes again."""
+class ViewerPool:
+    """Opens viewers whose titles play; one that is refused, as on a machine too busy to connect in time, retries."""
 
     def __init__(self, where: str) -> None:
         self.where, self.refused = where, 0
 
     async def open(self, number: int) -> Stream:
-        """One more; Unfit where it is refused `TRIES` times."""
+        """Open one viewer; raises MeasurementError after `MAX_ATTEMPTS` refusals."""
         url, status = f"rtsp://{self.where}/classes/{number % 8 + 1}", 0
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             stream = await TcpNetwork().connect(self.where)
             client = Client(stream, Side("x"))
             try:
@@ -237,11 +243,11 @@
             stream.close()
             self.refused += 1
             await trio.sleep(0.2)
-        raise Unfit(f"viewer {number}: {status}: refused {TRIES} times")
+        raise MeasurementError(f"viewer {number}: {status}: refused {MAX_ATTEMPTS} times")
 
 
-async def many(count: int, open_one: Callable[[int], Awaitable[Stream]]) -> list[Stream]:
-    """`count` connections, 32 being opened at a time."""
+async def open_many(count: int, open_one: Callable[[int], Awaitable[Stream]]) -> list[Stream]:
+    """Open `count` connections, 32 at a time."""
     streams: list[Stream] = []
     limit = trio.CapacityLimiter(32)
 
@@ -256,33 +262,33 @@
 
 
 async def memory(what: str, count: int, seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """Resident memory that `count` connections add, in the gateway's process and in that of all other ends."""
-    host = Pacer(200, QUIET, random.Random(seed))
-    async with gateway(host, seed) as (where, pid):
-        crowd = Crowd(where)
-        warm = [await crowd.open(n) for n in range(20)]
-        await trio.sleep(SETTLE)
-        before = resident(pid), resident(os.getpid())
-        got = [0]
+    """Resident memory that `count` connections add to the gateway's process and to this one, with the other ends."""
+    host = PacedHost(200, FRAME_INTERVAL_S, random.Random(seed))
+    async with gateway_process(host, seed) as (where, pid):
+        pool = ViewerPool(where)
+        warm = [await pool.open(n) for n in range(20)]
+        await trio.sleep(SETTLE_S)
+        before = resident_kb(pid), resident_kb(os.getpid())
+        received = [0]
 
         async def drain(stream: Stream) -> None:
             while data := await stream.receive_some(4096):
-                got[0] += len(data)
+                received[0] += len(data)
 
         async def open_one(number: int) -> Stream:
-            return await (TcpNetwork().connect(where) if what == "idle" else crowd.open(number))
+            return await (TcpNetwork().connect(where) if what == "idle" else pool.open(number))
 
-        streams = await many(count, open_one)
+        streams = await open_many(count, open_one)
         async with trio.open_nursery() as nursery:
             for stream in streams:
                 nursery.start_soon(drain, stream)
-            await trio.sleep(SETTLE + (QUIET if what == "playing" else 0))
-            begin, at = spent(pid), time.monotonic()
+            await trio.sleep(SETTLE_S + (FRAME_INTERVAL_S if what == "playing" else 0))
+            begin, at = cpu_seconds(pid), time.monotonic()
             reads = []
             for _ in range(5):
-                reads.append((resident(pid) - before[0], resident(os.getpid()) - before[1]))
-                await trio.sleep(QUIET / 5)
-            calm = (spent(pid) - begin) / (time.monotonic() - at) * 1e3
+                reads.append((resident_kb(pid) - before[0], resident_kb(os.getpid()) - before[1]))
+                await trio.sleep(FRAME_INTERVAL_S / 5)
+            calm = (cpu_seconds(pid) - begin) / (time.monotonic() - at) * 1e3
             nursery.cancel_scope.cancel()
         for stream in [*streams, *warm]:
             stream.close()
@@ -293,38 +299,38 @@
             "gateway_kb_each": ours / count,
             "outside_kb_each": theirs / count,
             "cpu_ms_per_s": calm,
-            "refused": crowd.refused,
+            "refused": pool.refused,
         }
         return values, {"gateway_kb": [one[0] for one in reads], "outside_kb": [one[1] for one in reads]}
 
 
 async def delivery(size: int, seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """Processor time of a frame from the host's socket to the viewer's, less what the same sessions cost in calm."""
-    host = Pacer(size, SESSIONS / RATE, random.Random(seed))
+    """Processor time to forward a frame from the host's socket to the viewer's, less the cost of the idle sessions."""
+    host = PacedHost(size, DELIVERY_SESSIONS / DELIVERIES_PER_S, random.Random(seed))
     host.on = False
-    async with gateway(host, seed) as (where, pid):
-        streams = await many(SESSIONS, Crowd(where).open)
-        got = [0]
+    async with gateway_process(host, seed) as (where, pid):
+        streams = await open_many(DELIVERY_SESSIONS, ViewerPool(where).open)
+        received = [0]
 
         async def drain(stream: Stream) -> None:
-            while data := await stream.receive_some(CHUNK):
-                got[0] += len(data)
+            while data := await stream.receive_some(READ_BYTES):
+                received[0] += len(data)
 
         async with trio.open_nursery() as nursery:
             for stream in streams:
                 nursery.start_soon(drain, stream)
-            await trio.sleep(SETTLE)
-            begin, at = spent(pid), time.monotonic()
-            await trio.sleep(CALM)
-            calm = (spent(pid) - begin) / (time.monotonic() - at)
+            await trio.sleep(SETTLE_S)
+            begin, at = cpu_seconds(pid), time.monotonic()
+            await trio.sleep(IDLE_PERIOD_S)
+            calm = (cpu_seconds(pid) - begin) / (time.monotonic() - at)
             host.on = True
             await trio.sleep(1)
             costs, rates = [], []
             for _ in range(4):
-                begin, at, had = spent(pid), time.monotonic(), got[0]
-                await trio.sleep(BUSY / 4)
-                took, frames = time.monotonic() - at, (got[0] - had) / (size + 4)
-                costs.append((spent(pid) - begin - calm * took) / frames * 1e6)
+                begin, at, had = cpu_seconds(pid), time.monotonic(), received[0]
+                await trio.sleep(DELIVERY_PERIOD_S / 4)
+                took, frames = time.monotonic() - at, (received[0] - had) / (size + 4)
+                costs.append((cpu_seconds(pid) - begin - calm * took) / frames * 1e6)
                 rates.append(frames / took)
             nursery.cancel_scope.cancel()
         for stream in streams:
@@ -334,45 +340,45 @@
 
 
 async def setups(count: int, seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """Processor time of a set-up (connection, SETUP, PLAY, hang-up) in the gateway's process."""
-    async with gateway(Host(), seed) as (where, pid):
-        crowd = Crowd(where)
+    """Processor time of a set-up (connect, SETUP, PLAY, close) in the gateway's process."""
+    async with gateway_process(Host(), seed) as (where, pid):
+        pool = ViewerPool(where)
 
         async def open_one(number: int) -> Stream:
-            stream = await crowd.open(number)
+            stream = await pool.open(number)
             stream.close()
             return stream
 
-        await many(50, open_one)
-        begin, at = spent(pid), time.monotonic()
-        await many(count, open_one)
+        await open_many(50, open_one)
+        begin, at = cpu_seconds(pid), time.monotonic()
+        await open_many(count, open_one)
         await trio.sleep(0.2)
-        used, took = spent(pid) - begin, time.monotonic() - at
+        used, took = cpu_seconds(pid) - begin, time.monotonic() - at
     each = used / count * 1e3
-    values = {"ms_each": each, "a_core_second": 1e3 / each, "a_second": count / took, "refused": crowd.refused}
+    values = {"ms_each": each, "a_core_second": 1e3 / each, "a_second": count / took, "refused": pool.refused}
     return values, {"cpu_s": [used], "wall_s": [took]}
 
 
 async def fan(count: int, seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """One frame of 200 bytes to `count` sockets, one after another, by the product's stream: what a copy costs."""
-    async with child("_fan", str(count)) as (where, pid):
+    """Processor time of writing a frame of 200 bytes to each of `count` sockets through the product's stream."""
+    async with child_process("_fan", str(count)) as (where, pid):
         network = TcpNetwork()
-        streams = await many(count, lambda number: network.connect(where))
-        got = [0]
+        streams = await open_many(count, lambda number: network.connect(where))
+        received = [0]
 
         async def drain(stream: Stream) -> None:
-            while data := await stream.receive_some(CHUNK):
-                got[0] += len(data)
+            while data := await stream.receive_some(READ_BYTES):
+                received[0] += len(data)
 
-        wanted = ROUNDS * count * 204
+        wanted = FAN_ROUNDS * count * 204
         async with trio.open_nursery() as nursery:
             for stream in streams:
                 nursery.start_soon(drain, stream)
-            while got[0] < wanted:  # noqa: ASYNC110
+            while received[0] < wanted:  # noqa: ASYNC110
                 await trio.sleep(0.05)
-            told = await network.connect(where)  # one more connection asks for the figures
+            told = await network.connect(where)  # the writer sends its figures to one more connection
             text = b""
-            while data := await told.receive_some(CHUNK):
+            while data := await told.receive_some(READ_BYTES):
                 text += data
             nursery.cancel_scope.cancel()
         for stream in streams:
@@ -383,18 +389,21 @@
 
 
 async def write_to_all(count: int) -> None:
-    """The process of `fan` that writes: `ROUNDS` rounds once `count` are connected, then its figures to one more."""
+    """Main function of the writing process of `fan`.
+
+    Writes `FAN_ROUNDS` rounds once `count` peers are connected, then sends its figures to one more connection.
+    """
     listener = await TcpNetwork(4096).listen("127.0.0.1:0")
     print(listener.address, flush=True)
     streams = [await listener.accept() for _ in range(count)]
     frame = Connection.frame(0, pack(Packet(26, 1, 3600, 9), b"x" * 188))
     cpu, wall = [], []
-    for _ in range(ROUNDS):
+    for _ in range(FAN_ROUNDS):
         await trio.sleep(0.2)
         begin, at = time.process_time(), time.perf_counter()
         for stream in streams:
             if stream.send_now(frame) != len(frame):
-                raise Unfit(f"N: {count}: a viewer's socket took no whole frame")
+                raise MeasurementError(f"N: {count}: a viewer's socket did not take a whole frame")
         cpu.append(time.process_time() - begin)
         wall.append(time.perf_counter() - at)
     told = await listener.accept()
@@ -403,21 +412,21 @@
     await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
 
 
-def unfit(error: BaseException) -> Unfit | None:
-    """What did not fit, where that is what ended a run; trio hands it on in groups."""
+def measurement_error_in(error: BaseException) -> MeasurementError | None:
+    """The MeasurementError that ended a run, unwrapped from trio's exception groups; None if another error did."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
-    return error if isinstance(error, Unfit) else None
+    return error if isinstance(error, MeasurementError) else None
 
 
 def measure(what: str, size: int, seed: int) -> dict[str, Any]:
-    """One run. Unfit where it does not fit this machine."""
+    """One run; raises MeasurementError if the size does not fit this machine."""
     if what == "delivery":
         if not 13 <= size <= 65535:
-            raise Unfit(f"B: {size}: a frame has 13 to 65,535 bytes")
+            raise MeasurementError(f"B: {size}: a frame has 13 to 65,535 bytes")
         values, raw = trio.run(delivery, size, seed)
     else:
-        fits(size, 2)
+        check_descriptors(size, 2)
         if what in ("idle", "playing"):
             values, raw = trio.run(memory, what, size, seed)
         else:
@@ -440,10 +449,10 @@
 
 
 def main() -> None:
-    """0, or 2 with one line where the wish does not fit."""
+    """Run the command; exits with code 2 and one line if the measurement is impossible."""
     words = sys.argv[1:]
     if words[:1] == ["_gateway"]:
-        trio.run(serve, words[1], int(words[2]))
+        trio.run(serve_gateway, words[1], int(words[2]))
         return
     if words[:1] == ["_fan"]:
         trio.run(write_to_all, int(words[1]))
@@ -453,16 +462,16 @@
     parser.add_argument("size", type=int)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--keep", type=Path)
-    wish = parser.parse_args(words)
+    options = parser.parse_args(words)
     try:
-        found = json.dumps(measure(wish.what, wish.size, wish.seed))
-    except (Unfit, BaseExceptionGroup) as error:
-        if (why := unfit(error)) is None:
+        found = json.dumps(measure(options.what, options.size, options.seed))
+    except (MeasurementError, BaseExceptionGroup) as error:
+        if (why := measurement_error_in(error)) is None:
             raise
         print(why, file=sys.stderr)
         sys.exit(2)
-    if wish.keep is not None:
-        wish.keep.write_text(found + "\n")
+    if options.keep is not None:
+        options.keep.write_text(found + "\n")
     print(found)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its data, its fits, its figures and the runs they name."""
+"""Tests of the capacity page (data file, fits, figures and the runs they name) and of the benchmarks behind it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 import trio
 
 from benchmarks import capacity, shards, viewers
-from benchmarks.capacity import CLOSE, MIDDLE, OPEN, Bad, Book, Value, as_run, fit, main
+from benchmarks.capacity import CLOSE, MIDDLE, OPEN, InputError, PageData, Value, fit_best_form, main, run_from_result
 from copperyard.gateway.net import TcpNetwork
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -42,8 +42,8 @@
     return result(size=size, seed=seed, values={"cost": value}, **changes)
 
 
-class Place:
-    """A data file, a template and a page of a test's own."""
+class Workspace:
+    """Temporary data file, template and page of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -67,36 +67,36 @@
 
     @property
     def records(self) -> list[dict[str, Any]]:
-        return capacity.read(self.data)
+        return capacity.read_records(self.data)
 
 
 @pytest.fixture
-def place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Place:
+def place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Workspace:
     monkeypatch.setattr(capacity, "commit_here", lambda: "0123abc")
     monkeypatch.setattr(viewers, "commit", lambda: "0123abc")
-    return Place(tmp_path)
+    return Workspace(tmp_path)
 
 
 @pytest.fixture
-def sizes(place: Place) -> Place:
-    """A site of three sizes and two seeds, of a cost of 2 + 0.1 n."""
+def sizes(place: Workspace) -> Workspace:
+    """Runs of three sizes and two seeds, with a cost of 2 + 0.1 n."""
     runs = [line_of(n, (2 + 0.1 * n) * (1 + 0.001 * seed), seed) for n in (100, 1000, 2500) for seed in (1, 2)]
     assert place.add(*runs) == 0
     return place
 
 
-def test_the_committed_page_is_what_the_committed_data_gives(capsys):
+def test_committed_page_matches_committed_data(capsys):
     assert main(["--check"]) == 0, capsys.readouterr().out
 
 
-def test_the_committed_page_has_ten_screens_at_most():
+def test_committed_page_has_at_most_450_lines():
     assert len(capacity.PAGE.read_text().splitlines()) <= 450
 
 
 # ---- the page and its figures
 
 
-def test_a_page_that_differs_is_named_by_its_line(sizes, capsys):
+def test_check_names_the_line_where_the_page_differs(sizes, capsys):
     assert sizes.write('cost\n{{ m("some.kind", "cost", 100) }}\n') == 0
     assert sizes.run("--check") == 0
     assert "`some.kind@100`" in sizes.page.read_text()
@@ -106,20 +106,20 @@
 
 
 @pytest.mark.parametrize("more", ["one more line\n", ""])
-def test_a_page_with_more_or_less_at_its_end_differs(sizes, capsys, more):
+def test_check_finds_added_or_missing_last_lines(sizes, capsys, more):
     assert sizes.write("a\nb\n") == 0
     sizes.page.write_text("a\nb\n" + more if more else "a\n")
     assert sizes.run("--check") == 1
     assert f"PAGE.md line {3 if more else 2}: " in capsys.readouterr().out
 
 
-def test_a_page_without_its_last_end_of_line_differs(sizes):
+def test_check_finds_a_missing_final_newline(sizes):
     assert sizes.write("a\nb\n") == 0
     sizes.page.write_text("a\nb")
     assert sizes.run("--check") == 1
 
 
-def test_a_figure_that_was_typed_is_found(sizes, capsys):
+def test_check_finds_a_typed_figure(sizes, capsys):
     assert sizes.write('words\nit costs 41 kB, {{ m("some.kind", "cost", 100) }}\n') == 1
     assert "PAGE.md line 2: 41: names no run" in capsys.readouterr().out
     assert sizes.run("--check") == 1
@@ -129,22 +129,22 @@
 @pytest.mark.parametrize(
     "text", ["in `a 41 b` quotes\n", "[words](a41.md)\n", "```\n41\n```\n", "{{ plan.gateways }}\n"]
 )
-def test_names_links_code_and_the_operators_figures_need_no_run(sizes, text):
+def test_names_links_code_and_operators_figures_need_no_run(sizes, text):
     assert sizes.write(text) == 0
 
 
-def test_a_figure_whose_runs_are_not_named_on_its_line_is_found(sizes, capsys):
+def test_figure_without_its_runs_on_the_line_is_found(sizes, capsys):
     assert sizes.write('{{ m("some.kind", "cost", 100).bare }}\n') == 1
     assert "its run some.kind@100 is not named on the line" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("source, said", [("", "names no run"), ("gone@100", "its run gone@100 is not in the data")])
-def test_a_figure_of_a_run_that_is_not_there_is_found(sizes, source, said):
-    faults = capacity.unnamed(f"`gone@100` {OPEN}{source}{MIDDLE}12{CLOSE}\n", sizes.records)
+def test_figure_of_a_missing_run_is_found(sizes, source, said):
+    faults = capacity.figures_without_runs(f"`gone@100` {OPEN}{source}{MIDDLE}12{CLOSE}\n", sizes.records)
     assert [said in fault for fault in faults] == [True]
 
 
-def test_what_was_not_measured_says_so_and_fills_in(sizes):
+def test_missing_values_print_not_measured_until_a_run_is_added(sizes):
     text = (
         '{{ m("some.kind", "cost", 7400) }} {{ calc("v*gateways", v=m("some.kind", "cost", 7400)) }} '
         '{{ factor(m("some.kind", "cost", 7400), plan.cpu_ms) }}\n'
@@ -157,40 +157,40 @@
     assert sizes.page.read_text() == "24 `some.kind@7400` 177,600 `some.kind@7400` 2× **over**\n"
 
 
-def test_a_formula_of_names_that_nobody_knows_is_refused(sizes, capsys):
+def test_formula_with_an_unknown_name_is_refused(sizes, capsys):
     assert sizes.write('{{ calc("gateways*secret") }}\n') == 2
     assert "'secret' is none of its names" in capsys.readouterr().err
 
 
-def test_a_template_that_does_not_read_is_one_line(sizes, capsys):
+def test_broken_template_gives_a_one_line_error(sizes, capsys):
     assert sizes.write("{{ unknown }}\n") == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_spread_of_a_figure_goes_through_a_formula(sizes):
-    found = Book(sizes.records).calc("gateways*v", v=Book(sizes.records).m("some.kind", "cost", 100))
+def test_formula_carries_the_range_of_its_values(sizes):
+    found = PageData(sizes.records).calc("gateways*v", v=PageData(sizes.records).measured("some.kind", "cost", 100))
     assert (found.low, found.high) == pytest.approx((7400 * 12.012, 7400 * 12.024))
 
 
-def test_trials_are_not_mixed_with_runs(place):
+def test_trial_runs_are_used_only_without_other_runs(place):
     assert place.add(line_of(100, 50.0, trial=True, commit="")) == 0
-    assert Book(place.records).m("some.kind", "cost", 100).how == "trial"
+    assert PageData(place.records).measured("some.kind", "cost", 100).qualifier == "trial"
     assert place.add(line_of(100, 10.0)) == 0
-    found = Book(place.records).m("some.kind", "cost", 100)
-    assert (found.value, found.low, found.how) == (10.0, 10.0, "")
+    found = PageData(place.records).measured("some.kind", "cost", 100)
+    assert (found.value, found.low, found.qualifier) == (10.0, 10.0, "")
 
 
-def test_the_ranking_puts_the_largest_miss_first():
+def test_ranking_puts_the_largest_excess_first():
     rows = [("a", Value(1.0), Value(10.0)), ("b", Value(None), Value(1.0)), ("c", Value(30.0), Value(10.0))]
-    assert [name for name, _, _ in Book([]).ranking(rows)] == ["c", "a", "b"]
+    assert [name for name, _, _ in PageData([]).ranking(rows)] == ["c", "a", "b"]
 
 
-def test_the_first_wall_is_where_the_fit_reaches_the_budget(sizes):
-    book = Book(sizes.records)
-    wall = book.wall("some.kind", "cost", 52.0)
+def test_size_at_budget_is_where_the_fit_reaches_it(sizes):
+    book = PageData(sizes.records)
+    wall = book.size_at_budget("some.kind", "cost", 52.0)
     assert isinstance(wall, Value) and wall.value == pytest.approx(500, rel=0.01)
-    assert book.wall("some.kind", "cost", 1.0) == "over at any size `some.kind`"
-    assert book.wall("some.kind", "other", 1.0) == "not measured"
+    assert book.size_at_budget("some.kind", "cost", 1.0) == "over at any size `some.kind`"
+    assert book.size_at_budget("some.kind", "other", 1.0) == "not measured"
 
 
 # ---- the data file
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize(
-    "harm, said",
+    "damage, said",
     [
         (lambda text: text.replace('"version": 1', '"version": 2'), "line 1: version: 2: this reads 1"),
         (lambda text: text.replace(capacity.FORMAT, "other"), 'line 1: format: "other"'),
@@ -232,32 +232,32 @@
     ],
 )
 @pytest.mark.parametrize("words", [(), ("--check",), ("predict", "--what", "some.kind", "--size", "7"), ("add",)])
-def test_harmed_data_is_named_and_left(place, capsys, harm, said, words):
+def test_damaged_data_is_reported_and_not_changed(place, capsys, damage, said, words):
     assert place.add(line_of(100, 10.0), line_of(200, 20.0)) == 0
     place.template.write_text("")
-    harmed = harm(place.data.read_text())
-    place.data.write_text(harmed)
+    damaged = damage(place.data.read_text())
+    place.data.write_text(damaged)
     capsys.readouterr()
     assert (place.add(line_of(300, 30.0)) if words == ("add",) else place.run(*words)) == 2
     error = capsys.readouterr().err
     assert len(error.splitlines()) == 1 and "runs.jsonl" in error and said in error
-    assert place.data.read_text() == harmed
+    assert place.data.read_text() == damaged
 
 
-def test_a_line_with_a_true_id_and_no_sense_is_named(place, capsys):
-    bad = {**capacity.as_run("x", result(), {}), "size": 0}
+def test_invalid_record_with_a_correct_id_is_reported(place, capsys):
+    bad = {**capacity.run_from_result("x", result(), {}), "size": 0}
     bad["id"] = capacity.digest(bad)
-    capacity.write(place.data, [bad])
+    capacity.write_records(place.data, [bad])
     assert place.run("--check") == 2
     assert "runs.jsonl line 2: size: 0: " in capsys.readouterr().err
 
 
-def test_no_data_at_all_is_one_line(place, capsys):
+def test_missing_data_file_gives_a_one_line_error(place, capsys):
     assert place.run("--check") == 2
     assert "runs.jsonl: " in capsys.readouterr().err
 
 
-def test_a_disk_that_takes_nothing_leaves_what_was_there(place, capsys, monkeypatch):
+def test_full_disk_leaves_the_data_unchanged(place, capsys, monkeypatch):
     assert place.add(line_of(100, 10.0)) == 0
     before = place.data.read_text()
 
@@ -271,19 +271,20 @@
     assert [one.name for one in place.folder.iterdir() if one.name.startswith(".")] == []
 
 
-def test_two_that_add_at_once_lose_nothing(place, monkeypatch):
+def test_concurrent_additions_lose_nothing(place, monkeypatch):
     assert place.add(line_of(1, 1.0)) == 0
-    whole = capacity.read
+    whole = capacity.read_records
 
     def slow(path: Path) -> list[dict[str, Any]]:
         found = whole(path)
         time.sleep(0.02)
         return found
 
-    monkeypatch.setattr(capacity, "read", slow)
+    monkeypatch.setattr(capacity, "read_records", slow)
     tasks = [
         threading.Thread(
-            target=capacity.change, args=(place.data, lambda records, n=n: [as_run("x", line_of(n, 1.0), {})])
+            target=capacity.add_records,
+            args=(place.data, lambda records, n=n: [run_from_result("x", line_of(n, 1.0), {})]),
         )
         for n in range(2, 8)
     ]
@@ -297,7 +298,7 @@
 # ---- results
 
 
-def test_the_same_result_twice_is_one_run(place, capsys):
+def test_a_result_added_twice_is_one_run(place, capsys):
     assert place.add(result()) == 0
     assert place.add(result(), result()) == 0
     assert len(place.records) == 1
@@ -337,7 +338,7 @@
         ({"gateways": 250, "cpu_ms_per_s": {"median": 1}, "bytes_per_s": {}}, "commit: null"),
     ],
 )
-def test_a_bad_result_is_named_and_takes_nothing_with_it(place, capsys, bad, said):
+def test_bad_result_is_reported_and_nothing_is_added(place, capsys, bad, said):
     assert place.add(result()) == 0
     before = place.data.read_text()
     capsys.readouterr()
@@ -347,7 +348,7 @@
     assert place.data.read_text() == before
 
 
-def test_a_file_that_is_not_there_is_one_line(place, capsys):
+def test_missing_result_file_gives_a_one_line_error(place, capsys):
     assert place.run("add", str(place.folder / "none.json")) == 2
     assert "none.json: " in capsys.readouterr().err
 
@@ -378,7 +379,7 @@
 }
 
 
-def test_the_last_line_of_a_scale_run_is_taken(place):
+def test_add_reads_the_last_line_of_a_scale_run(place):
     text = "250 gateways, seed 3: all follow one plan\ncalm {}\n" + json.dumps(SCALE) + "\n"
     assert place.add(text, more=("--here",)) == 0
     (run,) = place.records
@@ -400,19 +401,19 @@
         ({"real": 12}, "scale.flat.sockets"),
     ],
 )
-def test_the_kind_of_a_scale_run_is_read_from_it(more, what):
+def test_kind_of_a_scale_run_comes_from_its_result(more, what):
     bare = {key: value for key, value in SCALE.items() if key not in ("mechanism", "clock")} | more
     fill = {"machine": "m", "at": "2026-12-02"}
     if what is None:
-        with pytest.raises(Bad, match="mechanism: null"):
-            as_run("x", bare, fill)
+        with pytest.raises(InputError, match="mechanism: null"):
+            run_from_result("x", bare, fill)
     else:
-        assert as_run("x", bare, fill)["what"] == what
+        assert run_from_result("x", bare, fill)["what"] == what
 
 
 @pytest.mark.parametrize("rules, kept", [("held", 1), ([], 1), (["broken"], 0), ("rule 4 broken", 0), (True, 1)])
-def test_rules_that_broke_are_told(rules, kept):
-    found = as_run("x", {**SCALE, "rules": rules}, {"machine": "m", "at": "2026-12-02"})
+def test_broken_rules_become_a_value(rules, kept):
+    found = run_from_result("x", {**SCALE, "rules": rules}, {"machine": "m", "at": "2026-12-02"})
     assert found["values"]["rules"] == kept
 
 
@@ -437,47 +438,47 @@
         (lambda n: 90 - 8 * math.log(n), "logarithmic"),
     ],
 )
-def test_the_data_choose_the_form(of, form):
-    found = fit(points(of))
+def test_best_fitting_form_is_chosen(of, form):
+    found = fit_best_form(points(of))
     assert found is not None and found.form == form
-    assert found.residue < 0.03 and found.at(7400) == pytest.approx(of(7400), rel=0.05)
+    assert found.residue < 0.03 and found.predict(7400) == pytest.approx(of(7400), rel=0.05)
     low, high = found.range(7400)
-    assert low <= found.at(7400) <= high and len(found.spread) == 3
+    assert low <= found.predict(7400) <= high and len(found.seed_fits) == 3
 
 
-def test_a_form_that_fits_nothing_shows_by_its_residue():
-    found = fit(points(lambda n: float(n) ** 2))
-    assert found is not None and found.residue > capacity.LOOSE
+def test_data_of_another_form_give_a_large_residue():
+    found = fit_best_form(points(lambda n: float(n) ** 2))
+    assert found is not None and found.residue > capacity.MAX_RESIDUE
 
 
-def test_nothing_is_fitted_on_two_sizes(place):
-    assert fit([(100, 1.0, 1), (200, 2.0, 1), (200, 2.1, 2)]) is None
+def test_two_sizes_are_too_few_for_a_fit(place):
+    assert fit_best_form([(100, 1.0, 1), (200, 2.0, 1), (200, 2.1, 2)]) is None
     assert place.add(line_of(100, 1.0), line_of(200, 2.0)) == 0
-    assert Book(place.records).f("some.kind", "cost", 7400) == capacity.MISSING
+    assert PageData(place.records).fitted("some.kind", "cost", 7400) == capacity.MISSING
 
 
-def test_a_prediction_is_checked_by_the_run_after_it(sizes, capsys):
+def test_later_run_verifies_a_prediction(sizes, capsys):
     assert sizes.run("predict", "--what", "some.kind", "--size", "7400") == 0
     said = sizes.records[-1]
     assert said["values"]["cost"]["form"] == "linear"
     assert said["values"]["cost"]["value"] == pytest.approx(743, rel=0.01)
-    (row,) = Book(sizes.records).predictions()
+    (row,) = PageData(sizes.records).predictions()
     assert "not measured" in row and said["id"] in row
     assert sizes.add(line_of(7400, 1486.0, at="2999-01-01T00:00:00Z")) == 0
-    (row,) = Book(sizes.records).predictions()
+    (row,) = PageData(sizes.records).predictions()
     assert "+100%" in row and "some.kind@7400" in row
-    held = Book(sizes.records).fit("some.kind", "cost")
+    held = PageData(sizes.records).fit("some.kind", "cost")
     assert held is not None and held.sizes == (100, 1000, 2500)
 
 
-def test_a_run_from_before_its_prediction_checks_nothing(sizes):
+def test_earlier_run_does_not_verify_a_prediction(sizes):
     assert sizes.run("predict", "--what", "some.kind", "--size", "7400") == 0
     assert sizes.add(line_of(7400, 1486.0, at="2020-01-01T00:00:00Z")) == 0
-    (row,) = Book(sizes.records).predictions()
+    (row,) = PageData(sizes.records).predictions()
     assert "not measured" in row and "+100%" not in row
 
 
-def test_a_prediction_of_no_commit_is_not_written(sizes, capsys, monkeypatch):
+def test_prediction_without_a_commit_is_not_written(sizes, capsys, monkeypatch):
     monkeypatch.setattr(capacity, "commit_here", lambda: "")
     before = sizes.data.read_text()
     assert sizes.run("predict", "--what", "some.kind", "--size", "7400") == 2
@@ -494,7 +495,7 @@
         (("--what", "few.kind", "--size", "7"), "a fit needs 3"),
     ],
 )
-def test_a_prediction_that_is_none_is_refused(sizes, capsys, words, said):
+def test_impossible_prediction_is_refused(sizes, capsys, words, said):
     assert sizes.add(result(what="few.kind")) == 0
     before = sizes.data.read_text()
     capsys.readouterr()
@@ -504,7 +505,7 @@
     assert sizes.data.read_text() == before
 
 
-# ---- what is measured
+# ---- the benchmarks
 
 
 @pytest.mark.parametrize(
@@ -518,7 +519,7 @@
         (("shards", "jump", "100", "--shards", "99"), "--shards: 99: "),
     ],
 )
-def test_a_wish_that_does_not_fit_is_one_line(words, said):
+def test_size_out_of_range_gives_a_one_line_error(words, said):
     done = subprocess.run(
         [sys.executable, "-m", f"benchmarks.{words[0]}", *words[1:]],
         cwd=ROOT,
@@ -530,7 +531,7 @@
     assert len(done.stderr.splitlines()) == 1 and said in done.stderr
 
 
-def test_set_ups_are_measured_and_no_process_is_left(place):
+def test_setups_are_measured_and_leave_no_process(place):
     found = viewers.measure("setups", 20, 1)
     assert place.add(found) == 0
     assert found["values"]["ms_each"] > 0
@@ -539,8 +540,8 @@
             assert "_gateway" not in Path(f"/proc/{pid}/cmdline").read_text()
 
 
-def test_a_viewer_that_is_always_refused_ends_the_run_in_words(monkeypatch):
-    monkeypatch.setattr(viewers, "TRIES", 2)
+def test_viewer_that_is_always_refused_ends_the_run_with_a_message(monkeypatch):
+    monkeypatch.setattr(viewers, "MAX_ATTEMPTS", 2)
     came = []
 
     async def play() -> None:
@@ -553,29 +554,29 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(close)
-            await viewers.many(1, viewers.Crowd(listener.address).open)
+            await viewers.open_many(1, viewers.ViewerPool(listener.address).open)
 
     with pytest.raises(BaseExceptionGroup) as caught:
         trio.run(play)
-    assert str(viewers.unfit(caught.value)) == "viewer 0: 0: refused 2 times"
+    assert str(viewers.measurement_error_in(caught.value)) == "viewer 0: 0: refused 2 times"
     assert len(came) == 2
-    assert viewers.unfit(BaseExceptionGroup("", [OSError()])) is None
+    assert viewers.measurement_error_in(BaseExceptionGroup("", [OSError()])) is None
 
 
 @pytest.mark.parametrize("way", ["flat", "cells", "jump"])
-def test_only_shards_of_the_dead_move(way, place):
+def test_only_shards_of_dead_gateways_move(way, place):
     found = shards.measure(way, 100, 5000, 1)
     assert place.add(found) == 0
     assert found["values"]["needless_one"] == found["values"]["needless_rack"] == found["values"]["needless_zone"] == 0
     assert sum(found["raw"]["moved_one"]) > 0
 
 
-def test_bounded_loads_are_bounded():
+def test_bounded_rendezvous_keeps_loads_in_bounds():
     found = shards.measure("bounded", 100, 5000, 1)["values"]
     assert found["load_most"] <= math.ceil(1.1 * 50) and found["listed"] > 0
 
 
-def test_all_who_reckon_a_place_reckon_the_same():
+def test_lookup_agrees_with_computed_owners():
     words = shards.keys(50, 7)
     for way in (shards.Flat, shards.Cells, shards.Jump):
         made = way(words.copy(), 60, 7)
@@ -584,15 +585,15 @@
         assert [find(int(word)) for word in source] == made.owners(np.array([], dtype=np.int64)).tolist()
 
 
-def test_jump_moves_shards_to_the_new_place_only():
+def test_jump_hash_moves_shards_to_the_new_place_only():
     words = shards.keys(2000, 3)
-    before, after = shards.jump(words, 40), shards.jump(words, 41)
+    before, after = shards.jump_hash(words, 40), shards.jump_hash(words, 41)
     assert set(after[before != after].tolist()) == {40}
     assert 0 < (before != after).sum() < 150
 
 
-def test_what_fits_no_form_is_not_extrapolated():
-    """Grows with the square: the least bad form would say less of a greater size than was measured at a smaller one."""
+def test_values_that_fit_no_form_are_not_extrapolated():
+    """Quadratic growth: the least bad form would predict less for a larger size than was measured at a smaller one."""
     values = [(size, size**2 / 1000 * (1 + seed / 100), seed) for size in (50, 250, 1000, 2500) for seed in (1, 2, 3)]
     records = [
         {
@@ -606,8 +607,14 @@
         }
         for n, (size, value, seed) in enumerate(values)
     ]
-    page = Book(records)
-    found = page.f("scale.flat.virtual", "cpu_ms_per_s.leader", 7400)
-    assert found.value is not None and found.value >= 2500**2 / 1000 and found.how == "already there, no form fits"
-    assert "over at the greatest size measured" in str(page.wall("scale.flat.virtual", "cpu_ms_per_s.leader", 500.0))
-    assert "room at the greatest size measured" in str(page.wall("scale.flat.virtual", "cpu_ms_per_s.leader", 1e6))
+    page = PageData(records)
+    found = page.fitted("scale.flat.virtual", "cpu_ms_per_s.leader", 7400)
+    assert (
+        found.value is not None and found.value >= 2500**2 / 1000 and found.qualifier == "already there, no form fits"
+    )
+    assert "over at the greatest size measured" in str(
+        page.size_at_budget("scale.flat.virtual", "cpu_ms_per_s.leader", 500.0)
+    )
+    assert "room at the greatest size measured" in str(
+        page.size_at_budget("scale.flat.virtual", "cpu_ms_per_s.leader", 1e6)
+    )
