--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,9 +45,8 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 FORMAT, VERSION = "copperyard capacity runs", 1
 FORMS: dict[str, Callable[[float], float]] = {"flat": lambda n: 0.0, "logarithmic": math.log, "linear": lambda n: n}
-RICHER_FORM_ERROR_RATIO = (
-    0.9  # a form with a slope replaces the flat one only if its held-out error is below this part of the flat one's
-)
+# A form with a slope replaces the flat one only if its held-out error is below this part of the flat one's.
+RICHER_FORM_ERROR_RATIO = 0.9
 MAX_RESIDUE = 0.25  # above this residue no form is said to fit
 MIN_FIT_SIZES = 3  # distinct sizes that a fit needs
 
@@ -539,11 +538,8 @@
 
 # ---- what the page prints
 
-OPEN, MIDDLE, CLOSE = (
-    "\ue000",
-    "\ue001",
-    "\ue002",
-)  # private-use characters around a figure: OPEN sources MIDDLE text CLOSE
+# Private-use characters around a figure: OPEN sources MIDDLE text CLOSE.
+OPEN, MIDDLE, CLOSE = "\ue000", "\ue001", "\ue002"
 
 
 def format_figure(value: float) -> str:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -37,17 +37,14 @@
 
 ZONES, REGIONS = 5, [0, 0, 0, 1, 1]
 LINKS = Manner(loss=0.01, delay=(1 * MS, 60 * MS))
-CPU_BUDGET_MS_PER_S, BUDGET_BYTES_PER_S = (
-    12.0,
-    18_000.0,
-)  # the operators' budget for a gateway: ms of a core and bytes, each per second
+# The operators' budget for a gateway: ms of a core and bytes, each per second.
+CPU_BUDGET_MS_PER_S, BUDGET_BYTES_PER_S = 12.0, 18_000.0
 SESSIONS_PER_GATEWAY, SESSION_KB_PER_S = 4, 100.0  # sessions of a gateway, kB/s of a session
 ROOM_RATIO = 2.0  # capacity of the hosts over demand
-SAMPLED_GATEWAYS, MEMORY_SAMPLED_GATEWAYS = (
-    200,
-    8,
-)  # gateways sampled for time and frames; for memory
-CELL = 24  # gateways of a cell: without relays 1 in 10 * CELL is killed, as many as with a delegate per cell
+# Gateways sampled for time and frames, and for memory.
+SAMPLED_GATEWAYS, MEMORY_SAMPLED_GATEWAYS = 200, 8
+# Gateways of a cell: without relays 1 in 10 * CELL is killed, as many as if each cell had one delegate.
+CELL = 24
 RACK = 40
 WEEKLY_EVENTS_PER_GATEWAY = {"failures": 126 / 7400, "replaced": 11_900 / 7400}  # a week's events per gateway
 LIMIT_CHECK_INTERVAL_S = 0.25  # virtual seconds between checks of the wall-clock and memory limits
@@ -208,9 +205,7 @@
         assert self.site.tallies is not None
         self.tallies = self.site.tallies
         self.sampled: set[str] = set()
-        self.windows: list[
-            dict[str, tuple[float, float]]
-        ] = []  # per recorded second: ms, bytes of each sampled gateway
+        self.windows: list[dict[str, tuple[float, float]]] = []  # per second: ms and bytes of each sampled gateway
         self.recording = False
         self.found: dict[str, Any] = {}  # partial results of a scenario, kept if it is stopped
         self.sent_by_kind: dict[str, list[int]] = {}  # by message kind: number sent, bytes
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -376,9 +376,9 @@
                 nursery.start_soon(drain, stream)
             while received[0] < wanted:  # noqa: ASYNC110
                 await trio.sleep(0.05)
-            told = await network.connect(where)  # the writer sends its figures to one more connection
+            report = await network.connect(where)  # the writer sends its figures to one more connection
             text = b""
-            while data := await told.receive_some(READ_BYTES):
+            while data := await report.receive_some(READ_BYTES):
                 text += data
             nursery.cancel_scope.cancel()
         for stream in streams:
@@ -406,9 +406,9 @@
                 raise MeasurementError(f"N: {count}: a viewer's socket did not take a whole frame")
         cpu.append(time.process_time() - begin)
         wall.append(time.perf_counter() - at)
-    told = await listener.accept()
-    await send(told, json.dumps([cpu, wall]).encode())
-    told.close()
+    report = await listener.accept()
+    await send(report, json.dumps([cpu, wall]).encode())
+    report.close()
     await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
 
 
@@ -450,19 +450,19 @@
 
 def main() -> None:
     """Run the command; exits with code 2 and one line if the measurement is impossible."""
-    words = sys.argv[1:]
-    if words[:1] == ["_gateway"]:
-        trio.run(serve_gateway, words[1], int(words[2]))
+    argv = sys.argv[1:]
+    if argv[:1] == ["_gateway"]:
+        trio.run(serve_gateway, argv[1], int(argv[2]))
         return
-    if words[:1] == ["_fan"]:
-        trio.run(write_to_all, int(words[1]))
+    if argv[:1] == ["_fan"]:
+        trio.run(write_to_all, int(argv[1]))
         return
     parser = argparse.ArgumentParser(prog="python -m benchmarks.viewers")
     parser.add_argument("what", choices=["idle", "playing", "delivery", "setups", "fan"])
     parser.add_argument("size", type=int)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--keep", type=Path)
-    options = parser.parse_args(words)
+    options = parser.parse_args(argv)
     try:
         found = json.dumps(measure(options.what, options.size, options.seed))
     except (MeasurementError, BaseExceptionGroup) as error:
