--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -132,7 +132,7 @@
         self.rungs: dict[tuple[int, int], float] = {}
         self.queue: list[tuple[int, int, tuple[Any, ...]]] = []
         self.count = self.ref = 0
-        self.new_hosts_start = 25 * SECOND  # when the new hosts start
+        self.new_hosts_start = 25 * SECOND
         n, step = case.hosts, case.hosts // case.fresh
         self.replaced_hosts = {
             k * step: api.ServerEntry(k * step, 1.0, 0, k * step, 0, api.ServerState.READY, 0)
