--- a/copperyard/lab/__init__.py
+++ b/copperyard/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins, faults, viewers, the auditor, rehearsals. All of it is simulated."""
+"""The laboratory: simulated hosts and viewers, fault injection, the auditor and rehearsals."""
--- a/copperyard/lab/baselines.py
+++ b/copperyard/lab/baselines.py
@@ -1,5 +1,8 @@
-"""Policies to hold the module against, in the laboratory only. They share its ledger, guards and answers, and
-differ in the choice: which holder, which rung, and whether playing sessions are stepped."""
+"""Baseline policies to compare the decision module with, for the laboratory only.
+
+They share the module's ledger, guards and answers. They differ in the choice of holder and rung, and in whether playing
+sessions change rung.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,14 @@
 from ..gateway.daemon import Gateway, Station
 from ..gateway.net import Network
 from ..interface import Action, Event, Settings
-from .fleet import Fleet, Make
+from .fleet import Fleet, GatewayFactory
 
 
-class Plain(Controller):
-    """Common to all: legal holders in a drawn order; nothing that plays is lowered or raised; no room is made."""
+class Baseline(Controller):
+    """Base class: permitted holders in random order; playing sessions keep their rung, and no room is made."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
+        """Choose a host and rung; `legal` holds at least one host."""
         raise NotImplementedError
 
     def _place(self, now: int, session: Session) -> bool:
@@ -30,54 +34,58 @@
         return
 
 
-class RandomLowest(Plain):
-    """A random holder, at the lowest rung that is allowed."""
+class RandomLowest(Baseline):
+    """A random holder, at the lowest permitted rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
         return legal[0], session.kind.floor
 
 
-class LeastOwn(Plain):
-    """Of two drawn holders the one with fewer of this front's own sessions, at a middle rung."""
+class FewestOwnSessions(Baseline):
+    """Of two random holders the one with fewer of this front's own sessions, at a middle rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
         one = min(legal[:2], key=lambda s: s.streams)
         return one, max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
 
 
-class Middle(Plain):
+class RandomMiddle(Baseline):
     """A random holder, at a middle rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
         return legal[0], max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
 
 
-class Reckless(RandomLowest):
-    """As random, but blind to whether a host is cold: what a front without that rule does to one."""
+class IgnoreColdHosts(RandomLowest):
+    """A random holder without the limit on set-ups to cold hosts: shows what that rule prevents."""
 
     def _turn(self, now: int, server: Server, since: int) -> bool:
         return True
 
 
-Truth = Callable[[int], tuple[float, float] | None]
+LoadLookup = Callable[[int], tuple[float, float] | None]
 
 
 class FullView(Controller):
-    """The module with the true load of every host it looks at, which no real front can have: what is left between
-    the two is what evidence costs. Hosts that are down, silent or standing still are passed over."""
+    """The decision module with the true load of every host that it considers, which no real front has.
+
+    The difference to the module shows the cost of incomplete load reports. Hosts that are down, silent or paused are
+    skipped.
+    """
 
-    def __init__(self, settings: Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: Settings, seed: int, load_lookup: LoadLookup) -> None:
         super().__init__(settings, seed)
-        self.truth = truth
+        self.load_lookup = load_lookup
         self.now = 0
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """Handle an event, and keep its time for the load lookups."""
         self.now = now
         return super().handle(now, event)
 
     def _drawn(self, session: Session) -> Iterator[Server]:
         for server in super()._drawn(session):
-            seen = self.truth(server.entry.server)
+            seen = self.load_lookup(server.entry.server)
             if seen is not None:
                 server.link.learn(self.now, seen[0], self.now, False)
                 server.rack.learn(self.now, seen[1], self.now, False)
@@ -86,48 +94,50 @@
 
 POLICIES: Mapping[str, type[Controller]] = {
     "random": RandomLowest,
-    "least-own": LeastOwn,
-    "middle": Middle,
-    "reckless": Reckless,
+    "least-own": FewestOwnSessions,
+    "middle": RandomMiddle,
+    "reckless": IgnoreColdHosts,
     "full-view": FullView,
 }
 
 
-class Maker:
-    """Makes gateways that decide by a policy. The fleet is told once it is there, for the full view."""
+class PolicyGatewayFactory:
+    """Creates gateways that use a policy. FullView needs the fleet, which is attached once it exists."""
 
     def __init__(self, policy: str) -> None:
         self.policy, self.fleet = policy, None
 
     fleet: Fleet | None
 
-    def see(self, fleet: Fleet) -> None:
+    def attach(self, fleet: Fleet) -> None:
+        """Set the fleet whose gateways are created."""
         self.fleet = fleet
 
     def __call__(self, station: Station, network: Network, seed: int, rng: random.Random) -> Gateway:
+        """Create a gateway."""
         assert self.fleet is not None
         gateway = Gateway(station, network, seed, rng, self.fleet.log)
         kind = POLICIES[self.policy]
         if issubclass(kind, FullView):
-            gateway.core.plays.controller = kind(station.rules.settings, seed, self._truth(gateway))
+            gateway.core.plays.controller = kind(station.rules.settings, seed, self._load_lookup(gateway))
         else:
             gateway.core.plays.controller = kind(station.rules.settings, seed)
         return gateway
 
-    def _truth(self, gateway: Gateway) -> Truth:
-        def truth(server: int) -> tuple[float, float] | None:
+    def _load_lookup(self, gateway: Gateway) -> LoadLookup:
+        def load_of(server: int) -> tuple[float, float] | None:
             name = gateway.core.roster.names.get(server)
             host = next((h for h in self.fleet.hosts if h.name == name), None) if self.fleet else None
             if host is None or not host.up or host.model.paused or host.faults.vanished:
                 return None
             return host.model.load(), host.model.rack.load()
 
-        return truth
+        return load_of
 
 
-def maker(policy: str) -> Maker | None:
-    """The maker of a policy's gateways, None for the module's own."""
-    return None if policy == "module" else Maker(policy)
+def gateway_factory(policy: str) -> PolicyGatewayFactory | None:
+    """Return the factory of a policy's gateways, None for the module itself."""
+    return None if policy == "module" else PolicyGatewayFactory(policy)
 
 
-__all__ = ["POLICIES", "Maker", "Make", "maker"]
+__all__ = ["POLICIES", "PolicyGatewayFactory", "GatewayFactory", "gateway_factory"]
--- a/copperyard/lab/emulator/__init__.py
+++ b/copperyard/lab/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""A model of media hosts and what happens to them, without I/O. All of it is simulated."""
+"""A simulation model of media hosts and their faults, without I/O."""
 
-from .model import HostModel, HostSpec, RackModel, Stream, Ticket
+from .model import HostModel, HostSpec, QueuedSetup, RackModel, Stream
 
-__all__ = ["HostModel", "HostSpec", "RackModel", "Stream", "Ticket"]
+__all__ = ["HostModel", "HostSpec", "RackModel", "Stream", "QueuedSetup"]
--- a/copperyard/lab/experiment.py
+++ b/copperyard/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a rehearsal over seeds, policies and settings, in parallel over the cores; all in virtual time."""
+"""Experiments: a rehearsal run over seeds, policies and settings, in parallel processes and virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One run: the texts of settings and rehearsal, so that it can go to another process as it is."""
+    """One run; settings and rehearsal are XML texts, so that a job can be sent to another process."""
 
     settings: bytes
     rehearsal: bytes
@@ -33,7 +33,7 @@
 
 
 def changed(settings: bytes, changes: Iterable[str], name: str) -> bytes:
-    """Settings with `element/attribute=value` changes put in. BadSettings where a path names nothing."""
+    """Return settings with `element/attribute=value` changes applied. Raise BadSettings if a path matches nothing."""
     root = etree.fromstring(settings)
     for change in changes:
         path, equal, value = change.partition("=")
@@ -47,10 +47,10 @@
 
 
 def run_job(job: Job) -> dict[str, object]:
-    """Run one job in this process; its summary."""
+    """Run one job in this process and return its summary."""
     site: Site = parse(job.settings)
     rehearsal = parse_rehearsal(job.rehearsal, site)
-    make = baselines.maker(job.policy)
+    make = baselines.gateway_factory(job.policy)
 
     async def main() -> Result:
         return await run_rehearsal(
@@ -61,12 +61,12 @@
             5 * MS,
             10 * MS,
             make=make,
-            fleet_made=make.see if make else None,
+            fleet_made=make.attach if make else None,
         )
 
     result = virtual.run(main, job.seed)
     if job.folder is not None:
-        from . import records  # pyarrow is loaded by those who want records
+        from . import records  # loads pyarrow only if records are wanted
 
         records.write(Path(job.folder) / job.policy, result)
     return {
@@ -79,7 +79,10 @@
 def run_all(
     jobs: list[Job], workers: int, progress: Callable[[int, dict[str, object]], None]
 ) -> list[dict[str, object]]:
-    """Run jobs over worker processes; `progress` hears of each as it ends. Summaries in the jobs' order."""
+    """Run jobs in worker processes and return their summaries in the jobs' order.
+
+    `progress` is called with a job's number and summary when it ends.
+    """
     found: dict[int, dict[str, object]] = {}
     if workers <= 1:
         for n, job in enumerate(jobs):
@@ -97,42 +100,45 @@
 
 
 def spread(summaries: list[dict[str, object]], figure: str) -> tuple[float, float]:
-    """Mean and standard error over seeds."""
+    """Return mean and standard error of a figure over seeds."""
     values = [float(str(s[figure])) for s in summaries]
     error = statistics.stdev(values) / len(values) ** 0.5 if len(values) > 1 else 0.0
     return statistics.fmean(values), error
 
 
 def compare(before: list[dict[str, object]], after: list[dict[str, object]]) -> dict[str, dict[str, float | str]]:
-    """Paired by seed: the mean difference of each figure, its standard error, and a verdict: a difference under two
-    errors, or under 0.01 of worth, is a tie. ValueError where no seed is in both."""
-    one = {s["seed"]: s for s in before}
-    two = {s["seed"]: s for s in after}
-    seeds = [seed for seed in one if seed in two]
+    """Compare summaries paired by seed: mean difference, standard error and verdict for each figure.
+
+    A difference of at most two standard errors, or at most 0.01, is a tie. Raise ValueError if there is no common seed.
+    """
+    before_by_seed = {s["seed"]: s for s in before}
+    after_by_seed = {s["seed"]: s for s in after}
+    seeds = [seed for seed in before_by_seed if seed in after_by_seed]
     if not seeds:
         raise ValueError("the two have no seed in common")
     found: dict[str, dict[str, float | str]] = {}
     for figure in FIGURES:
-        gaps = [float(str(two[s][figure])) - float(str(one[s][figure])) for s in seeds]
-        mean = statistics.fmean(gaps)
-        error = statistics.stdev(gaps) / len(gaps) ** 0.5 if len(gaps) > 1 else float("inf")
-        sure = abs(mean) > max(0.01, 2 * error)
+        differences = [float(str(after_by_seed[s][figure])) - float(str(before_by_seed[s][figure])) for s in seeds]
+        mean = statistics.fmean(differences)
+        error = statistics.stdev(differences) / len(differences) ** 0.5 if len(differences) > 1 else float("inf")
+        significant = abs(mean) > max(0.01, 2 * error)
         found[figure] = {
             "difference": round(mean, 4),
             "error": round(error, 4),
             "pairs": len(seeds),
-            "verdict": ("better" if mean > 0 else "worse") if sure else "tie",
+            "verdict": ("better" if mean > 0 else "worse") if significant else "tie",
         }
     return found
 
 
 def save(folder: Path, summaries: list[dict[str, object]]) -> None:
+    """Write the summaries to a report folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "summaries.json").write_text(json.dumps(summaries, indent=1) + "\n")
 
 
 def read(folder: Path) -> list[dict[str, object]]:
-    """The summaries of a report folder. OSError, ValueError where there are none."""
+    """Read the summaries of a report folder. Raise OSError or ValueError if there are none."""
     found = json.loads((folder / "summaries.json").read_text())
     if not isinstance(found, list) or not all(isinstance(x, Mapping) for x in found):
         raise ValueError(f"{folder}/summaries.json holds no summaries")
--- a/copperyard/lab/fleet.py
+++ b/copperyard/lab/fleet.py
@@ -1,4 +1,4 @@
-"""A whole site in one process: list service, stand-in hosts and gateways, on sockets or in memory."""
+"""A whole site in one process: list service, stand-in hosts and gateways, on sockets or on the in-memory network."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from .audit import Tap
 from .emulator import HostModel, HostSpec, RackModel
 from .faultnet import FaultNetwork
-from .host import Office, StandIn
+from .host import RedemptionService, StandIn
 from .listservice import ListService
 from .memdisk import MemoryDisk
 
-Make = Callable[[Station, Network, int, random.Random], Gateway]
+GatewayFactory = Callable[[Station, Network, int, random.Random], Gateway]
 
 
 @dataclass(eq=False, slots=True)
-class Running:
-    """One gateway that may be killed and started again."""
+class GatewayHandle:
+    """A gateway that can be killed and started again; `gateway` is None while it is down."""
 
     name: str
     station: Station
@@ -38,7 +38,7 @@
 
 
 class Fleet:
-    """Everything of a site. All chance comes from `seed`."""
+    """All hosts and gateways of a site. All random choices come from `seed`."""
 
     def __init__(
         self,
@@ -46,30 +46,30 @@
         network: Network,
         seed: int,
         log: Callable[[str, Mapping[str, str | int]], None],
-        make: Make | None = None,
+        make: GatewayFactory | None = None,
     ) -> None:
         if site.lab is None:
             raise ValueError("the settings have no <lab>: there are no stand-in hosts to start")
         self.site, self.network, self.seed, self.log = site, network, seed, log
         self.make = make
         self.tap = Tap()
-        self.office = Office()
+        self.office = RedemptionService()
         settings = site.rules.settings
         self.racks = [RackModel(settings.uplink_kb) for _ in range(settings.racks)]
         self.lists = ListService(network, self.tap, site.lab.list_late, site.zones)
         catalogue = site.catalogue()
         self.hosts = [
-            self._host(h.name, h.cell, h.kind, h.zone, h.weight, h.link, n, catalogue)
+            self._make_host(h.name, h.cell, h.kind, h.zone, h.weight, h.link, n, catalogue)
             for n, h in enumerate(site.lab.hosts)
         ]
-        self.cut: set[int] = set()  # zones that the others cannot reach
-        self.gone: list[StandIn] = []
-        self._replaced = 0
-        self.gateways: list[Running] = []
-        self.disks: dict[str, MemoryDisk] = {}  # of gateways that keep state: they outlive them
+        self.cut_zones: set[int] = set()  # indices of zones that are cut off from the others
+        self.removed_hosts: list[StandIn] = []
+        self._replacements = 0
+        self.gateways: list[GatewayHandle] = []
+        self.disks: dict[str, MemoryDisk] = {}  # of gateways with durable state; they survive restarts
         self._nursery: trio.Nursery | None = None
 
-    def _host(
+    def _make_host(
         self, name: str, cell: int, kind: int, zone: int, weight: float, link: float, n: int, catalogue: Catalogue
     ) -> StandIn:
         settings, lab = self.site.rules.settings, self.site.lab
@@ -92,37 +92,38 @@
         )
 
     async def replace(self, host: StandIn) -> None:
-        """A host's machine is taken away and another one, of a new name and cold, stands in its place."""
+        """Replace a host's machine by a cold one with a new name."""
         assert self._nursery is not None
         if host not in self.hosts:
-            return  # two waves met at one host: the first has replaced it already
-        self.model_gone(host)
+            return  # two faults target this host and the first one has replaced it already
+        self.remove_host(host)
         n = self.hosts.index(host)
-        self._replaced += 1
+        self._replacements += 1
         plan = self.site.lab.hosts[n % len(self.site.lab.hosts)] if self.site.lab else None
         link = plan.link if plan is not None else host.model.spec.link
-        other = self._host(
-            f"{host.name.split('+')[0]}+{self._replaced}",
+        replacement = self._make_host(
+            f"{host.name.split('+')[0]}+{self._replacements}",
             host.cell,
             host.kind,
             host.zone,
             host.weight,
             link,
-            n + 5000 * self._replaced,
+            n + 5000 * self._replacements,
             self.site.catalogue(),
         )
-        other.model.restart(now())
-        self.hosts[n] = other
-        await self._nursery.start(other.run)
-        self.lists.later(other, "ready")
-
-    def model_gone(self, host: StandIn) -> None:
-        self.gone.append(host)
+        replacement.model.restart(now())
+        self.hosts[n] = replacement
+        await self._nursery.start(replacement.run)
+        self.lists.later(replacement, "ready")
+
+    def remove_host(self, host: StandIn) -> None:
+        """Crash a host for good and free its part of the rack's uplink."""
+        self.removed_hosts.append(host)
         self.crash(host)
         host.model.rack.hosts.remove(host.model)
 
     async def run(self, task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Start all; tells when all listen. Ends when cancelled."""
+        """Start the site, report when everything listens, and run until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             address = await nursery.start(self.lists.run)
@@ -137,18 +138,18 @@
                 if site.state is not None:
                     disk = self.disks[one.name] = MemoryDisk(random.Random(self.seed * 31 + len(self.disks)))
                     station = replace(station, disk=disk, generation=site.state.generation)
-                running = Running(one.name, station)
+                running = GatewayHandle(one.name, station)
                 self.gateways.append(running)
                 await self.start_gateway(running)
             task_status.started()
 
     async def ready(self) -> None:
-        """Return once every gateway knows hosts."""
+        """Wait until every gateway knows hosts."""
         while any(g.gateway is None or not g.gateway.core.roster.addresses for g in self.gateways):  # noqa: ASYNC110
             await trio.sleep(0.02)
 
-    async def start_gateway(self, one: Running) -> None:
-        """Start a gateway, at the address that it had before; one that runs is left alone."""
+    async def start_gateway(self, one: GatewayHandle) -> None:
+        """Start a gateway at the address that it had before; do nothing if it runs."""
         assert self._nursery is not None
         if one.gateway is not None:
             return
@@ -166,42 +167,41 @@
             else Gateway(station, one.network, seed, rng, self.log)
         )
         one.scope = trio.CancelScope()
-        one.address = await self._nursery.start(self._gateway, one)
+        one.address = await self._nursery.start(self._run_gateway, one)
 
     def _is_cut(self, zone: int, address: str) -> bool:
-        """Whether a zone cut lies between a gateway's zone and an address."""
-        if not self.cut:
+        """Whether a gateway's zone is cut off from the zone of an address."""
+        if not self.cut_zones:
             return False
         other = next((h.zone for h in self.hosts if h.address == address), zone)
-        return other != zone and (zone in self.cut or other in self.cut)
+        return other != zone and (zone in self.cut_zones or other in self.cut_zones)
 
-    async def _gateway(self, one: Running, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+    async def _run_gateway(self, one: GatewayHandle, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         assert one.gateway is not None
         with one.scope:
             await one.gateway.run(task_status=task_status)
 
-    def kill_gateway(self, one: Running) -> None:
-        """End it as a kill does: sockets close, nothing is said."""
+    def kill_gateway(self, one: GatewayHandle) -> None:
+        """Kill a gateway: its sockets close and nothing more is sent."""
         self.tap.front_killed(now(), one.name)
         one.gateway = None
         if one.network is not None:
-            # what is killed stands still no longer, and a cut does not keep its tasks and its listener alive (seed
-            # 1869)
-            one.network.standing = False
-            one.network.cut = lambda address: False
+            # end its stall and its cut, which would otherwise keep its tasks and its listener alive (seed 1869)
+            one.network.stalled = False
+            one.network.is_cut = lambda address: False
         one.scope.cancel()
         if one.name in self.disks:
             self.disks[one.name].process_died()
 
     def crash(self, host: StandIn) -> None:
-        """A host's process dies; the list service learns of it in its own time."""
+        """Crash a host's process; the list service publishes it after its delay."""
         host.crash()
         self.lists.later(host, "gone")
 
     async def revive(self, host: StandIn) -> None:
-        """It starts again, cold, at its address."""
+        """Start a crashed host again, cold, at its address; do nothing if it runs or was replaced."""
         assert self._nursery is not None
         if not host.up and host in self.hosts:
-            host.reborn()
+            host.reset_for_restart()
             await self._nursery.start(host.run, host.address)
             self.lists.later(host, "ready")
--- a/copperyard/lab/host.py
+++ b/copperyard/lab/host.py
@@ -1,4 +1,4 @@
-"""A stand-in media host: the emulator's model behind the host's side of docs/host-protocol.md."""
+"""A stand-in media host: the emulator's model behind the host side of docs/host-protocol.md."""
 
 from __future__ import annotations
 
@@ -22,52 +22,56 @@
 from .audit import Side, Tap
 from .emulator import HostModel
 from .emulator import Stream as ModelStream
-from .emulator.model import SAMPLE
+from .emulator.model import SAMPLE_INTERVAL
 from .media import AUDIO_CLOCK, VIDEO_CLOCK, fragments, picture, tone
 
 SECOND = 1_000_000_000
-FRAME = 200_000_000  # ns between pictures, and between talkspurts
-WIRE = Limits(8192, 64, 65536, 65535, 256)
+FRAME_INTERVAL = 200_000_000  # ns between video frames, and between talkspurts
+RTSP_LIMITS = Limits(8192, 64, 65536, 65535, 256)
 NTP_EPOCH = 2_208_988_800
 
 
-class Office:
-    """The code office that hosts ask: gives one receipt for a code, once, and knows its receipts again."""
+class RedemptionService:
+    """The service that redeems paid codes for hosts: it issues one receipt per code, once, and verifies receipts."""
 
     def __init__(self) -> None:
         self.receipts: dict[str, str] = {}
         self.asked: list[tuple[int, str, str]] = []
         self.refused = 0
-        self.by_request: dict[str, str] = {}
+        self.receipts_by_request: dict[str, str] = {}
 
     def redeem(self, time: int, code: str, host: str, request: str = "") -> str | None:
+        """Return a new receipt, or None if the code is already redeemed or starts with "bad"."""
         self.asked.append((time, code, host))
         if code in self.receipts or code.startswith("bad"):
             self.refused += 1
             return None
         self.receipts[code] = f"r-{len(self.receipts)}-{code}"
-        self.by_request[request] = self.receipts[code]
+        self.receipts_by_request[request] = self.receipts[code]
         return self.receipts[code]
 
     def knows(self, receipt: str) -> bool:
+        """Whether the service issued this receipt."""
         return receipt.rpartition("-")[2] in self.receipts
 
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with how a host speaks; what is wrong with its resources is the model's. Shares are of
-    set-ups."""
+    """Injected protocol faults of a host; faults of its resources are in the model.
 
-    quiet_before_play: bool = False  # SETUP is answered, PLAY is taken and nothing comes
-    lose_answers: float = 0.0  # the work runs, its answer never leaves
+    `lose_answers` and `errors` are shares of the set-ups.
+    """
+
+    quiet_before_play: bool = False  # SETUP is answered; PLAY is read and gets no answer
+    lose_answers: float = 0.0  # the set-up runs, but its answer is not sent
     errors: float = 0.0
     full: bool = False
-    vanished: bool = False  # connections stay, and nothing is read or said any more
+    vanished: bool = False  # connections stay open, but requests are ignored and nothing more is sent
 
 
 @dataclass(eq=False, slots=True)
-class Playing:
-    """A session at this host, as the wire sees it."""
+class HostSession:
+    """The RTSP and RTP state of a session at this host. Lists have one element per track."""
 
     id: str
     request: str
@@ -76,19 +80,21 @@
     channels: list[int] = field(default_factory=list)
     tracks: list[int] = field(default_factory=list)
     position: float = 0.0
-    run: int = 0
+    play_count: int = 0
     seq: list[int] = field(default_factory=list)
     ts: list[int] = field(default_factory=list)
     ssrc: list[int] = field(default_factory=list)
-    sent: list[int] = field(default_factory=list)
+    packets_sent: list[int] = field(default_factory=list)
     octets: list[int] = field(default_factory=list)
-    owed: float = 0.0
-    step: int = 0
+    frame_credit: float = 0.0
+    frame_index: int = 0
 
 
 class StandIn:
-    """One host on a network: the emulator's model behind the host contract. `scale` is the share of media bytes
-    that is really sent; the model's ledger is full size."""
+    """One host on a network: the emulator's model behind the host protocol.
+
+    `scale` is the share of the media bytes that is actually sent; the model counts full size.
+    """
 
     def __init__(
         self,
@@ -98,7 +104,7 @@
         zone: int,
         weight: float,
         model: HostModel,
-        office: Office,
+        redemption: RedemptionService,
         catalogue: Catalogue,
         network: Network,
         tap: Tap,
@@ -106,37 +112,37 @@
         seed: int,
     ) -> None:
         self.name, self.cell, self.kind, self.zone, self.weight = name, cell, kind, zone, weight
-        self.model, self.settings, self.office, self.catalogue = model, model.settings, office, catalogue
+        self.model, self.settings, self.redemption, self.catalogue = model, model.settings, redemption, catalogue
         self.network, self.tap, self.scale = network, tap, scale
         self.random = random.Random(seed)
         self.faults = Faults()
-        self.sessions: dict[str, Playing] = {}
-        self.done: dict[str, list[ModelStream]] = {}  # by request, for the reckoning of worth
+        self.sessions: dict[str, HostSession] = {}
+        self.streams_by_request: dict[str, list[ModelStream]] = {}  # by Request-Id, to compute the worth of visits
         self.writers: dict[str, _Writer] = {}
         self.address = ""
         self.boot = 0
         self._scope: trio.CancelScope | None = None
         self._streams: dict[Stream, None] = {}
-        self._shorted: dict[str, bool] = {}
-        self.setting: set[str] = set()  # set-ups at work, by Request-Id
-        self.barred: set[str] = set()
+        self._shortfall_reported: dict[str, bool] = {}
+        self.setups_in_progress: set[str] = set()  # by Request-Id
+        self.cancelled_requests: set[str] = set()
 
-    # ---- life
+    # ---- process life cycle
 
     async def run(self, address: str = "127.0.0.1:0", task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until crashed or cancelled."""
         listener = await self.network.listen(address)
         self.address = listener.address
-        self.tap.host_up(now(), self.name, self.boot, self.model.started, self.kind)
+        self.tap.host_started(now(), self.name, self.boot, self.model.started, self.kind)
         with trio.CancelScope() as self._scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._accept, listener, nursery)
-                nursery.start_soon(self._tell)
+                nursery.start_soon(self._send_notes)
                 task_status.started(self.address)
         listener.close()
 
     def crash(self) -> None:
-        """The process is gone: connections break, sessions end."""
+        """Simulate the death of the process: connections break and sessions end."""
         for stream in list(self._streams):
             stream.close()
         for session in self.sessions.values():
@@ -145,14 +151,15 @@
         if self._scope is not None:
             self._scope.cancel()
 
-    def reborn(self) -> None:
-        """It will start again: a new boot, cold."""
+    def reset_for_restart(self) -> None:
+        """Prepare the next start: a new boot, a cold model and no faults."""
         self.boot += 1
         self.model.restart(now())
         self.faults = Faults()
 
     @property
     def up(self) -> bool:
+        """Whether the process runs."""
         return self._scope is not None and not self._scope.cancel_called
 
     async def _accept(self, listener: Listener, nursery: trio.Nursery) -> None:
@@ -162,36 +169,39 @@
         finally:
             listener.close()
 
-    # ---- what it tells
+    # ---- notes to fronts
 
-    async def _tell(self) -> None:
-        """Once a second, one note of each kind to one session of each front."""
-        ticks, every = 0, max(1, self.settings.told_every)
+    async def _send_notes(self) -> None:
+        """Once a second, send at most one note of each kind to each front, on one of its sessions."""
+        ticks, interval = 0, max(1, self.settings.told_every)
         while True:
-            await trio.sleep(SAMPLE / SECOND)
+            await trio.sleep(SAMPLE_INTERVAL / SECOND)
             time = now()
             self.model.sample(time)
             ticks += 1
             if ticks % 10:
                 continue
-            told = self.settings.told_every > 0 and (ticks * SAMPLE) // every != (ticks - 10) * SAMPLE // every
-            share = self.model.told_share(time, self.settings.told_late)
-            fronts: dict[str, Playing] = {}
+            load_due = (
+                self.settings.told_every > 0
+                and (ticks * SAMPLE_INTERVAL) // interval != (ticks - 10) * SAMPLE_INTERVAL // interval
+            )
+            share = self.model.reported_share(time, self.settings.told_late)
+            session_by_front: dict[str, HostSession] = {}
             for session in self.sessions.values():
-                self.model.tick(time, session.stream)
+                self.model.account(time, session.stream)
                 if session.stream.playing:
-                    fronts.setdefault(session.stream.front, session)
+                    session_by_front.setdefault(session.stream.front, session)
             link, uplink, _ = self.model.report(time)
-            for front, session in fronts.items():
+            for front, session in session_by_front.items():
                 short = share < 0.98
-                if short or self._shorted.get(front):
-                    self._note(session, NoteKind.SHARE, share)
-                self._shorted[front] = short
-                if told:
-                    self._note(session, NoteKind.LINK, link)
-                    self._note(session, NoteKind.UPLINK, uplink)
-
-    def _note(self, session: Playing, kind: NoteKind, value: float) -> None:
+                if short or self._shortfall_reported.get(front):
+                    self._send_note(session, NoteKind.SHARE, share)
+                self._shortfall_reported[front] = short
+                if load_due:
+                    self._send_note(session, NoteKind.LINK, link)
+                    self._send_note(session, NoteKind.UPLINK, uplink)
+
+    def _send_note(self, session: HostSession, kind: NoteKind, value: float) -> None:
         writer = self.writers.get(session.id)
         if writer is not None and not self.faults.vanished and not self.model.paused:
             app = note_app(session.ssrc[0], kind, value)
@@ -200,18 +210,18 @@
     # ---- connections
 
     async def _serve(self, stream: Stream) -> None:
-        """Read always, so that the tap sees each byte when it came; work comes behind, at the model's pace."""
-        wire = Connection(WIRE)
+        """Read without pause, so that the tap records when bytes arrive; requests are processed at the model's pace."""
+        wire = Connection(RTSP_LIMITS)
         tapped = self.tap.host_connection(self.name, self.boot)
         writer = _Writer(stream, tapped)
-        own: dict[str, Playing] = {}
-        work: deque[Request] = deque()
+        own_sessions: dict[str, HostSession] = {}
+        requests: deque[Request] = deque()
         wake = Signal()
         self._streams[stream] = None
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(writer.run)
-                nursery.start_soon(self._work, work, wake, writer, own, nursery)
+                nursery.start_soon(self._process_requests, requests, wake, writer, own_sessions, nursery)
                 while True:
                     data = await stream.receive_some(65536)
                     tapped.got(now(), data)
@@ -225,7 +235,7 @@
                                 and not self.model.arrive(now())
                             ):
                                 self.crash()
-                            work.append(event)
+                            requests.append(event)
                             wake.set()
                 nursery.cancel_scope.cancel()
         except* CLOSED:
@@ -234,26 +244,33 @@
             tapped.ended(now())
             self._streams.pop(stream, None)
             stream.close()
-            for name, session in own.items():
+            for name, session in own_sessions.items():
                 self.model.close(now(), session.stream)
                 self.sessions.pop(name, None)
                 self.writers.pop(name, None)
 
-    async def _work(
-        self, work: deque[Request], wake: Signal, writer: _Writer, own: dict[str, Playing], nursery: trio.Nursery
+    async def _process_requests(
+        self,
+        requests: deque[Request],
+        wake: Signal,
+        writer: _Writer,
+        own_sessions: dict[str, HostSession],
+        nursery: trio.Nursery,
     ) -> None:
         while True:
-            while work:
-                while self.model.paused:  # noqa: ASYNC110 - what waits for a host that stands still waits as long
+            while requests:
+                while self.model.paused:  # noqa: ASYNC110 - the end of a pause signals nobody
                     await trio.sleep(0.02)
-                await self._request(work.popleft(), writer, own, nursery)
+                await self._process_request(requests.popleft(), writer, own_sessions, nursery)
             await wake.wait()
 
-    async def _request(self, request: Request, writer: _Writer, own: dict[str, Playing], nursery: trio.Nursery) -> None:
+    async def _process_request(
+        self, request: Request, writer: _Writer, own_sessions: dict[str, HostSession], nursery: trio.Nursery
+    ) -> None:
         if self.faults.vanished:
             return
         try:
-            response, lost = await self._answer(request, writer, own, nursery)
+            response, lost = await self._respond(request, writer, own_sessions, nursery)
         except BadHeader as error:
             response, lost = Response(error.status, (), b"", str(error)), False
         if not lost:
@@ -268,27 +285,27 @@
                 )
             )
         if request.method == "PLAY" and response.status == 200 and not lost:
-            session = own[parse_session(request.header("Session") or "")[0]]
+            session = own_sessions[parse_session(request.header("Session") or "")[0]]
             if not session.stream.playing:
-                session.run += 1
+                session.play_count += 1
                 self.model.play(now(), session.stream, True)
-                nursery.start_soon(self._play, session, writer)
+                nursery.start_soon(self._stream_media, session, writer)
 
-    async def _answer(
-        self, request: Request, writer: _Writer, own: dict[str, Playing], nursery: trio.Nursery
+    async def _respond(
+        self, request: Request, writer: _Writer, own_sessions: dict[str, HostSession], nursery: trio.Nursery
     ) -> tuple[Response, bool]:
-        method, named = request.method, request.header("Session")
-        if method == "GET_PARAMETER" and named is None:
-            asked = request.header(SETTLE_HEADER)
-            return Response(200, ((SETTLED_HEADER, self._settled(asked)),) if asked else ()), False
-        if method == "SETUP" and named is None:
-            return await self._set_up(request, writer, own)
-        session = own.get(parse_session(named or "")[0])
+        method, session_header = request.method, request.header("Session")
+        if method == "GET_PARAMETER" and session_header is None:
+            queried = request.header(SETTLE_HEADER)
+            return Response(200, ((SETTLED_HEADER, self._settle(queried)),) if queried else ()), False
+        if method == "SETUP" and session_header is None:
+            return await self._set_up(request, writer, own_sessions)
+        session = own_sessions.get(parse_session(session_header or "")[0])
         if session is None:
             return Response(454), False
         headers: Headers = (("Session", session.id),)
         if method == "SETUP":
-            return Response(200, headers + (("Transport", self._track(request, session)),)), False
+            return Response(200, headers + (("Transport", self._add_track(request, session)),)), False
         if method == "PLAY":
             if self.faults.quiet_before_play:
                 return Response(200), True
@@ -304,23 +321,25 @@
             self.model.play(now(), session.stream, False)
         elif method == "TEARDOWN":
             self.model.close(now(), session.stream)
-            own.pop(session.id, None)
+            own_sessions.pop(session.id, None)
             self.sessions.pop(session.id, None)
         elif method == "SET_PARAMETER":
-            return self._rung(request, session), False
+            return self._change_rung(request, session), False
         return Response(200, headers), False
 
-    def _settled(self, request: str) -> str:
-        """What became of a set-up; one that never ran here will not run any more."""
-        if request in self.setting:
+    def _settle(self, request: str) -> str:
+        """Return the outcome of a set-up. One that has not run here is cancelled, so that it never will."""
+        if request in self.setups_in_progress:
             return Answer.RUNNING.value
-        receipt = self.office.by_request.get(request)
+        receipt = self.redemption.receipts_by_request.get(request)
         if receipt is not None:
             return f"{Answer.REDEEMED.value}; receipt={receipt}"
-        self.barred.add(request)
+        self.cancelled_requests.add(request)
         return Answer.NEVER.value
 
-    async def _set_up(self, request: Request, writer: _Writer, own: dict[str, Playing]) -> tuple[Response, bool]:
+    async def _set_up(
+        self, request: Request, writer: _Writer, own_sessions: dict[str, HostSession]
+    ) -> tuple[Response, bool]:
         if request.header("Require") != FEATURE:
             return Response(551, (("Unsupported", request.header("Require") or ""),)), False
         s, faults, model = self.settings, self.faults, self.model
@@ -328,17 +347,17 @@
         if title is None or (self.cell - title.home) % s.cells >= title.holders:
             return Response(404), False
         name = request.header("Request-Id") or ""
-        if name in self.barred:
+        if name in self.cancelled_requests:
             return Response(453), False
-        ticket = model.queue_up(now())
+        ticket = model.enqueue(now())
         if ticket is None:
             return Response(453), False
-        self.setting.add(name)
+        self.setups_in_progress.add(name)
         try:
-            while now() < ticket.done:  # noqa: ASYNC110 - a pause moves it
+            while now() < ticket.done:  # noqa: ASYNC110 - a pause postpones it
                 await trio.sleep((ticket.done - now()) / SECOND)
         finally:
-            self.setting.discard(name)
+            self.setups_in_progress.discard(name)
         if self.random.random() < faults.errors:
             return Response(500), False
         if faults.full or not model.has_room():
@@ -346,11 +365,11 @@
         headers: Headers = ()
         code, receipt = request.header("Redeem"), request.header("Receipt")
         if code is not None:
-            receipt = self.office.redeem(now(), code, self.name, request.header("Request-Id") or "")
+            receipt = self.redemption.redeem(now(), code, self.name, request.header("Request-Id") or "")
             if receipt is None:
                 return Response(403), False
             headers = (("Receipt", receipt),)
-        elif receipt is not None and not self.office.knows(receipt):
+        elif receipt is not None and not self.redemption.knows(receipt):
             return Response(403), False
         cls = next((n for n, c in enumerate(s.classes) if c.name == request.header("Class")), 0)
         rung = min(len(s.rung_kb) - 1, int(request.header("Rung") or 0))
@@ -358,14 +377,14 @@
         via = (request.header("Via") or "").rpartition(" ")[2]
         stream = model.open(now(), via, cls, title.number, rung)
         name = request.header("Request-Id") or ""
-        session = Playing(f"{self.random.getrandbits(64):016x}", name, stream, length)
-        self.done.setdefault(name, []).append(stream)
-        own[session.id] = self.sessions[session.id] = session
+        session = HostSession(f"{self.random.getrandbits(64):016x}", name, stream, length)
+        self.streams_by_request.setdefault(name, []).append(stream)
+        own_sessions[session.id] = self.sessions[session.id] = session
         self.writers[session.id] = writer
-        headers += (("Session", f"{session.id};timeout=60"), ("Transport", self._track(request, session)))
+        headers += (("Session", f"{session.id};timeout=60"), ("Transport", self._add_track(request, session)))
         return Response(200, headers), self.random.random() < faults.lose_answers
 
-    def _track(self, request: Request, session: Playing) -> str:
+    def _add_track(self, request: Request, session: HostSession) -> str:
         offer = parse_transport(request.header("Transport") or "")
         track = parse_url(request.uri).track
         assert offer.channels is not None and track is not None
@@ -374,89 +393,94 @@
         session.seq.append(self.random.getrandbits(16))
         session.ts.append(self.random.getrandbits(32))
         session.ssrc.append(self.random.getrandbits(32))
-        session.sent.append(0)
+        session.packets_sent.append(0)
         session.octets.append(0)
         return offer.encode()
 
-    def _rung(self, request: Request, session: Playing) -> Response:
+    def _change_rung(self, request: Request, session: HostSession) -> Response:
         name, _, value = request.body.decode("utf-8", "replace").partition(":")
         if name.strip() != "rung" or not value.strip().isdigit() or int(value) >= len(self.settings.rung_kb):
             return Response(451)
-        self.model.step(now(), session.stream, int(value))
+        self.model.change_rung(now(), session.stream, int(value))
         return Response(200, (("Session", session.id),))
 
     # ---- media
 
-    async def _play(self, session: Playing, writer: _Writer) -> None:
-        """Send pictures and talkspurts until the film ends, is paused or torn down."""
-        run = session.run
-        while session.stream.playing and session.run == run and session.position < session.length:
-            session.owed += 0.0 if self.faults.vanished else self.model.share()
-            if session.owed >= 1:
-                session.owed -= 1
-                self._send(session, writer)
+    async def _stream_media(self, session: HostSession, writer: _Writer) -> None:
+        """Send video frames and talkspurts until the title ends or the session is paused or torn down."""
+        play_count = session.play_count
+        while session.stream.playing and session.play_count == play_count and session.position < session.length:
+            session.frame_credit += 0.0 if self.faults.vanished else self.model.share()
+            if session.frame_credit >= 1:
+                session.frame_credit -= 1
+                self._send_frame(session, writer)
             self._advance(session)
-            await trio.sleep(FRAME / SECOND)
-        if session.stream.playing and session.run == run:
+            await trio.sleep(FRAME_INTERVAL / SECOND)
+        if session.stream.playing and session.play_count == play_count:
             for n, ssrc in enumerate(session.ssrc):
                 writer.frame(session.channels[n] + 1, encode_compound([Bye((ssrc,))], ssrc))
             self.model.play(now(), session.stream, False)
 
-    def _advance(self, session: Playing) -> None:
-        session.position += FRAME / SECOND
-        session.step += 1
+    def _advance(self, session: HostSession) -> None:
+        session.position += FRAME_INTERVAL / SECOND
+        session.frame_index += 1
         for n, track in enumerate(session.tracks):
             clock = VIDEO_CLOCK if track == 1 else AUDIO_CLOCK
-            session.ts[n] = session.ts[n] + clock * FRAME // SECOND & 0xFFFFFFFF
+            session.ts[n] = session.ts[n] + clock * FRAME_INTERVAL // SECOND & 0xFFFFFFFF
 
-    def _send(self, session: Playing, writer: _Writer) -> None:
+    def _send_frame(self, session: HostSession, writer: _Writer) -> None:
         stamp = (now() // SECOND + NTP_EPOCH) << 32 & 0xFFFFFFFFFFFFFFFF
         for n, track in enumerate(session.tracks):
             if track == 1:
                 kind = self.settings.classes[session.stream.cls]
                 kb = self.model.true_kb[session.stream.rung] * kind.scale
-                size = int(kb * 1000 * self.scale * FRAME / SECOND)
-                parts = fragments(*picture(max(64, size), session.step % 4))
+                size = int(kb * 1000 * self.scale * FRAME_INTERVAL / SECOND)
+                parts = fragments(*picture(max(64, size), session.frame_index % 4))
                 for k, part in enumerate(parts):
-                    self._packet(session, n, 26, part, k == len(parts) - 1, writer)
+                    self._send_packet(session, n, 26, part, k == len(parts) - 1, writer)
             else:
-                self._packet(session, n, 0, tone(session.step % 16), True, writer)
-            if session.step % 5 == 0:
-                report = SenderReport(session.ssrc[n], stamp, session.ts[n], session.sent[n], session.octets[n])
+                self._send_packet(session, n, 0, tone(session.frame_index % 16), True, writer)
+            if session.frame_index % 5 == 0:
+                report = SenderReport(session.ssrc[n], stamp, session.ts[n], session.packets_sent[n], session.octets[n])
                 writer.frame(session.channels[n] + 1, encode_compound([report], session.ssrc[n], self.name))
 
-    def _packet(self, session: Playing, track: int, kind: int, payload: bytes, marker: bool, writer: _Writer) -> None:
+    def _send_packet(
+        self, session: HostSession, track: int, kind: int, payload: bytes, marker: bool, writer: _Writer
+    ) -> None:
         packet = Packet(kind, session.seq[track], session.ts[track], session.ssrc[track], marker)
         if writer.frame(session.channels[track], pack(packet, payload)):
             session.seq[track] = session.seq[track] + 1 & 0xFFFF
-            session.sent[track] += 1
+            session.packets_sent[track] += 1
             session.octets[track] += len(payload)
 
 
 class _Writer:
-    """What a host still has to write to one gateway connection; media that find no room are not sent."""
+    """Write buffer of a gateway connection; media that do not fit are dropped."""
 
-    LIMIT = 262_144
+    MAX_BUFFERED = 262_144
 
     def __init__(self, stream: Stream, tapped: Side) -> None:
         self._stream, self._tapped = stream, tapped
-        self._data = bytearray()
+        self._buffer = bytearray()
         self._wake = Signal()
 
     def put(self, data: bytes) -> None:
-        self._data += data
+        """Queue bytes, whatever the buffer's size."""
+        self._buffer += data
         self._wake.set()
 
     def frame(self, channel: int, payload: bytes) -> bool:
-        if len(self._data) > self.LIMIT:
+        """Queue an interleaved frame; False if the buffer is full."""
+        if len(self._buffer) > self.MAX_BUFFERED:
             return False
         self.put(Connection.frame(channel, payload))
         return True
 
     async def run(self) -> None:
+        """Write queued bytes until cancelled."""
         while True:
-            while self._data:
-                sent = await self._stream.send_some(bytes(self._data[:65536]))
-                self._tapped.sent(now(), bytes(self._data[:sent]))
-                del self._data[:sent]
+            while self._buffer:
+                sent = await self._stream.send_some(bytes(self._buffer[:65536]))
+                self._tapped.sent(now(), bytes(self._buffer[:sent]))
+                del self._buffer[:sent]
             await self._wake.wait()
--- a/copperyard/lab/listservice.py
+++ b/copperyard/lab/listservice.py
@@ -1,4 +1,4 @@
-"""The list service: which hosts there are, by generation, over HTTP with long polls; it fails when told to."""
+"""Stand-in for the list service: the hosts by generation, over HTTP with long polling; outages can be injected."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from .audit import Tap
 from .host import StandIn
 
-KEPT = 64
+MAX_CHANGES = 64
 
 
 class ListService:
-    """Hosts by name, as published: news comes `late` ns after it happened."""
+    """The published hosts by name; a change is published `delay` ns after it happened."""
 
-    def __init__(self, network: Network, tap: Tap, late: int, zones: tuple[str, ...] = ()) -> None:
-        self.network, self.tap, self.late, self.zones = network, tap, late, zones
+    def __init__(self, network: Network, tap: Tap, delay: int, zones: tuple[str, ...] = ()) -> None:
+        self.network, self.tap, self.delay, self.zones = network, tap, delay, zones
         self.generation = 1
         self.down = False
         self.address = ""
         self._hosts: dict[str, dict[str, object]] = {}
         self._starts: dict[str, int] = {}
-        self._changes: deque[tuple[int, str]] = deque(maxlen=KEPT)
-        self._news = trio.Event()
+        self._changes: deque[tuple[int, str]] = deque(maxlen=MAX_CHANGES)
+        self._changed = trio.Event()
         self._pending: list[tuple[int, StandIn, str]] = []
         self._streams: dict[Stream, None] = {}
 
     def publish(self, host: StandIn, state: str) -> None:
-        """Take up a host's state at once."""
+        """Publish a host's state at once."""
         self.generation += 1
         self._hosts[host.name] = {
             "id": host.name,
@@ -47,21 +47,22 @@
         }
         self._starts[host.name] = host.model.started
         self._changes.append((self.generation, host.name))
-        self._news.set()
-        self._news = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     def later(self, host: StandIn, state: str) -> None:
-        """Take it up when the news has had its time to get here."""
-        self._pending.append((now() + self.late, host, state))
+        """Publish a host's state after the delay."""
+        self._pending.append((now() + self.delay, host, state))
 
     def fail(self, down: bool) -> None:
-        """Break all connections and answer nothing, or come back."""
+        """Begin an outage, which closes all connections, or end it."""
         self.down = down
         if down:
             for stream in list(self._streams):
                 stream.close()
 
     async def run(self, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve on loopback until cancelled; report the address once it listens."""
         listener = await self.network.listen("127.0.0.1:0")
         self.address = listener.address
         async with trio.open_nursery() as nursery:
@@ -94,7 +95,7 @@
                     data = await stream.receive_some(8192)
                     wire.receive_data(data)
                 elif isinstance(event, h11.Request):
-                    await self._answer(stream, wire, event)
+                    await self._respond(stream, wire, event)
                 elif isinstance(event, h11.ConnectionClosed) or wire.our_state is h11.MUST_CLOSE:
                     return
                 elif wire.our_state is h11.DONE and wire.their_state is h11.DONE:
@@ -105,15 +106,15 @@
             self._streams.pop(stream, None)
             stream.close()
 
-    async def _answer(self, stream: Stream, wire: h11.Connection, request: h11.Request) -> None:
+    async def _respond(self, stream: Stream, wire: h11.Connection, request: h11.Request) -> None:
         query = parse_qs(urlsplit(request.target.decode("ascii", "replace")).query)
         after = int(query["after"][0]) if "after" in query else None
         wait = min(60_000, int(query.get("wait_ms", ["0"])[0])) / 1000
         agent = next((v.decode() for k, v in request.headers if k == b"user-agent"), "")
-        news = self._news
+        changed = self._changed
         if after == self.generation:
             with trio.move_on_after(wait):
-                await news.wait()
+                await changed.wait()
         status, body = (204, b"") if after == self.generation else (200, self.body(after))
         headers = [("Content-Length", str(len(body)))] if status == 200 else []
         data = wire.send(h11.Response(status_code=status, headers=headers, reason=b"")) or b""
@@ -125,7 +126,7 @@
             self.tap.list_body(now(), agent, body)
 
     def body(self, after: int | None) -> bytes:
-        """What a front that knows `after` needs: the changes since, or the whole list."""
+        """Return the list for a front that knows generation `after`: the changes since, or the whole list."""
         oldest = self._changes[0][0] if self._changes else self.generation
         names = list(self._hosts)
         raw: dict[str, object] = {"generation": self.generation}
--- a/copperyard/lab/loadtool.py
+++ b/copperyard/lab/loadtool.py
@@ -1,7 +1,7 @@
-"""A load tool for gateways that run elsewhere on this machine: open-loop arrivals, latency from the intended start.
+"""A load generator for gateways on this machine: open-loop arrivals, latency measured from the intended start.
 
-Worker processes each take their part of the rate. Histograms (HdrHistogram) are merged, so the percentiles are of
-all arrivals, those that never played counted with the time at which they gave up.
+Worker processes each generate a part of the rate. Their histograms (HdrHistogram) are merged, so percentiles cover all
+arrivals; one that never played counts with the time at which it gave up.
 """
 
 from __future__ import annotations
@@ -20,13 +20,15 @@
 from .viewers import Viewer, Visit
 
 SECOND = 1_000_000_000
-HIGHEST = 3600 * 1_000_000  # us
+MAX_LATENCY_US = 3600 * 1_000_000  # us
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSpec:
-    """What one worker sends: `rate` arrivals a second for `seconds`, each watching `watch` s; `patience` s until a
-    viewer gives up coming back."""
+    """The load of one worker: `rate` arrivals a second for `seconds`, each of which watches for `watch` s.
+
+    `patience` is the time in s after which a viewer does not try again.
+    """
 
     gateways: tuple[str, ...]
     titles: tuple[str, ...]
@@ -39,8 +41,8 @@
     seed: int
 
 
-async def _send(spec: LoadSpec) -> tuple[list[Visit], float]:
-    rng, most = random.Random(spec.seed), 0.0
+async def _generate_load(spec: LoadSpec) -> tuple[list[Visit], float]:
+    rng, max_lag = random.Random(spec.seed), 0.0
     visits: list[Visit] = []
     weights = [1 / (n + 1) ** spec.zipf for n in range(len(spec.titles))]
     network, tap = TcpNetwork(), Tap()
@@ -53,23 +55,23 @@
         begin, at = trio.current_time(), 0.0
         while (at := at + rng.expovariate(spec.rate)) < spec.seconds:
             await trio.sleep_until(begin + at)
-            most = max(most, trio.current_time() - begin - at)
+            max_lag = max(max_lag, trio.current_time() - begin - at)
             code = f"load{spec.seed}x{len(visits)}" if rng.random() < spec.paid else ""
             visit = Visit(rng.choices(spec.titles, weights)[0], code, "plain", round((begin + at) * 1e9), spec.watch)
             visits.append(visit)
             viewer = Viewer(network, tap, pick, visit, int(spec.patience * SECOND), random.Random(rng.random()))
             nursery.start_soon(viewer.run, spec.watch)
         await trio.lowlevel.checkpoint()
-    return visits, most
+    return visits, max_lag
 
 
 def run_worker(spec: LoadSpec) -> dict[str, object]:
-    """One worker's part; figures that can be merged."""
-    visits, lag = trio.run(_send, spec)
-    histogram = HdrHistogram(1, HIGHEST, 3)
+    """Generate one worker's part of the load; return figures that can be merged."""
+    visits, lag = trio.run(_generate_load, spec)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for visit in visits:
         waited = visit.played_after if visit.played_after is not None else max(1, round(spec.patience * SECOND))
-        histogram.record_value(min(HIGHEST, max(1, waited // 1000)))
+        histogram.record_value(min(MAX_LATENCY_US, max(1, waited // 1000)))
     return {
         "requests": len(visits),
         "played": sum(v.played_after is not None for v in visits),
@@ -81,7 +83,10 @@
 
 
 def run(spec: LoadSpec, workers: int) -> dict[str, object]:
-    """All workers; the merged summary. Void where the tool itself was late by more than a quarter second."""
+    """Run all workers and return the merged summary.
+
+    The run is void if the load generator itself was late by more than 0.25 s.
+    """
     parts = [
         LoadSpec(
             spec.gateways,
@@ -101,7 +106,7 @@
     else:
         with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
             found = list(pool.map(run_worker, parts))
-    merged, statuses = HdrHistogram(1, HIGHEST, 3), Counter[int]()
+    merged, statuses = HdrHistogram(1, MAX_LATENCY_US, 3), Counter[int]()
     for one in found:
         merged.decode_and_add(one["histogram"])
         assert isinstance(one["statuses"], dict)
--- a/copperyard/lab/media.py
+++ b/copperyard/lab/media.py
@@ -1,7 +1,7 @@
-"""Media of the stand-in hosts: JPEG video (RFC 2435) and PCMU audio (RFC 3551), valid by their payload formats.
+"""Media of the stand-in hosts: JPEG video (RFC 2435) and PCMU audio (RFC 3551) in valid payload formats.
 
-A rung is a number of bytes a frame: the pictures hold as much noise as the rate asks for. Audio is sent as
-talkspurts with silence between them, as RFC 3551 section 4.1 allows.
+A rung sets the number of bytes per frame: pictures are filled with noise up to that size. Audio is sent as talkspurts
+with silence between them, as RFC 3551 section 4.1 permits.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import random
 from functools import lru_cache
 
-CHUNK = 1388  # bytes of a fragment: 1,400 with its JPEG header
+CHUNK = 1388  # scan bytes per fragment; about 1,400 with its JPEG header
 VIDEO_CLOCK, AUDIO_CLOCK = 90_000, 8_000
 SIZES = ((96, 64), (320, 240), (640, 480), (1280, 960))
-# the codes of the standard tables that are used (ISO 10918-1 K.3): DC differences by category, AC 0/1, ends
+# the codes used from the standard tables (ISO 10918-1 K.3): DC differences by category, AC 0/1, end of block
 _DC = ("00", "010", "011", "100", "101", "110", "1110")
 _AC_ONE, _Y_END, _C_DC, _C_END = "00", "1010", "00", "00"
 
 
-def _difference(value: int) -> str:
+def _encode_dc_difference(value: int) -> str:
     if value == 0:
         return _DC[0]
     bits = abs(value).bit_length()
@@ -28,7 +28,7 @@
 
 @lru_cache(maxsize=256)
 def picture(size: int, phase: int) -> tuple[bytes, int, int]:
-    """A baseline 4:2:0 scan of about `size` bytes, and its width and height in pixels; `phase` gives the shade."""
+    """Return a baseline 4:2:0 scan of about `size` bytes, its width and height in pixels; `phase` sets the shade."""
     width, height = next(((w, h) for w, h in SIZES if w * h * 1.1 > size), SIZES[-1])
     units = math.ceil(width / 16) * math.ceil(height / 16)
     spare = size * 8 - units * (4 * (len(_DC[0]) + len(_Y_END)) + 2 * (len(_C_DC) + len(_C_END)))
@@ -38,7 +38,7 @@
     for _ in range(units):
         for block in range(4):
             shade = (phase * 7 + rng.randrange(-4, 5)) % 40 - 20 if block == 0 else dc
-            bits.append(_difference(shade - dc))
+            bits.append(_encode_dc_difference(shade - dc))
             dc = shade
             noise = rng.getrandbits(63)
             bits += [_AC_ONE + ("1" if noise >> n & 1 else "0") for n in range(coefficients)]
@@ -52,7 +52,7 @@
 
 
 def fragments(scan: bytes, width: int, height: int) -> list[bytes]:
-    """The RTP payloads of a picture (RFC 2435 section 3.1): type 1, standard tables at quality 50."""
+    """Return the RTP payloads of a picture (RFC 2435 section 3.1): type 1, standard tables at quality 50."""
     return [
         b"\0" + at.to_bytes(3, "big") + bytes((1, 50, width // 8, height // 8)) + scan[at : at + CHUNK]
         for at in range(0, len(scan), CHUNK)
@@ -61,7 +61,7 @@
 
 @lru_cache(maxsize=64)
 def tone(phase: int) -> bytes:
-    """20 ms of PCMU: a soft tone."""
+    """Return 20 ms of a 440 Hz tone as PCMU."""
     return bytes(_ulaw(int(6000 * math.sin(2 * math.pi * 440 * (n + phase * 160) / AUDIO_CLOCK))) for n in range(160))
 
 
--- a/copperyard/lab/memnet.py
+++ b/copperyard/lab/memnet.py
@@ -1,7 +1,7 @@
-"""A network in memory with the gateway's own shapes, for virtual time: it behaves like TCP, and fails like it.
+"""An in-memory network with the gateway's network interface, for virtual time; it behaves and fails like TCP.
 
-Bytes take a latency that is drawn for each connection, arrive cut anywhere, wait in bounded windows; a close with
-bytes unread is a reset; accept queues fill; a connect may hang. All chance comes from one seeded source.
+Each connection has a random latency. Reads and writes may be partial, windows and accept queues are bounded, a close
+with unread bytes resets the connection, and a connect may hang. All random choices come from one seeded source.
 """
 
 from __future__ import annotations
@@ -17,10 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Manners:
-    """How connections behave. `latency` s one way, from and to; `chop` is the chance that a read or write takes only
-    a part, down to a byte; `window` bytes wait in one direction; `backlog` connections wait to be accepted; a
-    connect takes `connect` s more than a round trip; `hang` is the chance that a connect never ends, `reset` that a
-    connection breaks at a drawn byte."""
+    """Behaviour of the network's connections.
+
+    `latency` is the range of the one-way latency in s. `chop` is the probability that a read or write is partial, down
+    to one byte. Up to `window` bytes are in flight in one direction, up to `backlog` connections wait to be accepted.
+    A connect takes `connect` s longer than a round trip. `hang` is the probability that a connect never completes,
+    `reset` that a direction of a connection breaks after a random number of bytes.
+    """
 
     latency: tuple[float, float] = (0.0005, 0.0005)
     chop: float = 0.0
@@ -32,39 +35,41 @@
 
 
 class _Pipe:
-    """One direction. `ended`: the writer closed; `broken`: the reader is gone or the connection was reset."""
+    """One direction of a connection. `ended`: the writer closed; `broken`: the reader closed, or there was a reset."""
 
-    def __init__(self, network: MemoryNetwork, latency: float, breaks_after: int | None) -> None:
-        self.network, self.latency, self.breaks_after = network, latency, breaks_after
+    def __init__(self, network: MemoryNetwork, latency: float, bytes_until_break: int | None) -> None:
+        self.network, self.latency, self.bytes_until_break = network, latency, bytes_until_break
         self.parts: deque[tuple[float, bytes]] = deque()
         self.size = 0
-        self.last = 0.0  # when the newest byte arrives; none overtakes another
+        self.last_arrival = 0.0  # when the newest byte arrives; bytes stay in order
         self.ended = self.broken = False
-        self.fell = False  # the network broke it, neither end did
+        self.broken_by_network = False  # rather than by either end
         self.readable, self.writable = Signal(), Signal()
 
     def room(self) -> int:
+        """Return the free bytes of the window."""
         return max(0, self.network.manners.window - self.size)
 
     def push(self, data: bytes) -> int:
-        """Take what fits, or a part of it; how much was taken."""
-        data = data[: self.network.cut(min(self.room(), len(data)))]
+        """Accept as much as fits, or a part of it; return how many bytes."""
+        data = data[: self.network.partial_size(min(self.room(), len(data)))]
         if data:
-            self.last = max(self.last, trio.current_time() + self.latency)
-            self.parts.append((self.last, data))
+            self.last_arrival = max(self.last_arrival, trio.current_time() + self.latency)
+            self.parts.append((self.last_arrival, data))
             self.size += len(data)
             self.readable.set()
-            if self.breaks_after is not None:
-                self.breaks_after -= len(data)
+            if self.bytes_until_break is not None:
+                self.bytes_until_break -= len(data)
         return len(data)
 
-    def fell_apart(self) -> bool:
-        return self.breaks_after is not None and self.breaks_after < 0
+    def past_break(self) -> bool:
+        """Whether the point at which this direction breaks has been passed."""
+        return self.bytes_until_break is not None and self.bytes_until_break < 0
 
     def pull(self, most: int) -> bytes:
-        """What has arrived, or a part of it."""
+        """Return data that has arrived, or a part of it."""
         at, data = self.parts[0]
-        take = self.network.cut(min(most, len(data)))
+        take = self.network.partial_size(min(most, len(data)))
         self.parts[0] = (at, data[take:])
         if take == len(data):
             self.parts.popleft()
@@ -76,18 +81,19 @@
 class MemoryStream:
     """One end of a connection."""
 
-    def __init__(self, inward: _Pipe, outward: _Pipe, peer: str) -> None:
-        self._in, self._out, self.peer = inward, outward, peer
+    def __init__(self, incoming: _Pipe, outgoing: _Pipe, peer: str) -> None:
+        self._incoming, self._outgoing, self.peer = incoming, outgoing, peer
         self._closed = False
 
     @property
-    def fell(self) -> bool:
-        """Whether the network broke this connection."""
-        return self._in.fell or self._out.fell
+    def broken_by_network(self) -> bool:
+        """Whether the network, rather than an end, broke this connection."""
+        return self._incoming.broken_by_network or self._outgoing.broken_by_network
 
     async def receive_some(self, most: int) -> bytes:
+        """Wait for data and read up to `most` bytes; b"" at the end."""
         await trio.lowlevel.checkpoint()
-        pipe = self._in
+        pipe = self._incoming
         while True:
             if self._closed or pipe.broken:
                 raise ConnectionResetError("the connection was reset")
@@ -102,7 +108,8 @@
                 await pipe.readable.wait()
 
     def receive_now(self, most: int) -> bytes | None:
-        pipe = self._in
+        """Read without waiting; None if nothing has arrived, b"" at the end."""
+        pipe = self._incoming
         if self._closed or pipe.broken:
             raise ConnectionResetError("the connection was reset")
         if pipe.parts:
@@ -110,25 +117,27 @@
         return b"" if pipe.ended else None
 
     async def send_some(self, data: bytes) -> int:
+        """Wait for room and write some of the bytes; return how many."""
         await trio.lowlevel.checkpoint()
         while True:
             sent = self.send_now(data)
             if sent:
                 return sent
-            await self._out.writable.wait()
+            await self._outgoing.writable.wait()
 
     def send_now(self, data: bytes) -> int:
-        if self._closed or self._out.broken:
+        """Write what fits without waiting; return how many bytes."""
+        if self._closed or self._outgoing.broken:
             raise BrokenPipeError("the peer is gone")
-        sent = self._out.push(data)
-        if self._out.fell_apart():
-            self._in.fell = self._out.fell = True
+        sent = self._outgoing.push(data)
+        if self._outgoing.past_break():
+            self._incoming.broken_by_network = self._outgoing.broken_by_network = True
             self._reset()
             raise ConnectionResetError("the connection was reset")
         return sent
 
     def _reset(self) -> None:
-        for pipe in (self._in, self._out):
+        for pipe in (self._incoming, self._outgoing):
             pipe.broken = True
             pipe.parts.clear()
             pipe.size = 0
@@ -136,20 +145,23 @@
             pipe.writable.set()
 
     def end_writing(self) -> None:
-        """The peer reads to the end; what it still says can be read."""
-        self._out.ended = True
-        self._out.readable.set()
+        """Close the sending direction; what the peer still sends can be read."""
+        self._outgoing.ended = True
+        self._outgoing.readable.set()
 
     def close(self) -> None:
-        """Close both ways; what was written before still reaches the peer, unless bytes of the peer were left
-        unread: then it is a reset, as TCP has it."""
+        """Close both directions.
+
+        Data already written still reaches the peer, unless bytes of the peer are unread: then the connection is reset,
+        as in TCP.
+        """
         if self._closed:
             return
         self._closed = True
-        if self._in.parts:
+        if self._incoming.parts:
             self._reset()
-        self._out.ended = self._in.broken = True
-        for pipe in (self._in, self._out):
+        self._outgoing.ended = self._incoming.broken = True
+        for pipe in (self._incoming, self._outgoing):
             pipe.readable.set()
             pipe.writable.set()
 
@@ -164,6 +176,7 @@
         self._closed = False
 
     async def accept(self) -> MemoryStream:
+        """Wait for the next connection. Raise trio.ClosedResourceError if the listener is closed."""
         await trio.lowlevel.checkpoint()
         while not self._queue:
             if self._closed:
@@ -172,9 +185,11 @@
         return self._queue.popleft()
 
     def accept_now(self) -> MemoryStream | None:
+        """Accept a connection without waiting; None if there is none."""
         return self._queue.popleft() if self._queue and not self._closed else None
 
-    def arrive(self, stream: MemoryStream) -> bool:
+    def enqueue(self, stream: MemoryStream) -> bool:
+        """Add a new connection; False if the listener is closed or its backlog is full."""
         if self._closed or len(self._queue) >= self._network.manners.backlog:
             return False
         self._queue.append(stream)
@@ -182,58 +197,62 @@
         return True
 
     def close(self) -> None:
+        """Stop listening and close connections that were not accepted."""
         self._closed = True
-        self._network.forget(self.address, self)
+        self._network.remove_listener(self.address, self)
         for stream in self._queue:
             stream.close()
         self._ready.set()
 
 
 class MemoryNetwork:
-    """Addresses and connections."""
+    """The network: its listeners by address, and new connections."""
 
     def __init__(self, manners: Manners | None = None, seed: int = 0) -> None:
         self.manners = manners if manners is not None else Manners()
         self.random = random.Random(seed)
         self._listeners: dict[str, MemoryListener] = {}
-        self._ports = 40000
+        self._last_port = 40000
 
-    def cut(self, size: int) -> int:
-        """How much of `size` bytes one read or write takes."""
+    def partial_size(self, size: int) -> int:
+        """Return how many of `size` bytes one read or write transfers."""
         if size > 1 and self.manners.chop and self.random.random() < self.manners.chop:
             return 1 if self.random.random() < 0.3 else self.random.randint(1, size)
         return size
 
     async def connect(self, address: str) -> MemoryStream:
+        """Connect to an address. Raise ConnectionRefusedError if nothing listens there or its backlog is full."""
         manners = self.manners
         latency = self.random.uniform(*manners.latency)
         await trio.sleep(2 * latency + manners.connect)
         if manners.hang and self.random.random() < manners.hang:
             await trio.sleep_forever()
-        there, back = (_Pipe(self, latency, self._breaks()) for _ in range(2))
-        self._ports += 1
+        forward, backward = (_Pipe(self, latency, self._draw_break()) for _ in range(2))
+        self._last_port += 1
         listener = self._listeners.get(address)
-        if listener is None or not listener.arrive(MemoryStream(there, back, f"127.0.0.1:{self._ports}")):
+        if listener is None or not listener.enqueue(MemoryStream(forward, backward, f"127.0.0.1:{self._last_port}")):
             raise ConnectionRefusedError(f"nobody listens at {address}")
-        return MemoryStream(back, there, address)
+        return MemoryStream(backward, forward, address)
 
-    def _breaks(self) -> int | None:
-        """After how many bytes a direction falls apart; most never do."""
+    def _draw_break(self) -> int | None:
+        """Draw after how many bytes a direction breaks; None for never."""
         if self.manners.reset and self.random.random() < self.manners.reset:
             return int(self.random.expovariate(1 / 2000))
         return None
 
     async def listen(self, address: str) -> MemoryListener:
+        """Listen at an address; port 0 chooses a free port. Raise OSError if the address is in use."""
         await trio.lowlevel.checkpoint()
         host, _, port = address.rpartition(":")
         if port == "0":
-            self._ports += 1
-            address = f"{host}:{self._ports}"
+            self._last_port += 1
+            address = f"{host}:{self._last_port}"
         if address in self._listeners:
             raise OSError(f"{address} is in use")
         self._listeners[address] = listener = MemoryListener(self, address)
         return listener
 
-    def forget(self, address: str, listener: MemoryListener) -> None:
+    def remove_listener(self, address: str, listener: MemoryListener) -> None:
+        """Free the address of a closed listener."""
         if self._listeners.get(address) is listener:
             del self._listeners[address]
--- a/copperyard/lab/records.py
+++ b/copperyard/lab/records.py
@@ -1,4 +1,4 @@
-"""Records of a run as Parquet: a row a session, a row an attempt, a row a second and host."""
+"""Writes a run's records as Parquet: one row per visit, per attempt, and per second and host."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-from .audit import Try
+from .audit import Attempt
 from .run import HostSecond, Result
 from .viewers import Visit
 
@@ -55,8 +55,8 @@
 )
 
 
-def _session(v: Visit) -> tuple[object, ...]:
-    # codes stay out of the records: they are as good as money
+def _session_row(v: Visit) -> tuple[object, ...]:
+    # codes are not recorded: whoever reads them could redeem them
     return (
         v.title,
         bool(v.code),
@@ -64,7 +64,7 @@
         v.began / 1e9,
         v.watch,
         None if v.played_after is None else v.played_after / 1e6,
-        v.asked,
+        v.worth_asked,
         v.worth,
         len(v.statuses),
         v.statuses[-1] if v.statuses else None,
@@ -74,12 +74,12 @@
     )
 
 
-def _attempt(t: Try) -> tuple[object, ...]:
+def _attempt_row(t: Attempt) -> tuple[object, ...]:
     return (
         t.id,
         t.front,
-        t.side.place,
-        t.side.boot,
+        t.connection.name,
+        t.connection.boot,
         t.time / 1e9,
         t.end / 1e9 if t.end < 1 << 62 else None,
         t.status,
@@ -88,8 +88,8 @@
     )
 
 
-def _host(s: HostSecond) -> tuple[object, ...]:
-    return s.second, s.host, s.asked, s.link, s.uplink, s.share, s.streams
+def _host_row(s: HostSecond) -> tuple[object, ...]:
+    return s.second, s.host, s.demand, s.link_load, s.uplink_load, s.share, s.streams
 
 
 def _table(rows: Sequence[tuple[object, ...]], schema: pa.Schema) -> pa.Table:
@@ -100,11 +100,11 @@
 
 
 def write(folder: Path, result: Result) -> None:
-    """Three files named by the seed."""
+    """Write three files whose names contain the seed."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, rows, schema in (
-        ("sessions", [_session(v) for v in result.visits], SESSIONS),
-        ("attempts", [_attempt(t) for t in result.tries], ATTEMPTS),
-        ("hosts", [_host(s) for s in result.seconds], HOSTS),
+        ("sessions", [_session_row(v) for v in result.visits], SESSIONS),
+        ("attempts", [_attempt_row(t) for t in result.attempts], ATTEMPTS),
+        ("hosts", [_host_row(s) for s in result.host_seconds], HOSTS),
     ):
         pq.write_table(_table(rows, schema), folder / f"{name}-{result.seed}.parquet", compression="zstd")
--- a/copperyard/lab/report.py
+++ b/copperyard/lab/report.py
@@ -1,4 +1,4 @@
-"""An HTML page of an experiment: figures with their spread, where worth went, what hosts were asked."""
+"""Writes the HTML report of an experiment: figures with standard errors, causes of lost worth, load of the hosts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def write(folder: Path, title: str, teaches: str, summaries: list[dict[str, object]]) -> Path:
-    """The page `index.html` in the folder, from its summaries and, where there are any, its Parquet records."""
+    """Write `index.html` to the folder, from the summaries and any Parquet records; return its path."""
     policies = list(dict.fromkeys(str(s["policy"]) for s in summaries))
     by_policy = {p: [s for s in summaries if s["policy"] == p] for p in policies}
     first: Any = summaries[0]
@@ -30,18 +30,19 @@
         figures=FIGURES,
         causes=causes,
         summaries=summaries,
-        broken=[f"{s['policy']}, seed {s['seed']}: {b}" for s in summaries for b in _list(s["breaks"])],
+        broken=[f"{s['policy']}, seed {s['seed']}: {b}" for s in summaries for b in _string_list(s["breaks"])],
         void=sum(bool(s["void"]) for s in summaries),
         table=[(p, [spread(rows, f) for f in FIGURES]) for p, rows in by_policy.items()],
         losses=[
-            (p, [sum(_part(s["lost"], c) for s in rows) / len(rows) for c in causes]) for p, rows in by_policy.items()
+            (p, [sum(_number_at(s["lost"], c) for s in rows) / len(rows) for c in causes])
+            for p, rows in by_policy.items()
         ],
         pictures=[
-            ("What hosts were asked", _hosts(folder, p, int(str(rows[0]["seed"]))))
+            ("What hosts were asked", _plot_host_load(folder, p, int(str(rows[0]["seed"]))))
             for p, rows in by_policy.items()
             if (folder / p).is_dir()
         ]
-        + [("Time to play", _play_times(folder, by_policy))],
+        + [("Time to play", _plot_play_times(folder, by_policy))],
     )
     place = folder / "index.html"
     place.write_text(page)
@@ -53,23 +54,23 @@
     return jinja2.Environment(loader=loader, autoescape=True).get_template("report.html.j2")
 
 
-def _list(value: object) -> list[str]:
+def _string_list(value: object) -> list[str]:
     return [str(x) for x in value] if isinstance(value, list) else []
 
 
-def _part(value: object, key: str) -> float:
+def _number_at(value: object, key: str) -> float:
     return float(value[key]) if isinstance(value, dict) else 0.0
 
 
-def _picture(figure: Any) -> str:
+def _encode_figure(figure: Any) -> str:
     sink = io.BytesIO()
     figure.savefig(sink, format="png", dpi=80, bbox_inches="tight")
     plt.close(figure)
     return base64.b64encode(sink.getvalue()).decode()
 
 
-def _hosts(folder: Path, policy: str, seed: int) -> str:
-    """Link load of every host over the seconds of one run, darkest where it is over-asked."""
+def _plot_host_load(folder: Path, policy: str, seed: int) -> str:
+    """Plot the link load of every host over the seconds of one run."""
     rows = pq.read_table(folder / policy / f"hosts-{seed}.parquet").to_pydict()
     names = list(dict.fromkeys(rows["host"]))
     seconds = max(rows["second"], default=0)
@@ -82,11 +83,11 @@
     axes.set_ylabel("host")
     axes.set_title(f"{policy}, seed {seed}: asked of the link over what it gives")
     figure.colorbar(shown)
-    return _picture(figure)
+    return _encode_figure(figure)
 
 
-def _play_times(folder: Path, by_policy: dict[str, list[dict[str, object]]]) -> str:
-    """How long viewers waited for the first picture, as a cumulative curve for each policy."""
+def _plot_play_times(folder: Path, by_policy: dict[str, list[dict[str, object]]]) -> str:
+    """Plot the cumulative distribution of viewers' time to play, one curve for each policy."""
     figure, axes = plt.subplots(figsize=(9, 4))
     for policy, rows in by_policy.items():
         waits: list[float] = []
@@ -101,4 +102,4 @@
     axes.set_ylabel("share of those that played")
     if by_policy:
         axes.legend()
-    return _picture(figure)
+    return _encode_figure(figure)
--- a/copperyard/lab/run.py
+++ b/copperyard/lab/run.py
@@ -1,4 +1,4 @@
-"""Runs a rehearsal: a whole site, its viewers, what strikes it; then the auditor, and what it all was worth."""
+"""Runs a rehearsal: a whole site with viewers and injected faults, then audits it and computes the service figures."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 from ..gateway.net import Network
 from ..interface import ClassSettings
 from ..protocol.rtsp import Request
-from .audit import Auditor, Break, Tap, Try, redeemed
+from .audit import Attempt, Auditor, Break, Tap, redeemed
 from .emulator import Stream
-from .fleet import Fleet, Make
+from .fleet import Fleet, GatewayFactory
 from .rehearsal import Rehearsal
-from .strikes import run_strike
+from .strikes import inject_fault
 from .viewers import HABITS, Viewer, Visit
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-WINDOW = 10  # s, for the worst stretch
-MIX = (0.6, 0.2, 0.2)  # whole run, worst 10 s, worst class: the first users' weights
-LAG_VOID = 0.25  # s by which the event loop may be late before a run on sockets counts for nothing
+WINDOW_S = 10  # length of the windows of which the worst one counts
+SERVICE_WEIGHTS = (0.6, 0.2, 0.2)  # whole run, worst 10 s, worst class; the first users' weights
+MAX_LAG_S = 0.25  # a run on sockets is void if the event loop was later than this
 
 
 @dataclass(frozen=True, slots=True)
 class HostSecond:
-    """What one host was asked and gave in one second."""
+    """Demand on one host and what it delivered in one second; `demand` in kB/s, loads and share as ratios."""
 
     second: int
     host: str
-    asked: float
-    link: float
-    uplink: float
+    demand: float
+    link_load: float
+    uplink_load: float
     share: float
     streams: int
 
 
 @dataclass(slots=True)
 class Result:
-    """What a rehearsal came to."""
+    """The outcome of a rehearsal."""
 
     rehearsal: Rehearsal
     seed: int
     visits: list[Visit]
     breaks: list[Break]
-    tries: list[Try]
-    seconds: list[HostSecond]
+    attempts: list[Attempt]
+    host_seconds: list[HostSecond]
     left: list[str]
     tap: Tap
     summary: dict[str, object] = field(default_factory=dict)
@@ -59,11 +59,12 @@
 
 @dataclass(slots=True)
 class Lag:
-    """How late the event loop ran, in s."""
+    """Measures the largest delay of the event loop, in s."""
 
     most: float = 0.0
 
     async def watch(self) -> None:
+        """Measure until cancelled."""
         while True:
             due = trio.current_time() + 0.05
             await trio.sleep_until(due)
@@ -76,19 +77,19 @@
     network: Network,
     seed: int,
     slack: int,
-    late: int,
+    max_lateness: int,
     log: Callable[[str, Mapping[str, str | int]], None] = lambda event, fields: None,
-    make: Make | None = None,
+    make: GatewayFactory | None = None,
     fleet_made: Callable[[Fleet], None] | None = None,
     at_end: Callable[[Fleet], Awaitable[list[str]]] | None = None,
 ) -> Result:
-    """Play it to its end and audit it. `slack` and `late` (ns) are the auditor's."""
+    """Run a rehearsal to its end and audit it. `slack` and `max_lateness` (ns) are the auditor's."""
     fleet = Fleet(site, network, seed, log, make)
     if fleet_made is not None:
         fleet_made(fleet)
     rng = random.Random(seed)
     visits: list[Visit] = []
-    seconds: list[HostSecond] = []
+    host_seconds: list[HostSecond] = []
     lag = Lag()
     async with trio.open_nursery() as nursery:
         await nursery.start(fleet.run)
@@ -96,23 +97,23 @@
             await fleet.ready()
         nursery.start_soon(lag.watch)
         begin = trio.current_time()
-        nursery.start_soon(_watch_hosts, fleet, begin, seconds)
+        nursery.start_soon(_sample_hosts, fleet, begin, host_seconds)
         async with trio.open_nursery() as crowd:
             for n, strike in enumerate(rehearsal.strikes):
-                crowd.start_soon(run_strike, fleet, strike, random.Random(seed * 31 + n), begin)
+                crowd.start_soon(inject_fault, fleet, strike, random.Random(seed * 31 + n), begin)
             await _arrivals(fleet, rehearsal, rng, visits, crowd, begin)
         await trio.sleep(1.0)
         left = await at_end(fleet) if at_end is not None else []
         nursery.cancel_scope.cancel()
     await trio.lowlevel.checkpoint()
-    auditor = Auditor(site.rules, fleet.tap, slack, late, site.state is not None)
-    result = Result(rehearsal, seed, visits, auditor.check(), auditor.tries, seconds, left, fleet.tap)
+    auditor = Auditor(site.rules, fleet.tap, slack, max_lateness, site.state is not None)
+    result = Result(rehearsal, seed, visits, auditor.check(), auditor.attempts, host_seconds, left, fleet.tap)
     _reckon(site, fleet, visits)
     result.summary = _summary(site, result, fleet, lag.most)
     return result
 
 
-async def _watch_hosts(fleet: Fleet, begin: float, rows: list[HostSecond]) -> None:
+async def _sample_hosts(fleet: Fleet, begin: float, rows: list[HostSecond]) -> None:
     second = 0
     while True:
         second += 1
@@ -121,7 +122,13 @@
             model = host.model
             rows.append(
                 HostSecond(
-                    second, host.name, model.asked(), model.load(), model.rack.load(), model.share(), len(model.streams)
+                    second,
+                    host.name,
+                    model.demand(),
+                    model.load(),
+                    model.rack.load(),
+                    model.share(),
+                    len(model.streams),
                 )
             )
 
@@ -129,16 +136,16 @@
 async def _arrivals(
     fleet: Fleet, rehearsal: Rehearsal, rng: random.Random, visits: list[Visit], nursery: trio.Nursery, begin: float
 ) -> None:
-    """Open-loop: each viewer comes at its time, however the ones before fare."""
+    """Start viewers open-loop: each one arrives at its time, whatever becomes of earlier ones."""
     paths = [t.path for t in fleet.site.titles]
     load = rehearsal.load
     weights = [1 / (n + 1) ** load.zipf for n in range(len(paths))]
-    coming: list[tuple[float, str, bool]] = []
+    arrivals: list[tuple[float, str, bool]] = []
     at = 0.0
     while (at := at + rng.expovariate(load.rate)) < rehearsal.seconds:
-        coming.append((at, rng.choices(paths, weights)[0], rng.random() < load.paid))
+        arrivals.append((at, rng.choices(paths, weights)[0], rng.random() < load.paid))
     for crowd in rehearsal.crowds:
-        coming += [
+        arrivals += [
             (crowd.at + rng.uniform(0, crowd.within), crowd.title, rng.random() < crowd.paid)
             for _ in range(crowd.viewers)
         ]
@@ -146,15 +153,15 @@
     lengths = {t.path: t.length / SECOND if t.length is not None else 1e9 for t in fleet.site.titles}
 
     def pick() -> tuple[str, str]:
-        one = rng.choice([g for g in fleet.gateways if g.address])
-        return one.name, one.address
+        gateway = rng.choice([g for g in fleet.gateways if g.address])
+        return gateway.name, gateway.address
 
-    for at, path, paid in sorted(coming):
+    for at, path, paid in sorted(arrivals):
         await trio.sleep_until(begin + at)
         code = f"c{fleet.seed}x{len(visits)}" if paid else ""
-        bad = rng.random() < load.misbehave
-        habit = rng.choice(HABITS[1:]) if bad else HABITS[0]
-        if paid and bad and rng.random() < 0.1:
+        misbehaves = rng.random() < load.misbehave
+        habit = rng.choice(HABITS[1:]) if misbehaves else HABITS[0]
+        if paid and misbehaves and rng.random() < 0.1:
             code = "bad" + code
         watch = rng.uniform(*load.watch)
         visit = Visit(path, code, habit, round((begin + at) * 1e9), min(watch, lengths[path]))
@@ -164,57 +171,60 @@
 
 
 def class_of(site: Site, visit: Visit) -> ClassSettings:
-    """The class that a visit belongs to."""
-    fits: list[Entry] = [
+    """Return the class that a visit belongs to."""
+    matching: list[Entry] = [
         e for e in site.rules.entries if visit.title.startswith(e.prefix) and e.paid == bool(visit.code)
     ]
-    return site.rules.settings.classes[fits[0].cls if fits else 0]
+    return site.rules.settings.classes[matching[0].cls if matching else 0]
 
 
-def counts(visit: Visit) -> bool:
-    """Whether a visit's worth is asked for: one that leaves by itself before it plays asks for nothing."""
+def counts_for_service(visit: Visit) -> bool:
+    """Whether a visit counts in the service figures: one that leaves on its own before it plays does not."""
     return visit.habit not in ("half-message", "hang-up") and not visit.code.startswith("bad")
 
 
 def _reckon(site: Site, fleet: Fleet, visits: list[Visit]) -> None:
-    """Put on each visit what it was worth: the class's worth for the share of the wanted seconds that played, by
-    rung and by what was missing, if it played in time."""
+    """Set the worth of each visit.
+
+    It is the class's worth times the share of the requested seconds that played, weighted by rung and reduced for
+    missing media; 0 if the visit did not start to play in time.
+    """
     by_request: dict[str, list[Stream]] = {}
-    for host in fleet.hosts + fleet.gone:
-        for request, streams in host.done.items():
+    for host in fleet.hosts + fleet.removed_hosts:
+        for request, streams in host.streams_by_request.items():
             by_request.setdefault(request, []).extend(streams)
     for visit in visits:
         cls = class_of(site, visit)
-        streams = [s for request in visit.requests for s in by_request.get(request, ())]
+        streams = [s for request in visit.request_ids for s in by_request.get(request, ())]
         visit.rungs = [rung for s in streams for rung in s.rungs]
-        if not counts(visit):
+        if not counts_for_service(visit):
             continue
-        visit.asked = cls.worth
+        visit.worth_asked = cls.worth
         visit.in_time = visit.played_after is not None and visit.played_after <= cls.aim
         played = sum(s.worth_s for s in streams) / max(0.2, visit.watch)
         visit.worth = cls.worth * max(0.0, min(1.0, played)) if visit.in_time else 0.0
 
 
-def share(visits: list[Visit]) -> float:
-    """Worth answered in time over worth asked for."""
-    asked = sum(v.asked for v in visits)
+def worth_share(visits: list[Visit]) -> float:
+    """Return the worth delivered in time divided by the worth requested."""
+    asked = sum(v.worth_asked for v in visits)
     return sum(v.worth for v in visits) / asked if asked else 0.0
 
 
 def service(site: Site, visits: list[Visit]) -> dict[str, float]:
-    """The brief's figure and its parts: whole run, worst 10 s by arrival, worst class."""
+    """Return the service figure and its parts: whole run, worst 10 s by arrival, worst class."""
     first = min((v.began for v in visits), default=0)
     windows: dict[int, list[Visit]] = {}
     classes: dict[str, list[Visit]] = {}
     for visit in visits:
-        windows.setdefault((visit.began - first) // (WINDOW * SECOND), []).append(visit)
+        windows.setdefault((visit.began - first) // (WINDOW_S * SECOND), []).append(visit)
         classes.setdefault(class_of(site, visit).name, []).append(visit)
-    whole = share(visits)
-    # the last window may hold a handful only; it is left out where there is another
+    whole = worth_share(visits)
+    # the last window may hold only a few visits; it is left out if there is another
     full = [w for n, w in sorted(windows.items()) if n < max(windows) or len(windows) == 1]
-    window = min((share(w) for w in full), default=0.0)
-    worst = min((share(c) for c in classes.values() if any(v.asked for v in c)), default=0.0)
-    mixed = MIX[0] * whole + MIX[1] * window + MIX[2] * worst
+    window = min((worth_share(w) for w in full), default=0.0)
+    worst = min((worth_share(c) for c in classes.values() if any(v.worth_asked for v in c)), default=0.0)
+    mixed = SERVICE_WEIGHTS[0] * whole + SERVICE_WEIGHTS[1] * window + SERVICE_WEIGHTS[2] * worst
     return {
         "service": round(mixed, 4),
         "whole": round(whole, 4),
@@ -224,11 +234,11 @@
 
 
 def lost_worth(site: Site, visits: list[Visit]) -> dict[str, float]:
-    """Where the worth that was asked for went, as shares of it."""
-    asked = sum(v.asked for v in visits) or 1.0
+    """Return the requested worth that was lost, by cause, as shares of the requested worth."""
+    asked = sum(v.worth_asked for v in visits) or 1.0
     causes = {"late": 0.0, "refused": 0.0, "failed": 0.0, "broken or left": 0.0, "low rung or short": 0.0}
     for v in visits:
-        lost = v.asked - v.worth
+        lost = v.worth_asked - v.worth
         if v.in_time:
             broken = v.ended.startswith("broken")
             causes["broken or left" if broken else "low rung or short"] += lost
@@ -242,11 +252,11 @@
 
 
 def trace_hash(tap: Tap) -> str:
-    """A hash of all that passed: every message, its time and place."""
+    """Return a hash of all recorded traffic: every message with its time and connection."""
     digest = hashlib.sha256()
     for kind, sides in (("viewer", tap.viewers), ("host", tap.hosts)):
         for side in sides:
-            digest.update(f"{kind} {side.place} {side.boot} {side.frames} {side.end}\n".encode())
+            digest.update(f"{kind} {side.name} {side.boot} {side.frames} {side.ended_at}\n".encode())
             for time, ours, message in side.messages:
                 what = message.method if isinstance(message, Request) else message.status
                 digest.update(f"{time} {ours} {what} {message.header('CSeq')}\n".encode())
@@ -257,7 +267,7 @@
     visits = result.visits
     statuses = Counter(s for v in visits for s in v.statuses)
     codes = Counter(code for side in fleet.tap.hosts for code in redeemed(side))
-    plays = sorted(v.played_after for v in visits if v.played_after is not None)
+    play_times = sorted(v.played_after for v in visits if v.played_after is not None)
     rungs = Counter(r for v in visits for r in v.rungs)
     return {
         "rehearsal": result.rehearsal.name,
@@ -270,21 +280,23 @@
             "denied": sum(n for s, n in statuses.items() if 400 <= s < 500 and s != 453),
         },
         "ends": dict(sorted(Counter(v.ended.split(":")[0] for v in visits).items())),
-        "in_time": round(sum(v.asked for v in visits if v.in_time) / max(1e-9, sum(v.asked for v in visits)), 4),
+        "in_time": round(
+            sum(v.worth_asked for v in visits if v.in_time) / max(1e-9, sum(v.worth_asked for v in visits)), 4
+        ),
         **service(site, visits),
         "lost": lost_worth(site, visits),
         "play_ms": {
-            name: round(plays[min(len(plays) - 1, int(q * len(plays)))] / MS, 1) if plays else None
+            name: round(play_times[min(len(play_times) - 1, int(q * len(play_times)))] / MS, 1) if play_times else None
             for name, q in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
         },
         "rungs": {str(r): n for r, n in sorted(rungs.items())},
         "redemptions": len(fleet.office.receipts),
         "redeemed_twice": sum(1 for n in codes.values() if n > 1),
         "stream_faults": sum(len(v.faults) for v in visits),
-        "attempts": len(result.tries),
-        "fallen": sum(h.model.fallen for h in fleet.hosts + fleet.gone),
+        "attempts": len(result.attempts),
+        "fallen": sum(h.model.fallen for h in fleet.hosts + fleet.removed_hosts),
         "lag_ms": round(lag * 1000, 1),
-        "void": lag > LAG_VOID,
+        "void": lag > MAX_LAG_S,
         "trace": trace_hash(fleet.tap),
         "rules": {str(rule): sum(1 for b in result.breaks if b.rule == rule) for rule in range(1, 7)},
     }
--- a/copperyard/lab/sitegen.py
+++ b/copperyard/lab/sitegen.py
@@ -1,4 +1,4 @@
-"""Makes settings of a site of any size, in the likeness of the first users' one."""
+"""Generates settings of a site of any size, modelled on the site of the first users."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 
 
 def site_xml(hosts: int, gateways: int, racks: int, titles: int, seed: int) -> bytes:
-    """Settings with so many stand-in hosts, gateways, racks and titles; a title lies on 3 to about a twelfth of the
-    hosts, the first ones, which are wanted most, on the most."""
+    """Return settings with the given numbers of stand-in hosts, gateways, racks and titles.
+
+    A title has between 3 holders and about a twelfth of the hosts; the first titles, which are the most popular, have
+    the most.
+    """
     rng = random.Random(seed)
     root = etree.Element("copperyard")
     _add(_add(root, "zones"), "zone", name="room")
--- a/copperyard/lab/strikes.py
+++ b/copperyard/lab/strikes.py
@@ -1,4 +1,4 @@
-"""The kinds of trouble: what each does to a fleet, and how it is undone."""
+"""The kinds of fault: how each is injected into a fleet and undone."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import trio
 
 from ..gateway.net import now
-from .faultnet import LOOK
-from .fleet import Fleet, Running
+from .faultnet import POLL_INTERVAL_S
+from .fleet import Fleet, GatewayHandle
 from .host import StandIn
 
 SECOND = 1_000_000_000
-LOOK_NS = int(LOOK * SECOND)
+POLL_INTERVAL_NS = int(POLL_INTERVAL_S * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
 class Whom:
-    """Who is struck: hosts by name, a drawn share of them, a rack, a zone; gateways by name or a drawn share."""
+    """The targets of a fault: hosts by name, random share, rack or zone; gateways by name, random share or zone."""
 
     hosts: tuple[str, ...] = ()
     share: float | None = None
@@ -30,76 +30,80 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
-    """One trouble: `kind` from `at` to `until` s after the doors open, `hard` in the kind's own measure; `every`
-    s it strikes again (waves, stop and go)."""
+class Fault:
+    """One fault of a `kind` from `at` to `until`, in s from the start of the rehearsal.
+
+    The unit of `strength` depends on the kind. With `every`, the fault is injected again each so many s and lasts half
+    of that time, until `until`.
+    """
 
     kind: str
     at: float
     until: float
     whom: Whom
-    hard: float
+    strength: float
     every: float | None = None
 
 
-def hosts_of(fleet: Fleet, whom: Whom, rng: random.Random) -> list[StandIn]:
-    """The hosts that a strike means; the share is drawn among those that the other words leave."""
+def select_hosts(fleet: Fleet, targets: Whom, rng: random.Random) -> list[StandIn]:
+    """Return the targeted hosts; a share is drawn from those that match the other criteria."""
     racks = fleet.site.rules.settings.racks
     found = [
         h
         for h in fleet.hosts
-        if (not whom.hosts or h.name in whom.hosts)
-        and (whom.rack is None or h.cell % racks == whom.rack)
-        and (whom.zone is None or fleet.site.zones[h.zone] == whom.zone)
+        if (not targets.hosts or h.name in targets.hosts)
+        and (targets.rack is None or h.cell % racks == targets.rack)
+        and (targets.zone is None or fleet.site.zones[h.zone] == targets.zone)
     ]
-    if whom.share is None:
+    if targets.share is None:
         return found
-    return rng.sample(found, max(1, round(whom.share * len(found)))) if found else []
+    return rng.sample(found, max(1, round(targets.share * len(found)))) if found else []
 
 
-def gateways_of(fleet: Fleet, whom: Whom, rng: random.Random) -> list[Running]:
+def select_gateways(fleet: Fleet, targets: Whom, rng: random.Random) -> list[GatewayHandle]:
+    """Return the targeted gateways; a share is drawn from those that match the other criteria."""
     found = [
         g
         for g in fleet.gateways
-        if (not whom.gateways or g.name in whom.gateways)
-        and (whom.zone is None or fleet.site.zones[g.station.rules.settings.zone] == whom.zone)
+        if (not targets.gateways or g.name in targets.gateways)
+        and (targets.zone is None or fleet.site.zones[g.station.rules.settings.zone] == targets.zone)
     ]
-    if whom.share is None:
+    if targets.share is None:
         return found
-    return rng.sample(found, max(1, round(whom.share * len(found)))) if found else []
+    return rng.sample(found, max(1, round(targets.share * len(found)))) if found else []
 
 
-async def run_strike(fleet: Fleet, strike: Strike, rng: random.Random, begin: float) -> None:
-    """Bring a trouble about at its time, and undo it."""
-    await trio.sleep_until(begin + strike.at)
-    if strike.every is None:
-        await KINDS[strike.kind](fleet, strike, rng, begin + strike.until)
+async def inject_fault(fleet: Fleet, fault: Fault, rng: random.Random, begin: float) -> None:
+    """Inject a fault at its time, and undo it."""
+    await trio.sleep_until(begin + fault.at)
+    if fault.every is None:
+        await FAULT_ACTIONS[fault.kind](fleet, fault, rng, begin + fault.until)
         return
-    while trio.current_time() < begin + strike.until:
-        end = min(begin + strike.until, trio.current_time() + strike.every / 2)
-        again = trio.current_time() + strike.every
-        await KINDS[strike.kind](fleet, strike, rng, end)
+    while trio.current_time() < begin + fault.until:
+        end = min(begin + fault.until, trio.current_time() + fault.every / 2)
+        again = trio.current_time() + fault.every
+        await FAULT_ACTIONS[fault.kind](fleet, fault, rng, end)
         await trio.sleep_until(again)
 
 
-def _held(
-    attribute: str, of_model: bool, value: Callable[[Strike], object], usual: object
-) -> Callable[[Fleet, Strike, random.Random, float], Awaitable[None]]:
-    """A trouble that sets something on each host for its time."""
+def _set_for_duration(
+    attribute: str, of_model: bool, value: Callable[[Fault], object], reset_value: object
+) -> Callable[[Fleet, Fault, random.Random, float], Awaitable[None]]:
+    """Return an action that sets an attribute of each host's model or protocol faults, and resets it at the end."""
 
-    async def strike_hosts(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-        hosts = hosts_of(fleet, strike.whom, rng)
+    async def set_hosts(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+        hosts = select_hosts(fleet, fault.whom, rng)
         for host in hosts:
-            setattr(host.model if of_model else host.faults, attribute, value(strike))
+            setattr(host.model if of_model else host.faults, attribute, value(fault))
         await trio.sleep_until(until)
         for host in hosts:
-            setattr(host.model if of_model else host.faults, attribute, usual)
+            setattr(host.model if of_model else host.faults, attribute, reset_value)
 
-    return strike_hosts
+    return set_hosts
 
 
-async def _crash(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    hosts = hosts_of(fleet, strike.whom, rng)
+async def _crash(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         fleet.crash(host)
     await trio.sleep_until(until)
@@ -107,17 +111,17 @@
         await fleet.revive(host)
 
 
-async def _zone_loss(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    gateways = [g for g in gateways_of(fleet, strike.whom, rng) if strike.hard > 1]
+async def _zone_loss(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    gateways = [g for g in select_gateways(fleet, fault.whom, rng) if fault.strength > 1]
     for one in gateways:
         fleet.kill_gateway(one)
-    await _crash(fleet, strike, rng, until)
+    await _crash(fleet, fault, rng, until)
     for one in gateways:
         await fleet.start_gateway(one)
 
 
-async def _vanish(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    hosts = hosts_of(fleet, strike.whom, rng)
+async def _vanish(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         host.faults.vanished = True
         fleet.lists.later(host, "gone")
@@ -127,8 +131,8 @@
         await fleet.revive(host)
 
 
-async def _hang(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    hosts = hosts_of(fleet, strike.whom, rng)
+async def _hang(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         host.model.pause(now(), True)
     await trio.sleep_until(until)
@@ -136,9 +140,9 @@
         host.model.pause(now(), False)
 
 
-async def _replace(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    """Drained first, as a scheduler does, taken away a while later, replaced cold under a new name."""
-    hosts = hosts_of(fleet, strike.whom, rng)
+async def _replace(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    """Drain the hosts as a scheduler does, and at the end replace them with cold ones under new names."""
+    hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         fleet.lists.later(host, "draining")
     await trio.sleep_until(until)
@@ -146,8 +150,8 @@
         await fleet.replace(host)
 
 
-async def _drain(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    hosts = hosts_of(fleet, strike.whom, rng)
+async def _drain(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         fleet.lists.later(host, "draining")
     await trio.sleep_until(until)
@@ -155,8 +159,8 @@
         fleet.lists.later(host, "ready" if host.up else "gone")
 
 
-async def _gateway_crash(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    gateways = gateways_of(fleet, strike.whom, rng)
+async def _gateway_crash(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    gateways = select_gateways(fleet, fault.whom, rng)
     for one in gateways:
         fleet.kill_gateway(one)
     await trio.sleep_until(until)
@@ -164,54 +168,54 @@
         await fleet.start_gateway(one)
 
 
-async def _gateway_stall(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    gateways = [g for g in gateways_of(fleet, strike.whom, rng) if g.network is not None]
-    held = [g.network for g in gateways if g.network is not None]
+async def _gateway_stall(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    gateways = [g for g in select_gateways(fleet, fault.whom, rng) if g.network is not None]
+    networks = [g.network for g in gateways if g.network is not None]
     begin = now()
-    for network in held:
-        network.standing = True
+    for network in networks:
+        network.stalled = True
     await trio.sleep_until(until)
-    for network in held:
-        network.standing = False
+    for network in networks:
+        network.stalled = False
     for one in gateways:
-        fleet.tap.front_stood(begin, now() + 2 * LOOK_NS, one.name)
+        fleet.tap.front_stood(begin, now() + 2 * POLL_INTERVAL_NS, one.name)
 
 
-async def _uplink(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    racks = fleet.racks if strike.whom.rack is None else [fleet.racks[strike.whom.rack]]
-    if strike.whom.share is not None:
-        racks = rng.sample(racks, max(1, round(strike.whom.share * len(racks))))
+async def _weaken_uplinks(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    racks = fleet.racks if fault.whom.rack is None else [fleet.racks[fault.whom.rack]]
+    if fault.whom.share is not None:
+        racks = rng.sample(racks, max(1, round(fault.whom.share * len(racks))))
     for rack in racks:
-        rack.weak = strike.hard
+        rack.divisor = fault.strength
     await trio.sleep_until(until)
     for rack in racks:
-        rack.weak = 1.0
+        rack.divisor = 1.0
 
 
-async def _zone_cut(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    zone = fleet.site.zones.index(strike.whom.zone or "")
-    fleet.cut.add(zone)
+async def _zone_cut(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    zone = fleet.site.zones.index(fault.whom.zone or "")
+    fleet.cut_zones.add(zone)
     await trio.sleep_until(until)
-    fleet.cut.discard(zone)
+    fleet.cut_zones.discard(zone)
 
 
-async def _list_down(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
+async def _list_down(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
     fleet.lists.fail(True)
     await trio.sleep_until(until)
     fleet.lists.fail(False)
 
 
-async def _disk_pause(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    disks = [fleet.disks[g.name] for g in gateways_of(fleet, strike.whom, rng) if g.name in fleet.disks]
+async def _disk_pause(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    disks = [fleet.disks[g.name] for g in select_gateways(fleet, fault.whom, rng) if g.name in fleet.disks]
     for disk in disks:
-        disk.pause = strike.hard
+        disk.pause = fault.strength
     await trio.sleep_until(until)
     for disk in disks:
         disk.pause = 0.0
 
 
-async def _disk_error(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    disks = [fleet.disks[g.name] for g in gateways_of(fleet, strike.whom, rng) if g.name in fleet.disks]
+async def _disk_error(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    disks = [fleet.disks[g.name] for g in select_gateways(fleet, fault.whom, rng) if g.name in fleet.disks]
     for disk in disks:
         disk.error = errno.EIO
     await trio.sleep_until(until)
@@ -219,28 +223,28 @@
         disk.error = None
 
 
-async def _power_cut(fleet: Fleet, strike: Strike, rng: random.Random, until: float) -> None:
-    """The machine of a gateway goes down, and with it what its disk had not synced."""
-    for one in gateways_of(fleet, strike.whom, rng):
+async def _power_cut(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
+    """Cut the power of a gateway's machine: data that its disk has not synced may be lost."""
+    for one in select_gateways(fleet, fault.whom, rng):
         if one.gateway is not None:
             fleet.kill_gateway(one)
             if one.name in fleet.disks:
                 fleet.disks[one.name].power_cut()
     await trio.sleep_until(until)
-    for one in gateways_of(fleet, strike.whom, rng):
+    for one in select_gateways(fleet, fault.whom, rng):
         await fleet.start_gateway(one)
 
 
-Kind = Callable[[Fleet, Strike, random.Random, float], Awaitable[None]]
-KINDS: dict[str, Kind] = {
-    "answers-lost": _held("lose_answers", False, lambda s: s.hard, 0.0),
-    "errors": _held("errors", False, lambda s: s.hard, 0.0),
-    "full": _held("full", False, lambda s: True, False),
-    "quiet-before-play": _held("quiet_before_play", False, lambda s: True, False),
-    "neighbour": _held("neighbour", True, lambda s: s.hard, 0.0),
-    "slow-origin": _held("slow", True, lambda s: s.hard, 1.0),
-    "links-weak": _held("weak", True, lambda s: s.hard, 1.0),
-    "reports-late": _held("late", True, lambda s: int(s.hard * SECOND), 0),
+FaultAction = Callable[[Fleet, Fault, random.Random, float], Awaitable[None]]
+FAULT_ACTIONS: dict[str, FaultAction] = {
+    "answers-lost": _set_for_duration("lose_answers", False, lambda s: s.strength, 0.0),
+    "errors": _set_for_duration("errors", False, lambda s: s.strength, 0.0),
+    "full": _set_for_duration("full", False, lambda s: True, False),
+    "quiet-before-play": _set_for_duration("quiet_before_play", False, lambda s: True, False),
+    "neighbour": _set_for_duration("neighbour_share", True, lambda s: s.strength, 0.0),
+    "slow-origin": _set_for_duration("setup_slowdown", True, lambda s: s.strength, 1.0),
+    "links-weak": _set_for_duration("link_divisor", True, lambda s: s.strength, 1.0),
+    "reports-late": _set_for_duration("report_delay", True, lambda s: int(s.strength * SECOND), 0),
     "crash": _crash,
     "zone-loss": _zone_loss,
     "vanish": _vanish,
@@ -249,15 +253,15 @@
     "drain": _drain,
     "gateway-crash": _gateway_crash,
     "gateway-stall": _gateway_stall,
-    "uplink-weak": _uplink,
+    "uplink-weak": _weaken_uplinks,
     "zone-cut": _zone_cut,
     "list-down": _list_down,
     "disk-pause": _disk_pause,
     "disk-error": _disk_error,
     "power-cut": _power_cut,
 }
-# what `hard` is where it is not given: a share, a multiple, or seconds, by kind
-USUAL = {
+# default of `strength` by kind: a share, a multiple or seconds
+DEFAULT_STRENGTH = {
     "answers-lost": 1.0,
     "errors": 0.8,
     "neighbour": 0.5,
@@ -267,5 +271,5 @@
     "disk-pause": 2.0,
     "uplink-weak": 2.0,
 }
-SHARES = ("answers-lost", "errors", "neighbour")
-"""Kinds whose `hard` is a share, and so at most 1."""
+SHARE_KINDS = ("answers-lost", "errors", "neighbour")
+"""Kinds whose `strength` is a share, hence at most 1."""
--- a/copperyard/lab/viewers.py
+++ b/copperyard/lab/viewers.py
@@ -1,4 +1,4 @@
-"""Scripted viewers: they open a film over RTSP as a family's app would, and misbehave as told."""
+"""Simulated viewers: they play a title over RTSP as a player app does, and misbehave according to their habit."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 from .audit import Side, Tap
 
 SECOND = 1_000_000_000
-WIRE = Limits(8192, 64, 65536, 65535, 64)
+RTSP_LIMITS = Limits(8192, 64, 65536, 65535, 64)
 HABITS = ("plain", "resend", "resend-elsewhere", "hang-up", "stop-reading", "half-message", "pause")
 
 
 @dataclass(slots=True)
 class Visit:
-    """What came of one viewer's wish, over all its tries."""
+    """The outcome of one viewer's wish to watch a title, over all its connections.
+
+    `habit` is one of HABITS. `watch` is in s, `played_after` in ns. `ended` says how the last connection ended.
+    """
 
     title: str
     code: str
     habit: str
-    began: int  # when it meant to come: a viewer that was sent late waits all the same
+    began: int  # ns, intended arrival: a delay of the load generator counts as waiting time
     watch: float = 0.0
-    requests: list[str] = field(default_factory=list)
+    request_ids: list[str] = field(default_factory=list)
     rungs: list[int] = field(default_factory=list)
-    asked: float = 0.0
+    worth_asked: float = 0.0
     worth: float = 0.0
     in_time: bool = False
     statuses: list[int] = field(default_factory=list)
@@ -43,36 +46,41 @@
 
 
 class Broken(Exception):
-    """The connection ended, or what came over it made no sense."""
+    """The connection ended, or the data on it is malformed."""
 
 
 class Client:
-    """One RTSP connection to a gateway."""
+    """A tapped RTSP connection to a gateway."""
 
     def __init__(self, stream: Stream, side: Side) -> None:
         self.stream, self.side = stream, side
-        self.wire = Connection(WIRE)
+        self.parser = Connection(RTSP_LIMITS)
         self.replies: dict[int, Response] = {}
         self.frames: list[Frame] = []
 
     async def write(self, data: bytes) -> None:
+        """Write all bytes."""
         while data:
             sent = await self.stream.send_some(data)
             self.side.sent(now(), data[:sent])
             data = data[sent:]
 
-    async def ask(self, method: str, url: str, headers: Headers = ()) -> int:
-        cseq, data = self.wire.ask(method, url, headers)
+    async def send_request(self, method: str, url: str, headers: Headers = ()) -> int:
+        """Send a request and return its CSeq."""
+        cseq, data = self.parser.ask(method, url, headers)
         await self.write(data)
         return cseq
 
     async def read(self) -> None:
-        """Take some bytes; frames and responses gather. Broken at the end."""
+        """Read some bytes and collect their frames and responses.
+
+        Raise Broken if the connection ended or a message is malformed.
+        """
         data = await self.stream.receive_some(65536)
         self.side.got(now(), data)
         if not data:
             raise Broken("closed by the gateway")
-        for event in self.wire.receive(data):
+        for event in self.parser.receive(data):
             if isinstance(event, Frame):
                 self.frames.append(event)
             elif isinstance(event, Reply):
@@ -80,44 +88,51 @@
             elif isinstance(event, Malformed):
                 raise Broken(event.text)
 
-    async def answer(self, cseq: int) -> Response:
+    async def wait_response(self, cseq: int) -> Response:
+        """Read until the response to a request arrives."""
         while cseq not in self.replies:
             await self.read()
         return self.replies.pop(cseq)
 
     async def call(self, method: str, url: str, headers: Headers = ()) -> Response:
-        return await self.answer(await self.ask(method, url, headers))
+        """Send a request and wait for its response."""
+        return await self.wait_response(await self.send_request(method, url, headers))
 
     def close(self) -> None:
+        """Close the connection and record that this end closed it."""
         self.side.ended(now(), True)
         self.stream.close()
 
 
-class Checker:
-    """Watches one track: one source, numbers without gaps, time that never runs back."""
+class TrackChecker:
+    """Checks one RTP track: a single source, sequence numbers without gaps, timestamps that do not decrease."""
 
     def __init__(self) -> None:
         self.ssrc: int | None = None
         self.seq: int | None = None
         self.ts = 0
 
-    def fault(self, payload: bytes) -> str:
+    def check(self, payload: bytes) -> str:
+        """Check the next packet; describe the fault, or return "" if there is none."""
         head = parse(payload)
         if head is None:
-            return "no RTP"
+            return "not an RTP packet"
         text = ""
         if self.ssrc is not None and head.ssrc != self.ssrc:
-            text = "the source changed"
+            text = "the SSRC changed"
         elif self.seq is not None and head.seq != self.seq:
-            text = f"packet {head.seq} where {self.seq} was due"
+            text = f"sequence number {head.seq}, expected {self.seq}"
         elif self.seq is not None and (head.ts - self.ts) & 0xFFFFFFFF > 1 << 31:
-            text = "time ran back"
+            text = "the timestamp decreased"
         self.ssrc, self.seq, self.ts = head.ssrc, head.seq + 1 & 0xFFFF, head.ts
         return text
 
 
 class Viewer:
-    """One viewer's wish for one title, through any of the gateways that `pick` names."""
+    """One viewer of one title. `pick` returns (name, address) of the gateway for the next connection.
+
+    `patience` (ns) is how long after the intended arrival it still tries again.
+    """
 
     def __init__(
         self,
@@ -132,15 +147,15 @@
         self.patience, self.random = patience, rng
 
     async def run(self, watch: float, tries: int = 4) -> None:
-        """Try until it played, was denied, or patience is at its end; then watch for `watch` s."""
+        """Try until the title plays, is denied or the patience is exhausted; watch for `watch` s once it plays."""
         visit = self.visit
         for _ in range(tries):
-            again = await self._try(watch)
-            if again is None or now() - visit.began > self.patience:
+            delay = await self._attempt(watch)
+            if delay is None or now() - visit.began > self.patience:
                 return
-            await trio.sleep(again + self.random.uniform(0.2, 0.8))
+            await trio.sleep(delay + self.random.uniform(0.2, 0.8))
 
-    async def _open(self) -> Client | None:
+    async def _connect(self) -> Client | None:
         gateway, address = self.pick()
         try:
             with trio.move_on_after(2):
@@ -150,25 +165,25 @@
             pass
         return None
 
-    async def _try(self, watch: float) -> float | None:
-        """One try; how long to wait before the next, None for no more."""
-        client = await self._open()
+    async def _attempt(self, watch: float) -> float | None:
+        """Make one try; return the delay before the next one in s, or None if there is no other."""
+        client = await self._connect()
         if client is None:
             return 1.0
         try:
             with trio.move_on_after(self.patience / SECOND + watch + 10):
-                return await self._visit(client, watch)
+                return await self._play_title(client, watch)
             self.visit.ended = "gave up"
             return None
         except (Broken, *CLOSED) as error:
-            if not client.side.end:
-                client.side.ended(now(), bool(getattr(client.stream, "fell", False)))
+            if not client.side.ended_at:
+                client.side.ended(now(), bool(getattr(client.stream, "broken_by_network", False)))
             self.visit.ended = f"broken: {error}"
             return None if self.visit.code and self.visit.statuses[-1:] in ([502], [504]) else 1.0
         finally:
             client.close()
 
-    async def _visit(self, client: Client, watch: float) -> float | None:
+    async def _play_title(self, client: Client, watch: float) -> float | None:
         visit = self.visit
         query = f"?code={visit.code}" if visit.code else ""
         url = f"rtsp://{client.stream.peer}{visit.title}{query}"
@@ -192,19 +207,19 @@
                 visit.statuses.append(answer.status)
                 return 1.0
             session = parse_session(answer.header("Session") or "")[0]
-            checkers[2 * n] = Checker()
-        named: Headers = (("Session", session),)
-        cseq = await client.ask("PLAY", url, (*named, ("Range", "npt=0-")))
-        other = await self._misbehave(client, url, named)
-        if other is None:
+            checkers[2 * n] = TrackChecker()
+        session_header: Headers = (("Session", session),)
+        cseq = await client.send_request("PLAY", url, (*session_header, ("Range", "npt=0-")))
+        repeated = await self._misbehave(client, url, session_header)
+        if repeated is None:
             return None
         async with trio.open_nursery() as nursery:
-            # beside, so that what a second connection waits for never keeps the first answer unread
+            # in parallel, so that waiting on the second connection never delays reading the first answer
             if visit.habit == "resend-elsewhere" and visit.code:
-                nursery.start_soon(self._elsewhere, url)
+                nursery.start_soon(self._resend_elsewhere, url)
             broken: Exception | None = None
             try:
-                answer = await client.answer(cseq)
+                answer = await client.wait_response(cseq)
             except (Broken, *CLOSED) as error:
                 broken = error
             nursery.cancel_scope.cancel()
@@ -216,51 +231,51 @@
         if answer.status != 200:
             visit.ended = "failed" if answer.status >= 500 else "denied"
             return None if visit.code else 1.0
-        visit.requests.append(answer.header("Request-Id") or "")
+        visit.request_ids.append(answer.header("Request-Id") or "")
         for info in parse_rtp_info(answer.header("RTP-Info") or ""):
             n = next((k for k, c in enumerate(controls) if c.split("?")[0] == info.url), 0)
             checkers[2 * n].seq, checkers[2 * n].ts = info.seq, info.rtptime
         if visit.played_after is None:
             visit.played_after = now() - visit.began
-        for twin in other:
-            if (await client.answer(twin)).status != 200:
-                visit.faults.append("a repeated PLAY was answered otherwise")
-        return await self._watch(client, url, named, checkers, watch)
+        for repeated_cseq in repeated:
+            if (await client.wait_response(repeated_cseq)).status != 200:
+                visit.faults.append("a repeated PLAY was not answered with 200")
+        return await self._watch(client, url, session_header, checkers, watch)
 
-    async def _misbehave(self, client: Client, url: str, named: Headers) -> list[int] | None:
-        """What the habit does while PLAY is out: CSeqs that wait for an answer too, None where it left."""
+    async def _misbehave(self, client: Client, url: str, session_header: Headers) -> list[int] | None:
+        """Do what the habit does while PLAY is pending; return the CSeqs of repeated PLAYs, or None if it hung up."""
         visit = self.visit
         if visit.habit == "hang-up":
             await trio.sleep(self.random.uniform(0, 0.03))
             visit.ended = "left"
             return None
         if visit.habit == "resend":
-            return [await client.ask("PLAY", url, (*named, ("Range", "npt=0-")))]
+            return [await client.send_request("PLAY", url, (*session_header, ("Range", "npt=0-")))]
         return []
 
-    async def _elsewhere(self, url: str) -> None:
-        second = await self._open()
+    async def _resend_elsewhere(self, url: str) -> None:
+        second = await self._connect()
         if second is not None:
             try:
-                await self._claim(second, url)
+                await self._resend_code(second, url)
             except (Broken, *CLOSED):
-                second.side.ended(now(), bool(getattr(second.stream, "fell", False)))
+                second.side.ended(now(), bool(getattr(second.stream, "broken_by_network", False)))
             finally:
                 second.close()
 
-    async def _claim(self, client: Client, url: str) -> None:
-        """The same code on another connection: anything but a second redemption is right."""
+    async def _resend_code(self, client: Client, url: str) -> None:
+        """Use the same code on another connection: any answer is correct as long as it is not redeemed twice."""
         path, _, query = url.split("/", 3)[-1].partition("?")
-        again = f"rtsp://{client.stream.peer}/{path}"
+        base = f"rtsp://{client.stream.peer}/{path}"
         answer = await client.call(
-            "SETUP", f"{again}/track1?{query}", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
+            "SETUP", f"{base}/track1?{query}", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
         )
         if answer.status == 200:
-            named = (("Session", parse_session(answer.header("Session") or "")[0]),)
-            await client.call("PLAY", f"{again}?{query}", named)
+            session_header = (("Session", parse_session(answer.header("Session") or "")[0]),)
+            await client.call("PLAY", f"{base}?{query}", session_header)
 
     async def _watch(
-        self, client: Client, url: str, named: Headers, checkers: dict[int, Checker], watch: float
+        self, client: Client, url: str, session_header: Headers, checkers: dict[int, TrackChecker], watch: float
     ) -> float | None:
         visit, byes, begin = self.visit, 0, now()
         paused = False
@@ -270,12 +285,12 @@
                     await trio.sleep_forever()
                 if visit.habit == "pause" and visit.frames > 10 and not paused:
                     paused = True
-                    status = (await client.call("PAUSE", url, named)).status
+                    status = (await client.call("PAUSE", url, session_header)).status
                     if status == 200:
                         await trio.sleep(0.5)
-                        status = (await client.call("PLAY", url, named)).status
+                        status = (await client.call("PLAY", url, session_header)).status
                     if status not in (200, 454, 455, 502, 504):
-                        visit.faults.append(f"a pause was answered {status}")
+                        visit.faults.append(f"unexpected status {status} for PAUSE or the PLAY after it")
                     continue
                 if not client.frames:
                     await client.read()
@@ -283,16 +298,16 @@
                 for frame in frames:
                     if frame.channel in checkers:
                         visit.frames += 1
-                        fault = checkers[frame.channel].fault(frame.payload)
+                        fault = checkers[frame.channel].check(frame.payload)
                         if fault:
                             visit.faults.append(fault)
                     else:
                         byes += any(isinstance(p, Bye) for p in parse_compound(frame.payload) or ())
         visit.ended = "watched" if scope.cancelled_caught else "film ended"
         if not scope.cancelled_caught and (now() - begin) / SECOND < 0.8 * visit.watch - 1:
-            visit.ended = "broken: the film ended early"  # its host was lost: most viewers come again
+            visit.ended = "broken: the film ended early"  # its host was lost: most viewers try again
             return self.random.uniform(0.5, 1.5)
         if visit.habit != "stop-reading":
             with trio.move_on_after(5):
-                await client.call("TEARDOWN", url, named)
+                await client.call("TEARDOWN", url, session_header)
         return None
--- a/copperyard/lab/virtual.py
+++ b/copperyard/lab/virtual.py
@@ -1,8 +1,7 @@
-"""Runs trio code on a clock that jumps when all wait, in an order that comes from a seed.
+"""Runs trio code on a virtual clock that jumps ahead when all tasks wait, with a task order determined by a seed.
 
-trio shuffles the tasks that are ready with a private random source; the order becomes the seed's by seeding
-that source and by having it sort each batch first. Both are private names of the pinned trio release: `run`
-says so plainly where they are missing.
+trio shuffles runnable tasks with a private random source. Seeding that source, and making trio sort each batch first,
+makes the order reproducible. Both are private names of the pinned trio release: `run` raises if they are missing.
 """
 
 from __future__ import annotations
@@ -17,11 +16,13 @@
 
 
 def run(main: Callable[[], Awaitable[T]], seed: int) -> T:
-    """Run to the end in virtual time. RuntimeError where this trio cannot be made to repeat itself."""
+    """Run to the end in virtual time. Raise RuntimeError if this trio release cannot be made deterministic."""
     from trio._core import _run
 
     if not hasattr(_run, "_ALLOW_DETERMINISTIC_SCHEDULING") or not hasattr(_run, "_r"):
-        raise RuntimeError(f"trio {trio.__version__} hides the order of its tasks; 0.35 is known to show it")
+        raise RuntimeError(
+            f"trio {trio.__version__} has no deterministic scheduling that can be seeded; 0.35 is known to work"
+        )
     private: Any = _run
     private._ALLOW_DETERMINISTIC_SCHEDULING = True
     private._r.seed(seed)
--- a/copperyard/lab/world.py
+++ b/copperyard/lab/world.py
@@ -1,7 +1,7 @@
-"""Seeded worlds: a whole site, its load, its troubles and its network drawn from one number, run on the virtual
-clock, audited, and checked for what is left behind.
+"""Random scenarios: a whole site with its load, faults and network, drawn from one seed.
 
-Each seed leaves out some kinds of trouble, so that rare combinations come up (swarm testing).
+A scenario runs on the virtual clock, is audited, and is checked for leftover state. Each seed omits some kinds of
+fault, so that rare combinations come up (swarm testing).
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ..protocol.rtsp import Request
 from . import virtual
 from .audit import Break, Tap
-from .fleet import Fleet, Make
+from .fleet import Fleet, GatewayFactory
 from .memnet import Manners, MemoryNetwork
 from .rehearsal import Crowd, Load, Rehearsal
 from .run import MS, Result, run_rehearsal
-from .strikes import KINDS, SHARES, USUAL, Strike, Whom
+from .strikes import DEFAULT_STRENGTH, FAULT_ACTIONS, SHARE_KINDS, Fault, Whom
 
-ON_DISKS = ("disk-pause", "disk-error", "power-cut")
+DISK_FAULTS = ("disk-pause", "disk-error", "power-cut")
 TRACKS = (
     '<track kind="video" payload-type="26" codec="JPEG" clock="90000"/>'
     '<track kind="audio" payload-type="0" codec="PCMU" clock="8000"/>'
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """All that a seed draws. `settings` is XML."""
+    """Everything that is drawn from a seed. `settings` is XML."""
 
     seed: int
     settings: str
@@ -40,25 +40,26 @@
 
     @property
     def site(self) -> Site:
+        """The parsed settings."""
         return parse(self.settings.encode())
 
 
 def draw(seed: int) -> Scenario:
-    """The scenario of a seed; the same in every process."""
+    """Return the scenario of a seed; it is the same in every process."""
     rng = random.Random(seed)
     hosts, gateways = rng.choice((1, 2, 3, 4, 6, 8)), rng.choice((1, 1, 2, 3))
     zones = rng.choice((1, 1, 2))
     racks = rng.randint(1, min(3, hosts))
-    settings = _settings(rng, hosts, gateways, zones, racks)
+    settings = _draw_settings(rng, hosts, gateways, zones, racks)
     seconds = rng.uniform(5, 10)
-    swarm = [kind for kind in KINDS if kind not in ON_DISKS and rng.random() < 0.5]
+    kinds = [kind for kind in FAULT_ACTIONS if kind not in DISK_FAULTS and rng.random() < 0.5]
     strikes = (
         tuple(
-            _strike(rng, kind, seconds, hosts, gateways, zones)
-            for kind in rng.choices(swarm, k=rng.randint(0, 6))
-            if swarm
+            _draw_fault(rng, kind, seconds, hosts, gateways, zones)
+            for kind in rng.choices(kinds, k=rng.randint(0, 6))
+            if kinds
         )
-        if swarm
+        if kinds
         else ()
     )
     crowds = (
@@ -69,31 +70,33 @@
     load = Load(
         rng.uniform(1, 9), rng.choice((0.0, 0.35, 0.7, 1.0)), (0.5, rng.uniform(1, 5)), 0.8, rng.choice((0.0, 0.3, 0.7))
     )
-    rough = rng.random() < 0.6
+    rough_network = rng.random() < 0.6
     manners = Manners(
         latency=(0.0002, rng.choice((0.001, 0.005, 0.02))),
-        chop=rng.choice((0.0, 0.2, 0.6)) * rough,
+        chop=rng.choice((0.0, 0.2, 0.6)) * rough_network,
         window=rng.choice((2000, 16_384, 65_536)),
-        hang=rng.choice((0.0, 0.0, 0.05)) * rough,
-        reset=rng.choice((0.0, 0.0, 0.06)) * rough,
-        connect=rng.choice((0.0, 0.0, 0.1)) * rough,
+        hang=rng.choice((0.0, 0.0, 0.05)) * rough_network,
+        reset=rng.choice((0.0, 0.0, 0.06)) * rough_network,
+        connect=rng.choice((0.0, 0.0, 0.1)) * rough_network,
     )
-    settings, more = _state(random.Random(f"state of {seed}"), settings, seconds)
-    strikes += more
+    settings, disk_faults = _draw_state(random.Random(f"state of {seed}"), settings, seconds)
+    strikes += disk_faults
     return Scenario(seed, settings, Rehearsal(f"seed-{seed}", "drawn", seconds, load, crowds, strikes), manners)
 
 
-def _state(rng: random.Random, settings: str, seconds: float) -> tuple[str, tuple[Strike, ...]]:
-    """Whether gateways keep state, and what befalls it. Drawn from a source of its own, so that all else of a seed
-    stays what it was."""
+def _draw_state(rng: random.Random, settings: str, seconds: float) -> tuple[str, tuple[Fault, ...]]:
+    """Draw whether gateways have durable state, and the disk faults.
+
+    They come from a random source of their own, so that the rest of a seed's scenario does not change.
+    """
     if rng.random() < 0.5:
         return settings, ()
     strikes = []
-    for kind in ON_DISKS:
+    for kind in DISK_FAULTS:
         if rng.random() < 0.4:
             at = rng.uniform(0.2, seconds - 0.5)
             strikes.append(
-                Strike(
+                Fault(
                     kind,
                     at,
                     at + rng.uniform(0.2, 3.0),
@@ -104,7 +107,7 @@
     return settings.replace("<titles>", '<state folder="state"/><titles>'), tuple(strikes)
 
 
-def _settings(rng: random.Random, hosts: int, gateways: int, zones: int, racks: int) -> str:
+def _draw_settings(rng: random.Random, hosts: int, gateways: int, zones: int, racks: int) -> str:
     rungs = rng.randint(2, 5)
     floor = rng.randrange(rungs)
     ladder = "".join(f'<rung rate="{200 * 2 ** n}kB/s" worth="{(n + 1) / rungs:.2f}"/>' for n in range(rungs))
@@ -134,7 +137,7 @@
 </copperyard>"""
 
 
-def _strike(rng: random.Random, kind: str, seconds: float, hosts: int, gateways: int, zones: int) -> Strike:
+def _draw_fault(rng: random.Random, kind: str, seconds: float, hosts: int, gateways: int, zones: int) -> Fault:
     at = rng.uniform(0.2, seconds - 0.5)
     until = at + rng.uniform(0.3, 4.0)
     share = rng.choice((0.01, 0.3, 0.6, 1.0))
@@ -143,21 +146,21 @@
         whom = Whom(zone=f"z{rng.randrange(zones)}")
     elif rng.random() < 0.3 and not kind.startswith(("gateway", "list", "uplink")):
         whom = Whom(hosts=(f"h{rng.randrange(hosts)}",))
-    hard = USUAL.get(kind, rng.choice((1.0, 2.0)))
-    if kind in SHARES:
-        hard = rng.choice((0.2, 0.6, 1.0))
+    strength = DEFAULT_STRENGTH.get(kind, rng.choice((1.0, 2.0)))
+    if kind in SHARE_KINDS:
+        strength = rng.choice((0.2, 0.6, 1.0))
     every = rng.choice((None, None, 1.0)) if kind in ("hang", "gateway-stall", "neighbour", "errors") else None
-    return Strike(kind, at, until, whom, hard, every)
+    return Fault(kind, at, until, whom, strength, every)
 
 
-def run_scenario(scenario: Scenario, make: Make | None = None) -> Result:
-    """Run it to its end on a virtual clock."""
+def run_scenario(scenario: Scenario, make: GatewayFactory | None = None) -> Result:
+    """Run a scenario to its end on a virtual clock."""
     network = MemoryNetwork(scenario.manners, scenario.seed)
     site = scenario.site
     latency = round(scenario.manners.latency[1] * 1e9)
 
     async def main() -> Result:
-        # a viewer's request and its answer each take a latency, and a chopped one several
+        # a viewer's request and its answer each take one latency, or several if reads and writes are partial
         return await run_rehearsal(
             site,
             scenario.rehearsal,
@@ -166,23 +169,26 @@
             5 * MS + 2 * latency,
             20 * MS + 12 * latency,
             make=make,
-            at_end=conserved,
+            at_end=wait_until_empty,
         )
 
     return virtual.run(main, scenario.seed)
 
 
-async def conserved(fleet: Fleet) -> list[str]:
-    """Once all viewers have gone nothing may be left of them: what still is after a generous wait, in words."""
+async def wait_until_empty(fleet: Fleet) -> list[str]:
+    """Wait until gateways and hosts hold nothing of the viewers, which have all left.
+
+    Return descriptions of what is still there after the idle and dead-host timeouts plus 8 s.
+    """
     bounds = fleet.site.rules.bounds
     found: list[str] = []
     with trio.move_on_after((bounds.idle + bounds.dead) / 1e9 + 8):
-        while found := _left(fleet):  # noqa: ASYNC110
+        while found := _leftovers(fleet):  # noqa: ASYNC110
             await trio.sleep(0.2)
     return found
 
 
-def _left(fleet: Fleet) -> list[str]:
+def _leftovers(fleet: Fleet) -> list[str]:
     found = []
     for one in fleet.gateways:
         if one.gateway is None:
@@ -190,10 +196,10 @@
         core, gateway = one.gateway.core, one.gateway
         module = core.plays.controller
         for what, held in (
-            ("wishes", core.plays.plays),
+            ("session requests", core.plays.plays),
             ("sessions", core.visits.sessions),
-            ("visitors", core.visits.visitors),
-            ("links", gateway._links),
+            ("viewer connections", core.visits.visitors),
+            ("host connections", gateway._links),
             ("module sessions", module.sessions),
             ("module holds", module.held),
             ("seats", module.seats),
@@ -201,7 +207,7 @@
             if held:
                 found.append(f"{one.name}: {len(held)} {what} left")
         if core.plays.waiting:
-            found.append(f"{one.name}: {core.plays.waiting} wishes counted as waiting")
+            found.append(f"{one.name}: {core.plays.waiting} session requests still counted as waiting")
         if any(code.ref is not None for code in core.plays.codes._codes.values()):
             found.append(f"{one.name}: a code is still bound to a request")
         if any(server.streams or server.buckets for server in module.servers.values()):
@@ -212,27 +218,27 @@
     return found
 
 
-def explain(tap: Tap, one: Break, most: int = 14) -> list[str]:
-    """The last messages of a front on all its sockets up to a break, in their order."""
-    label = one.front
+def explain(tap: Tap, violation: Break, most: int = 14) -> list[str]:
+    """Return the last `most` messages of a front on all its connections up to a violation, in order of time."""
+    label = violation.front
     rows = []
     for kind, sides in (("viewer", tap.viewers), ("host", tap.hosts)):
         for side in sides:
             mine = (
-                side.place == label.split(".")[0]
+                side.name == label.split(".")[0]
                 if kind == "viewer"
                 else any(label in (m.header("Via") or "") for _, _, m in side.messages if isinstance(m, Request))
             )
             if not mine:
                 continue
             for time, ours, message in side.messages:
-                if time <= one.time:
+                if time <= violation.time:
                     what = f"{message.method} {message.uri}" if isinstance(message, Request) else str(message.status)
                     arrow = "->" if ours == (kind == "viewer") else "<-"
                     rows.append(
                         (
                             time,
-                            f"{time / 1e9:10.4f} {kind:6} {side.place:8} {arrow} {what} "
+                            f"{time / 1e9:10.4f} {kind:6} {side.name:8} {arrow} {what} "
                             f"CSeq {message.header('CSeq')}",
                         )
                     )
@@ -240,7 +246,7 @@
 
 
 def verdict(seed: int) -> dict[str, object]:
-    """Run a seed; what a sweep over many needs to know of it."""
+    """Run a seed and return the result as a JSON object, for sweeps over many seeds."""
     scenario = draw(seed)
     result = run_scenario(scenario)
     return {
@@ -249,7 +255,7 @@
         "left": result.left[:4],
         "faults": [f for v in result.visits for f in v.faults][:3],
         "requests": len(result.visits),
-        "attempts": len(result.tries),
+        "attempts": len(result.attempts),
         "trace": result.summary["trace"],
         "kinds": sorted({s.kind for s in scenario.rehearsal.strikes}),
     }
--- a/tests/lab/helpers.py
+++ b/tests/lab/helpers.py
@@ -1,4 +1,4 @@
-"""Small sites for whole rehearsals, and how tests run them: in memory, on a virtual clock."""
+"""Builds small sites and rehearsals for tests, and runs them in memory on a virtual clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.rehearsal import Load, Rehearsal
 from copperyard.lab.run import run_rehearsal
-from copperyard.lab.strikes import USUAL, Strike, Whom
+from copperyard.lab.strikes import DEFAULT_STRENGTH, Fault, Whom
 
 MS, SECOND = 1_000_000, 1_000_000_000
 TRACKS = (
@@ -56,14 +56,14 @@
 
 
 def play(one, day, seed=1, make=None):
-    """Run a day in virtual time; its result."""
+    """Run a rehearsal in virtual time and return its result."""
     return virtual.run(lambda: run_rehearsal(one, day, MemoryNetwork(), seed, 5 * MS, 10 * MS, make=make), seed)
 
 
-def strike(kind, at, until, *hosts, hard=None, **whom):
-    """A trouble for the hosts of these numbers."""
+def fault(kind, at, until, *hosts, hard=None, **whom):
+    """Return a fault for the hosts with these numbers."""
     names = tuple(f"h{n}" for n in hosts)
-    return Strike(kind, at, until, Whom(hosts=names, **whom), USUAL.get(kind, 1.0) if hard is None else hard)
+    return Fault(kind, at, until, Whom(hosts=names, **whom), DEFAULT_STRENGTH.get(kind, 1.0) if hard is None else hard)
 
 
 def day(*strikes, rate=10.0, seconds=8.0, paid=0.4, misbehave=0.0, watch=(3.0, 5.0), crowds=()):
@@ -71,7 +71,7 @@
 
 
 def weakened(**changes):
-    """Makes gateways whose module was told other settings than the site's: a rule's defence taken out."""
+    """Return a factory of gateways whose settings differ from the site's, so that they do not enforce a rule."""
 
     def make(station, network, seed, rng):
         rules = replace(station.rules, settings=replace(station.rules.settings, **changes))
@@ -81,5 +81,5 @@
 
 
 def classes(one, **changes):
-    """The site's classes, each changed."""
+    """Return the site's classes with these changes to each."""
     return tuple(replace(c, **changes) for c in one.rules.settings.classes)
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,5 +1,4 @@
-"""The auditor proves itself: for each rule, a gateway with that defence taken out is caught, and a whole one
-is not."""
+"""Tests of the auditor: for each rule it reports a gateway that does not enforce the rule, and no intact gateway."""
 
 import pytest
 
@@ -9,7 +8,7 @@
 from copperyard.control.visits import Session
 from copperyard.interface import Effect, ListKind, ServerState
 from copperyard.lab.audit import Auditor, Tap
-from tests.lab.helpers import MS, SECOND, classes, day, play, site, strike, weakened
+from tests.lab.helpers import MS, SECOND, classes, day, fault, play, site, weakened
 
 CROWD = day()
 
@@ -19,20 +18,20 @@
 
 
 def both(one, script, make):
-    """The whole gateway keeps all rules on this day; what the other breaks."""
+    """Check that the intact gateway violates no rule in this rehearsal; return the rules that the other violates."""
     whole = play(one, script)
     assert not whole.breaks, whole.breaks[:3]
     return broken(play(one, script, make=make))
 
 
-def test_an_answer_that_never_comes_is_caught(monkeypatch):
-    script = day(strike("errors", 0.0, 5.0, 0, 1, 2, 3, hard=1.0), paid=1.0)
+def test_detects_missing_answer(monkeypatch):
+    script = day(fault("errors", 0.0, 5.0, 0, 1, 2, 3, hard=1.0), paid=1.0)
     assert not play(site(), script).breaks
     monkeypatch.setattr(Session, "failed", lambda self, now, code: None)
     assert 1 in broken(play(site(), script))
 
 
-def test_an_answer_given_twice_is_caught(monkeypatch):
+def test_detects_duplicate_answer(monkeypatch):
     assert not play(site(), CROWD).breaks
     whole = Session.played
 
@@ -45,29 +44,29 @@
     assert broken(play(site(), CROWD)) == {1}
 
 
-def test_an_answer_too_late_is_caught():
+def test_detects_late_answer():
     one = site(further="")
-    script = day(strike("hang", 1.0, 7.0, 0, 1, 2, 3))
+    script = day(fault("hang", 1.0, 7.0, 0, 1, 2, 3))
     slow = tuple(10**10 if c.effect == Effect.SAFE else c.deadline for c in one.rules.settings.classes)
     changed = classes(one, deadline=slow[0], aim=8 * 10**9)
     assert 1 in both(one, script, weakened(classes=changed))
 
 
-def test_a_paid_set_up_sent_again_is_caught():
+def test_detects_repeated_paid_setup():
     one = site()
-    script = day(strike("answers-lost", 2.0, 7.0, 0, 1, 2, 3, hard=0.5), rate=16.0)
+    script = day(fault("answers-lost", 2.0, 7.0, 0, 1, 2, 3, hard=0.5), rate=16.0)
     assert 2 in both(one, script, weakened(classes=classes(one, effect=Effect.SAFE)))
 
 
-def test_a_code_carried_twice_is_caught(monkeypatch):
+def test_detects_code_sent_twice(monkeypatch):
     script = day(misbehave=0.9, paid=1.0, rate=8.0)
     assert not play(site(), script).breaks
     monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: Verdict.REDEEM)
     assert 2 in broken(play(site(), script))
 
 
-def test_two_attempts_out_at_once_are_caught(monkeypatch):
-    script = day(strike("answers-lost", 1.0, 6.0, 0, 1), paid=0.0)
+def test_detects_concurrent_attempts(monkeypatch):
+    script = day(fault("answers-lost", 1.0, 6.0, 0, 1), paid=0.0)
     assert not play(site(), script).breaks
     whole = Plays._send
 
@@ -84,8 +83,8 @@
     assert 2 in broken(play(site(), script))
 
 
-def test_work_for_a_draining_host_is_caught(monkeypatch):
-    script = day(strike("drain", 2.0, 8.0, 0))
+def test_detects_setup_on_draining_host(monkeypatch):
+    script = day(fault("drain", 2.0, 8.0, 0))
     assert not play(site(), script).breaks
     whole = Plays.listed
 
@@ -97,8 +96,8 @@
     assert broken(play(site(), script)) == {3}
 
 
-def test_a_drain_heard_while_connecting_is_kept_by_the_last_look(monkeypatch):
-    # connects take 300 ms, longer than the grace: what the module sent before it heard would leave after it
+def test_drain_during_connect_is_respected_by_last_check(monkeypatch):
+    # connects take 300 ms, longer than the grace: an attempt decided before the drain was known would be sent too late
     from copperyard.lab import virtual
     from copperyard.lab.memnet import Manners, MemoryNetwork
     from copperyard.lab.run import run_rehearsal
@@ -106,7 +105,7 @@
 
     one = site(further="", grace="50ms")
     slow = weakened(connect_timeout=10**9)
-    script = day(strike("drain", 3.0, 8.0, 0, 1, 2), rate=40.0, seconds=5.0, watch=(0.5, 1.0))
+    script = day(fault("drain", 3.0, 8.0, 0, 1, 2), rate=40.0, seconds=5.0, watch=(0.5, 1.0))
 
     def run():
         network = MemoryNetwork(Manners(connect=0.3))
@@ -117,35 +116,35 @@
     assert 3 in broken(run())
 
 
-def test_a_cold_host_pushed_over_is_caught():
+def test_detects_overloaded_cold_host():
     one = site(hosts=2, gateways=3, places=24, link="90MB/s", scale="0.001", warm="6s")
-    script = day(strike("crash", 1.0, 3.0, 0, 1), rate=24.0, seconds=9.0, paid=0.0)
+    script = day(fault("crash", 1.0, 3.0, 0, 1), rate=24.0, seconds=9.0, paid=0.0)
     assert 4 in both(one, script, weakened(warm_within=1))
 
 
-def test_a_floor_and_seats_not_kept_are_caught():
+def test_detects_violated_floor_and_seats():
     one = site(seats=3, titles=1, link="1MB/s")
     assert both(one, CROWD, weakened(classes=classes(one, floor=0))) == {5}
     assert both(one, CROWD, weakened(classes=classes(one, seats=0))) == {5}
 
 
-def test_a_ration_overspent_is_caught():
+def test_detects_exceeded_retry_budget():
     one = site(hosts=24)
-    script = day(strike("errors", 2.0, 5.0, *range(24), hard=1.0), paid=0.0)
+    script = day(fault("errors", 2.0, 5.0, *range(24), hard=1.0), paid=0.0)
     assert both(one, script, weakened(free_resends=None)) == {6}
 
 
 @pytest.mark.parametrize("seed", [2, 3])
-def test_a_day_is_the_same_day_for_the_same_seed(seed):
-    script = day(strike("errors", 1.0, 8.0, 0, 1, hard=0.5), strike("crash", 2.0, 4.0, 2))
+def test_same_seed_gives_same_result(seed):
+    script = day(fault("errors", 1.0, 8.0, 0, 1, hard=0.5), fault("crash", 2.0, 4.0, 2))
     first, again = (play(site(gateways=2), script, seed) for _ in range(2))
     assert first.summary == again.summary and first.visits == again.visits
     assert first.visits != play(site(gateways=2), script, seed + 10).visits
 
 
 @pytest.mark.parametrize("killed, excused", [(None, False), (1, False), (2, True), (4, True), (7, True), (9, False)])
-def test_only_a_death_between_a_connections_begin_and_the_answers_time_excuses_it(killed, excused):
-    # connected at 2 s, asked at 4 s and never answered: due by 9 s
+def test_missing_answer_is_excused_only_by_kill_between_connect_and_deadline(killed, excused):
+    # connected at 2 s, request at 4 s, never answered: the answer was due by 9 s
     one, tap = site(), Tap()
     side = tap.viewer_connection("gw-0")
     side.sent(2 * SECOND, b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n")
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -1,4 +1,4 @@
-"""The scripted bad day in virtual time: no rule broken, whatever the seed, and it is bad indeed."""
+"""The scripted bad day in virtual time: no seed violates a rule, and the faults do take effect."""
 
 from pathlib import Path
 
@@ -14,11 +14,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_bad_day_keeps_all_rules(seed):
+def test_bad_day_violates_no_rule(seed):
     result = play(SITE, BAD, seed)
     assert not result.breaks, result.breaks
     summary = result.summary
     assert summary["redeemed_twice"] == 0 and summary["stream_faults"] <= 1
     assert summary["requests"] > 200 and summary["in_time"] > 0.8
-    assert summary["attempts"] > summary["answers"]["played"] + 10  # the troubles did strike
+    assert summary["attempts"] > summary["answers"]["played"] + 10  # the faults took effect
     assert {"broken", "left", "watched"} <= set(summary["ends"])
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator's model against what is known in closed form, and the edges of what it does."""
+"""Tests of the emulator's model against closed-form results, and at its limits."""
 
 import math
 import random
@@ -12,23 +12,23 @@
 
 
 def model(settings=None, rack=None, **spec):
-    made = {"link": 10_000.0, "places": 20, "off": 0.0, **spec}
+    made = {"link": 10_000.0, "places": 20, "rate_error": 0.0, **spec}
     return HostModel(HostSpec(**made), settings or helpers.settings(), rack or RackModel(1e9), 5)
 
 
 def mean_wait(one, rate, n=60_000, seed=7):
-    """Mean time in the queue, in service times of 10 ms, of n Poisson arrivals at `rate` a second."""
+    """Return the mean time in the queue, in s, of n Poisson arrivals at `rate` a second."""
     rng, now, waited = random.Random(seed), 0.0, 0.0
     for _ in range(n):
         now += rng.expovariate(rate) * 1e9
-        before = sorted(one._cores)
+        before = sorted(one._core_free_at)
         waited += max(0.0, before[0] - now)
-        assert one.queue_up(int(now)) is not None
+        assert one.enqueue(int(now)) is not None
     return waited / n / 1e9
 
 
 def erlang_wait(rate, service, cores):
-    """Mean wait of M/M/c."""
+    """Return the mean wait of M/M/c, in s."""
     a = rate * service
     top = a**cores / math.factorial(cores) * cores / (cores - a)
     busy = top / (sum(a**k / math.factorial(k) for k in range(cores)) + top)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.8])
-def test_one_core_waits_as_pollaczek_and_khinchine_say(load):
+def test_wait_on_one_core_matches_pollaczek_khinchine(load):
     for spread in (0.0, 0.5):  # M/D/1 and M/G/1
         one = model(cores=1, service=10 * MS, spread=spread, queue=100_000)
         second = 0.01**2 * math.exp(spread**2)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("cores, load", [(2, 0.7), (4, 0.8)])
-def test_many_cores_wait_as_erlang_says(cores, load, monkeypatch):
+def test_wait_on_several_cores_matches_erlang_c(cores, load, monkeypatch):
     one = model(cores=cores, service=10 * MS, spread=0.4, queue=100_000)
     work = random.Random(51)
     monkeypatch.setattr(one.random, "lognormvariate", lambda mu, sigma: work.expovariate(1.0))
@@ -53,13 +53,13 @@
     assert mean_wait(one, rate, 150_000, 1) == pytest.approx(erlang_wait(rate, 0.01, cores), rel=0.1)
 
 
-def test_a_full_queue_turns_away_and_empties_again():
+def test_full_queue_rejects_until_it_drains():
     one = model(cores=1, service=10 * MS, spread=0.0, queue=2)
-    assert [one.queue_up(0) is not None for _ in range(5)] == [True, True, True, False, False]
-    assert one.queue_up(11 * MS) is not None
+    assert [one.enqueue(0) is not None for _ in range(5)] == [True, True, True, False, False]
+    assert one.enqueue(11 * MS) is not None
 
 
-def test_all_sessions_get_the_same_share_of_link_and_uplink():
+def test_sessions_share_link_and_uplink_equally():
     rack = RackModel(1500.0)
     one, other = model(rack=rack, link=1000.0), model(rack=rack, link=10_000.0)
     streams = [one.open(0, "f", 0, n, 2) for n in range(5)]  # 400 kB/s each
@@ -67,36 +67,36 @@
         one.play(0, stream, True)
     assert one.load() == 2.0 and one.share() == 0.5 and other.share() == pytest.approx(0.75)
     for stream in streams:
-        one.tick(SECOND, stream)
-    # half is missing: 48 points under 98, times the price of 8, is more than all
+        one.account(SECOND, stream)
+    # half is missing: 0.48 below 0.98, times the cost of 8, exceeds the whole worth
     assert streams[0].worth_s == 0.0 and streams[0].starved_s == 1.0
-    one.step(SECOND, streams[0], 0)
-    assert one.asked() == 1700.0
+    one.change_rung(SECOND, streams[0], 0)
+    assert one.demand() == 1700.0
     one.close(SECOND, streams[1])
-    assert one.asked() == 1300.0 and len(one.streams) == 4
+    assert one.demand() == 1300.0 and len(one.streams) == 4
 
 
-def test_viewers_of_a_live_title_share_a_stream():
+def test_viewers_of_live_title_share_a_stream():
     one = model()
     streams = [one.open(0, "f", 2, 7, 1) for _ in range(3)]
     for stream in streams:
         one.play(0, stream, True)
-    assert one.asked() == pytest.approx(200.0 * 1.3)
+    assert one.demand() == pytest.approx(200.0 * 1.3)
     for stream in streams:
         one.close(0, stream)
-    assert one.asked() == pytest.approx(0.0) and not one._shared
+    assert one.demand() == pytest.approx(0.0) and not one._live_viewers
 
 
 @pytest.mark.parametrize("extra, stands", [(0, True), (1, False)])
-def test_a_cold_host_falls_just_past_its_budget(extra, stands):
+def test_cold_host_fails_just_above_its_limit(extra, stands):
     one = model(places=20)
     one.restart(SECOND)
-    # 3 x 20 places x 0.4 warm x 3 s / 12 s = 6 set-ups, and one for chance
+    # 3 x 20 places x 0.4 warm x 3 s / 12 s = 6 set-ups, and one of tolerance
     results = [one.arrive(SECOND) for _ in range(7 + extra)]
     assert results[-1] is stands and one.fallen is not stands
 
 
-def test_it_warms_in_a_straight_line_and_a_warm_one_never_falls():
+def test_warm_up_is_linear_and_warm_host_never_fails():
     one = model()
     one.restart(SECOND)
     assert one.warmth(SECOND) == 0.4 and one.warmth(7 * SECOND) == pytest.approx(0.7)
@@ -104,33 +104,33 @@
     assert all(one.arrive(20 * SECOND) for _ in range(1000))
 
 
-def test_a_pause_moves_all_that_waits():
+def test_pause_delays_queued_setups():
     one = model(cores=1, service=10 * MS, spread=0.0)
-    first, second = one.queue_up(0), one.queue_up(0)
+    first, second = one.enqueue(0), one.enqueue(0)
     one.pause(5 * MS, True)
     assert one.share() == 0.0
     one.pause(105 * MS, False)
     assert (first.done, second.done) == (110 * MS, 120 * MS) and one.share() == 1.0
 
 
-def test_reports_are_as_old_as_they_say():
-    one = model(refresh=300 * MS, smooth=100 * MS)
+def test_reports_lag_by_interval_and_delay():
+    one = model(report_interval=300 * MS, report_window=100 * MS)
     for tick in range(100):
         if tick == 50:
-            one.neighbour = 0.5
+            one.neighbour_share = 0.5
         one.sample(tick * 100 * MS)
     assert one.report(5400 * MS)[0] == 0.5 and one.report(5000 * MS)[0] == 0.0
-    one.late = 3 * SECOND
+    one.report_delay = 3 * SECOND
     assert one.report(7900 * MS)[0] == 0.0 and one.report(8400 * MS)[0] == 0.5
-    assert one.told_share(9 * SECOND, SECOND) == 1.0
+    assert one.reported_share(9 * SECOND, SECOND) == 1.0
 
 
-def test_a_restart_forgets_all():
+def test_restart_clears_all_state():
     one = model()
     stream = one.open(0, "f", 0, 1, 1)
     one.play(0, stream, True)
-    one.weak = 3.0
+    one.link_divisor = 3.0
     one.restart(5 * SECOND)
-    assert (one.asked(), one.weak, one.started, len(one.streams)) == (0.0, 1.0, 5 * SECOND, 0)
-    one.close(6 * SECOND, stream)  # what its connection still had to say
-    assert one.asked() == 0.0
+    assert (one.demand(), one.link_divisor, one.started, len(one.streams)) == (0.0, 1.0, 5 * SECOND, 0)
+    one.close(6 * SECOND, stream)  # an event of a connection from before the restart
+    assert one.demand() == 0.0
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Rehearsals: mistakes told before anything starts, every incident of the library good, hard cases, experiments."""
+"""Tests of rehearsals: mistakes are reported before the start, example incidents are valid, hard cases, experiments."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.rehearsal import Crowd, load_rehearsal, parse_rehearsal
 from copperyard.lab.run import run_rehearsal
-from tests.lab.helpers import MS, day, play, site, strike
+from tests.lab.helpers import MS, day, fault, play, site
 
 ROOT = Path(__file__).parent.parent.parent
 CARUSO = load(str(ROOT / "examples" / "caruso.xml"))
@@ -47,7 +47,7 @@
         ('<crowd at="50s" viewers="30" title="/classes/1"/>', "lies past the end"),
     ],
 )
-def test_mistakes_are_told_with_line_and_value_before_anything_starts(line, wanted):
+def test_mistakes_are_reported_with_line_and_value(line, wanted):
     with pytest.raises(BadSettings) as caught:
         parse_rehearsal((HEAD + line + "\n</rehearsal>").encode(), CARUSO, "r.xml")
     assert wanted in str(caught.value) and str(caught.value).startswith("r.xml:line ")
@@ -55,19 +55,19 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"<x/>", b"<!DOCTYPE rehearsal><rehearsal/>"])
-def test_what_is_no_rehearsal(data):
+def test_rejects_other_documents(data):
     with pytest.raises(BadSettings):
         parse_rehearsal(data, CARUSO)
 
 
 @pytest.mark.parametrize("path", INCIDENTS, ids=lambda p: p.stem)
-def test_every_incident_of_the_library_is_good_and_teaches_something(path):
+def test_example_incidents_are_valid(path):
     floors = "three-floors" in path.read_text()
     found = load_rehearsal(str(path), FLOORS if floors else CARUSO)
     assert found.name == path.stem and len(found.teaches) > 20 and (found.strikes or found.crowds)
 
 
-def test_the_library_has_every_kind_of_the_bench():
+def test_example_incidents_cover_fault_kinds():
     kinds = {
         s.kind
         for p in INCIDENTS
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("name", ["zone-loss", "replaced-in-waves", "gateway-stall", "vanish", "answers-lost"])
-def test_hard_incidents_keep_the_rules(name):
+def test_hard_incidents_violate_no_rule(name):
     path = ROOT / "examples" / "incidents" / f"{name}.xml"
     where = FLOORS if "three-floors" in path.read_text() else CARUSO
     result = play(where, load_rehearsal(str(path), where), 2)
@@ -105,20 +105,20 @@
     assert result.summary["redeemed_twice"] == 0 and result.summary["in_time"] > 0.5
 
 
-def test_a_cold_host_hit_by_every_gateway_at_once_stands_with_the_module_and_falls_without():
+def test_module_protects_cold_host_from_simultaneous_gateways():
     one = site(hosts=1, gateways=12, places=40, link="90MB/s", scale="0.001", warm="10s", further="")
-    script = day(strike("crash", 1.0, 3.0, 0), rate=10.0, seconds=8.0, paid=0.0, crowds=(Crowd(3.2, 0.5, 60, "/f/0"),))
+    script = day(fault("crash", 1.0, 3.0, 0), rate=10.0, seconds=8.0, paid=0.0, crowds=(Crowd(3.2, 0.5, 60, "/f/0"),))
     assert play(one, script).summary["fallen"] == 0
-    make = baselines.maker("reckless")
+    make = baselines.gateway_factory("reckless")
     reckless = virtual.run(
-        lambda: run_rehearsal(one, script, MemoryNetwork(), 1, 5 * MS, 10 * MS, make=make, fleet_made=make.see), 1
+        lambda: run_rehearsal(one, script, MemoryNetwork(), 1, 5 * MS, 10 * MS, make=make, fleet_made=make.attach), 1
     )
     assert reckless.summary["fallen"] == 1
 
 
-def test_a_gateway_that_stands_still_blames_no_host():
+def test_stalled_gateway_blames_no_host():
     lines = []
-    script = day(*(strike("gateway-stall", 1.5 + n, 2.4 + n, gateways=("gw-0",)) for n in range(0, 6, 2)), paid=0.0)
+    script = day(*(fault("gateway-stall", 1.5 + n, 2.4 + n, gateways=("gw-0",)) for n in range(0, 6, 2)), paid=0.0)
 
     async def main():
         return await run_rehearsal(
@@ -136,7 +136,7 @@
     assert sum("on trial" in text for event, text in lines if event == "module") <= 4
 
 
-def test_every_policy_runs_and_the_module_is_far_above_a_random_choice():
+def test_policies_run_and_module_beats_random_choice():
     text = (ROOT / "examples" / "caruso.xml").read_bytes()
     incident = (
         b'<rehearsal name="x" teaches="y" seconds="10"><load rate="12" paid="0.35"/>'
@@ -149,7 +149,7 @@
     assert found["module"] > 1.5 * found["random"] and found["full-view"] > found["random"] and found["middle"] > 0
 
 
-def test_the_same_seed_is_the_same_trace_in_another_process_with_another_hash_seed():
+def test_trace_does_not_depend_on_process_or_hash_seed():
     words = [
         sys.executable,
         "-m",
@@ -170,7 +170,7 @@
     assert len(traces) == 1
 
 
-def test_an_experiment_writes_its_page_and_its_records(tmp_path):
+def test_experiment_writes_report_and_records(tmp_path):
     incident = tmp_path / "small.xml"
     incident.write_text(
         '<rehearsal name="small" teaches="that it runs" seconds="5"><load rate="6" paid="0.3"/>'
@@ -206,7 +206,7 @@
     assert CliRunner().invoke(app, ["lab", "compare", str(tmp_path / "a"), str(tmp_path / "b")]).exit_code == 0
 
 
-def test_words_of_an_experiment_that_name_nothing(tmp_path):
+def test_experiment_rejects_unknown_arguments(tmp_path):
     incident = str(INCIDENTS[0])
     run = CliRunner().invoke
     assert run(app, ["lab", "run", incident, "--policy", "magic"]).exit_code == 2
@@ -216,7 +216,7 @@
     assert run(app, ["lab", "compare", str(tmp_path), str(tmp_path)]).exit_code == 2
 
 
-def test_a_difference_under_its_noise_is_a_tie():
+def test_difference_below_noise_is_a_tie():
     def rows(*values):
         return [{"seed": n, **{f: v for f in experiment.FIGURES}} for n, v in enumerate(values)]
 
@@ -227,19 +227,19 @@
         experiment.compare(rows(0.5), [{"seed": 7}])
 
 
-def test_settings_are_changed_by_path():
+def test_changes_settings_by_path():
     text = (ROOT / "examples" / "caruso.xml").read_bytes()
     assert parse(experiment.changed(text, ["rules/attempts=2"], "x")).rules.settings.max_attempts == 2
 
 
 @pytest.mark.parametrize("places", [1, 2, 8])
-def test_all_fronts_start_within_a_second_while_all_hosts_are_cold(places):
-    # nobody knows what its earlier life sent, the list tells late, and each host takes a set-up or two
+def test_all_fronts_restart_while_all_hosts_are_cold(places):
+    # restarted fronts do not know what they sent before, the list is late, and each host takes only a set-up or two
     one = site(hosts=3, gateways=3, places=places, warm="6s", link="90MB/s")
     script = day(
-        strike("crash", 1.0, 2.0, 0, 1, 2),
-        strike("gateway-crash", 2.05, 2.5, share=1.0),
-        strike("gateway-crash", 4.0, 4.3, share=0.5),
+        fault("crash", 1.0, 2.0, 0, 1, 2),
+        fault("gateway-crash", 2.05, 2.5, share=1.0),
+        fault("gateway-crash", 4.0, 4.3, share=0.5),
         rate=14.0,
         seconds=9.0,
         paid=0.0,
@@ -248,5 +248,5 @@
     for seed in (1, 2):
         found = play(one, script, seed)
         assert not found.breaks, (seed, found.breaks[:2])
-        late = [t for t in found.tries if t.time > 3 * 10**9]
+        late = [t for t in found.attempts if t.time > 3 * 10**9]
         assert late, "cold hosts are used all the same"
--- a/tests/lab/test_tools.py
+++ b/tests/lab/test_tools.py
@@ -1,4 +1,4 @@
-"""The load tool against a running site, made sites, sweeps."""
+"""Tests of the load generator against a running site, of generated sites and of sweeps."""
 
 import json
 import subprocess
@@ -16,13 +16,13 @@
 run = CliRunner().invoke
 
 
-def test_a_made_site_is_good_settings_of_its_size():
+def test_generated_site_is_valid_and_has_requested_size():
     site = parse(site_xml(40, 5, 4, 20, 1))
     assert (len(site.lab.hosts), len(site.gateways), site.rules.settings.racks, len(site.titles)) == (40, 5, 4, 20)
     assert site_xml(40, 5, 4, 20, 1) == site_xml(40, 5, 4, 20, 1) != site_xml(40, 5, 4, 20, 2)
 
 
-def test_the_load_tool_plays_at_running_gateways_and_counts_from_the_intended_start():
+def test_load_generator_plays_at_running_gateways():
     up = subprocess.Popen(
         [sys.executable, "-m", "copperyard.cli.main", "lab", "up", SETTINGS, "--for", "60s"],
         stdout=subprocess.PIPE,
@@ -59,12 +59,12 @@
         up.wait()
 
 
-def test_load_goes_to_loopback_only():
+def test_load_generator_accepts_only_loopback():
     for place in ("rtsp://10.0.0.1:554", "rtsp://example.org:554", "rtsp://127.0.0.1"):
         assert run(app, ["lab", "load", place, "--title", "/a"]).exit_code == 2
 
 
-def test_a_sweep_holds_each_value_against_the_first(tmp_path):
+def test_sweep_compares_values_with_the_first(tmp_path):
     incident = tmp_path / "small.xml"
     incident.write_text('<rehearsal name="small" teaches="that it runs" seconds="4"><load rate="5"/></rehearsal>')
     words = ["lab", "sweep", str(incident), "--settings", SETTINGS, "--repeat", "2", "--over"]
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -1,4 +1,4 @@
-"""Drawn worlds: no rule broken and nothing left on a fixed set of seeds; planted defects are found by seeds."""
+"""Tests of random scenarios: a fixed set of seeds violates no rule and leaves no state; seeds find injected defects."""
 
 import pytest
 from typer.testing import CliRunner
@@ -11,11 +11,11 @@
 from copperyard.lab import world
 from copperyard.lab.memnet import MemoryNetwork
 
-# seeds that once found something, and what: 38 and 65 a viewer dropped as stalled after its gateway stood still;
-# 60 and 91 strikes that met at one gateway or host; 63 and 247 a viewer of ours that read its answer late;
-# 1079, 1265, 9000196 and 9001153 a cold host of few places that got more than it takes; 9000568, 9000969 and 9001469
-# news of an end that lay unread when a front that had stood still went on; 1869 a killed gateway of a cut zone that
-# still took connections; 3091 an attempt that was overtaken on its way by its successor
+# Seeds that once found a defect: 38 and 65, a viewer dropped as stalled after its gateway was stalled; 60 and 91, two
+# faults with the same gateway or host as target; 63 and 247, a simulated viewer that read its answer late; 1079, 1265,
+# 9000196 and 9001153, a cold host with few places that got more set-ups than it can take; 9000568, 9000969 and 9001469,
+# a list update about the end of a host that was still unread when a stalled front resumed; 1869, a killed gateway of a
+# cut-off zone that still accepted connections; 3091, an attempt that was overtaken by its successor.
 CORPUS = (
     1869,
     3091,
@@ -41,12 +41,12 @@
 
 
 @pytest.mark.parametrize("seed", [*CORPUS, *range(1, 25)])
-def test_no_seed_of_the_fixed_set_breaks_a_rule_or_leaves_anything(seed):
+def test_fixed_seeds_violate_no_rule_and_leave_nothing(seed):
     found = world.verdict(seed)
     assert not found["breaks"] and not found["left"] and not found["faults"], found
 
 
-def test_a_seed_is_one_world_and_one_trace():
+def test_seed_determines_scenario_and_trace():
     assert world.draw(7) == world.draw(7) != world.draw(8)
     assert world.verdict(7) == world.verdict(7)
 
@@ -56,7 +56,7 @@
 
 
 def found_within(seeds):
-    """The first seed that finds something, None where none does."""
+    """Return the first seed that finds something and its result, or None."""
     for seed in seeds:
         found = world.verdict(seed)
         if found["breaks"] or found["left"] or found["faults"]:
@@ -64,12 +64,12 @@
     return None
 
 
-def test_an_answer_forgotten_after_a_failure_is_found(monkeypatch):
+def test_finds_missing_answer_after_failure(monkeypatch):
     monkeypatch.setattr(Session, "failed", lambda self, now, code: None)
     assert found_within(range(1, 60)) is not None
 
 
-def test_a_code_that_is_never_bound_is_found(monkeypatch):
+def test_finds_code_that_is_never_bound(monkeypatch):
     from copperyard.control.redemption import Verdict
 
     monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: Verdict.REDEEM)
@@ -77,7 +77,7 @@
     assert "rule 2" in found["breaks"][0]
 
 
-def test_a_list_that_is_not_listened_to_is_found(monkeypatch):
+def test_finds_ignored_list_updates(monkeypatch):
     monkeypatch.setattr(HostBook, "may_start", lambda self, server, decided=None: True)
     whole = Plays.listed
     monkeypatch.setattr(
@@ -89,7 +89,7 @@
     assert found["breaks"] or found["left"]
 
 
-def test_a_list_left_unread_after_standing_still_is_found(monkeypatch):
+def test_finds_list_left_unread_after_stall(monkeypatch):
     from copperyard.gateway.listing import Follower
 
     async def passes(self, most):
@@ -100,18 +100,18 @@
     assert any("rule 3" in text for seed in (9000568, 9000969, 9001469) for text in breaks(seed))
 
 
-def test_a_host_not_asked_how_long_it_is_up_is_found(monkeypatch):
+def test_finds_missing_check_of_host_uptime(monkeypatch):
     monkeypatch.setattr(HostBook, "sure", lambda self, now, server: True)
     assert any("rule 4" in text for seed in (1265, *range(1000, 1060)) for text in breaks(seed))
 
 
-def test_a_wish_that_is_never_dropped_is_found(monkeypatch):
+def test_finds_session_request_that_is_never_removed(monkeypatch):
     monkeypatch.setattr(Plays, "leave", lambda self, now, ref: None)
     seed, found = found_within(range(1, 20))
     assert found["left"] or found["breaks"]
 
 
-def test_the_network_in_memory_cuts_and_keeps_the_order():
+def test_memory_network_splits_data_and_keeps_order():
     import trio
 
     from copperyard.lab import virtual
@@ -141,7 +141,7 @@
     assert virtual.run(main, 1) > 0.02
 
 
-def test_the_commands():
+def test_seed_commands():
     run = CliRunner().invoke
     assert run(app, ["lab", "seed", "3"]).exit_code == 0
     assert run(app, ["lab", "seeds", "1..4"]).exit_code == 0
