--- a/copperyard/lab/rehearsal.py
+++ b/copperyard/lab/rehearsal.py
@@ -92,8 +92,8 @@
         )
     crowds = tuple(_parse_crowd(element, site, seconds, mistakes) for element in root.iterfind("crowd"))
     elements = list(root.iterfind("strike"))
-    strikes = tuple(_parse_fault(one, site, seconds, mistakes) for one in elements)
-    for (one, first), (other_element, second) in combinations(zip(elements, strikes, strict=True), 2):
+    faults = tuple(_parse_fault(one, site, seconds, mistakes) for one in elements)
+    for (one, first), (other_element, second) in combinations(zip(elements, faults, strict=True), 2):
         same = first.kind == second.kind and first.whom == second.whom
         if same and first.at < second.until and second.at < first.until:
             mistakes.append(
@@ -101,7 +101,7 @@
             )
     if mistakes:
         raise BadSettings(name, mistakes)
-    return Rehearsal(str(root.attrib["name"]), str(root.attrib["teaches"]), seconds, load, crowds, strikes)
+    return Rehearsal(str(root.attrib["name"]), str(root.attrib["teaches"]), seconds, load, crowds, faults)
 
 
 def _attrs(element: etree._Element) -> dict[str, str]:
--- a/copperyard/lab/run.py
+++ b/copperyard/lab/run.py
@@ -99,8 +99,8 @@
         begin = trio.current_time()
         nursery.start_soon(_sample_hosts, fleet, begin, host_seconds)
         async with trio.open_nursery() as crowd:
-            for n, strike in enumerate(rehearsal.strikes):
-                crowd.start_soon(inject_fault, fleet, strike, random.Random(seed * 31 + n), begin)
+            for n, fault in enumerate(rehearsal.strikes):
+                crowd.start_soon(inject_fault, fleet, fault, random.Random(seed * 31 + n), begin)
             await _arrivals(fleet, rehearsal, rng, visits, crowd, begin)
         await trio.sleep(1.0)
         left = await at_end(fleet) if at_end is not None else []
--- a/copperyard/lab/viewers.py
+++ b/copperyard/lab/viewers.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Visit:
-    """The outcome of one viewer's wish to watch a title, over all its connections.
+    """The outcome of one viewer's attempt to watch a title, over all its connections.
 
     `habit` is one of HABITS. `watch` is in s, `played_after` in ns. `ended` says how the last connection ended.
     """
@@ -74,7 +74,7 @@
     async def read(self) -> None:
         """Read some bytes and collect their frames and responses.
 
-        Raise Broken if the connection ended or a message is malformed.
+        Raise an error if the connection ended or a message is malformed.
         """
         data = await self.stream.receive_some(65536)
         self.side.got(now(), data)
--- a/copperyard/lab/world.py
+++ b/copperyard/lab/world.py
@@ -53,7 +53,7 @@
     settings = _draw_settings(rng, hosts, gateways, zones, racks)
     seconds = rng.uniform(5, 10)
     kinds = [kind for kind in FAULT_ACTIONS if kind not in DISK_FAULTS and rng.random() < 0.5]
-    strikes = (
+    faults = (
         tuple(
             _draw_fault(rng, kind, seconds, hosts, gateways, zones)
             for kind in rng.choices(kinds, k=rng.randint(0, 6))
@@ -80,8 +80,8 @@
         connect=rng.choice((0.0, 0.0, 0.1)) * rough_network,
     )
     settings, disk_faults = _draw_state(random.Random(f"state of {seed}"), settings, seconds)
-    strikes += disk_faults
-    return Scenario(seed, settings, Rehearsal(f"seed-{seed}", "drawn", seconds, load, crowds, strikes), manners)
+    faults += disk_faults
+    return Scenario(seed, settings, Rehearsal(f"seed-{seed}", "drawn", seconds, load, crowds, faults), manners)
 
 
 def _draw_state(rng: random.Random, settings: str, seconds: float) -> tuple[str, tuple[Fault, ...]]:
@@ -91,11 +91,11 @@
     """
     if rng.random() < 0.5:
         return settings, ()
-    strikes = []
+    faults = []
     for kind in DISK_FAULTS:
         if rng.random() < 0.4:
             at = rng.uniform(0.2, seconds - 0.5)
-            strikes.append(
+            faults.append(
                 Fault(
                     kind,
                     at,
@@ -104,7 +104,7 @@
                     rng.choice((0.05, 0.4, 2.0)) if kind == "disk-pause" else 1.0,
                 )
             )
-    return settings.replace("<titles>", '<state folder="state"/><titles>'), tuple(strikes)
+    return settings.replace("<titles>", '<state folder="state"/><titles>'), tuple(faults)
 
 
 def _draw_settings(rng: random.Random, hosts: int, gateways: int, zones: int, racks: int) -> str:
--- a/tests/lab/helpers.py
+++ b/tests/lab/helpers.py
@@ -66,8 +66,8 @@
     return Fault(kind, at, until, Whom(hosts=names, **whom), DEFAULT_STRENGTH.get(kind, 1.0) if hard is None else hard)
 
 
-def day(*strikes, rate=10.0, seconds=8.0, paid=0.4, misbehave=0.0, watch=(3.0, 5.0), crowds=()):
-    return Rehearsal("test", "a rule", seconds, Load(rate, paid, watch, 0.8, misbehave), crowds, strikes)
+def day(*faults, rate=10.0, seconds=8.0, paid=0.4, misbehave=0.0, watch=(3.0, 5.0), crowds=()):
+    return Rehearsal("test", "a rule", seconds, Load(rate, paid, watch, 0.8, misbehave), crowds, faults)
 
 
 def weakened(**changes):
