--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -92,14 +92,14 @@
             cells=case.hosts,
             racks=max(1, case.hosts // 9),
             uplink_kb=self.link_kb * 8,
-            weight_kb=self.link_kb,
+            kb_per_weight=self.link_kb,
             places_by_kind=(case.places,),
-            full_from=1.0,
-            join_adds=1.0,
-            told_late=500 * MS,
-            told_every=0,
+            full_threshold=1.0,
+            join_ratio=1.0,
+            notice_delay=500 * MS,
+            notice_interval=0,
             shortfall_cost=8.0,
-            switch_s=0.5,
+            switch_cost_s=0.5,
             max_attempts=3,
             max_retry_after=SECOND,
             retry_after=True,
@@ -107,15 +107,15 @@
             cancelling=True,
             connect_timeout=250 * MS,
             subscribe=False,
-            ask_every=0,
-            cold_from=case.cold_from,
-            warm_within=case.warm,
+            list_poll_interval=0,
+            cold_ratio=case.cold_from,
+            warm_up_time=case.warm,
             drain_grace=250 * MS,
-            fall_multiple=case.multiple,
-            fall=case.fall,
-            free_resends=3.0,
-            further_ratio=0.2,
-            ratio_span=5 * SECOND,
+            cold_budget_multiple=case.multiple,
+            cold_window=case.fall,
+            free_retries=3.0,
+            retry_ratio=0.2,
+            retry_window=5 * SECOND,
             price_cross_zone=0.0,
             price_late_fail=0.05,
             price_move=0.2,
@@ -153,7 +153,7 @@
             self.handle(
                 1, front, api.ServerList(api.ListKind.CACHED, (*self.steady_hosts, *self.replaced_hosts.values()))
             )
-            self.handle(1, front, api.Carried(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
+            self.handle(1, front, api.CarriedSession(api.Request(1, 0, 2, 1 << 60, 1, 1, 1, SECOND), 1))
 
     def schedule(self, when: int, *what: Any) -> None:
         """Schedule a call: a method and its arguments after the time."""
@@ -168,7 +168,7 @@
                 self.schedule(max(now + 1, action.at), self.on_timer, front, one, action.token)
             elif isinstance(action, api.Probe):
                 self.schedule(now + 2 * MS, self.on_probe_answer, front, one, action.server)
-            elif isinstance(action, api.Rate):
+            elif isinstance(action, api.SetRung):
                 key = (front, action.ref)
                 self.rungs[key] = RATES[action.rung]
                 if key in self.playing:
@@ -218,13 +218,13 @@
     def on_timer(self, now: int, front: int, one: Controller, token: int) -> None:
         """A front's timer expires, unless the front has restarted."""
         if self.fronts[front] is one:
-            self.handle(now, front, api.Wake(token))
+            self.handle(now, front, api.TimerDue(token))
 
     def on_probe_answer(self, now: int, front: int, one: Controller, host: int) -> None:
         """A host answers a probe with its load."""
         if self.fronts[front] is one:
             report = api.Report(self.load_kb.get(host, 0.0) / self.link_kb)
-            self.handle(now, front, api.Probed(host, api.Code.OK, 2 * MS, report))
+            self.handle(now, front, api.ProbeResult(host, api.OutcomeCode.OK, 2 * MS, report))
 
     def on_open(self, now: int, front: int, one: Controller, ref: int, host: int) -> None:
         """A host opens a session, or refuses it when its link is full."""
@@ -232,11 +232,11 @@
             return
         attempt = one.sessions[ref].attempts - 1
         if self.load_kb.get(host, 0.0) >= self.link_kb:
-            return self.handle(now, front, api.Outcome(ref, attempt, host, api.Code.FULL, 2 * MS, False))
+            return self.handle(now, front, api.Outcome(ref, attempt, host, api.OutcomeCode.FULL, 2 * MS, False))
         kb = self.rungs.get((front, ref), RATES[1])
         self.load_kb[host] = self.load_kb.get(host, 0.0) + kb
         self.playing[front, ref] = host, kb
-        self.handle(now, front, api.Opened(ref, attempt, host, 2 * MS))
+        self.handle(now, front, api.SessionOpened(ref, attempt, host, 2 * MS))
         self.schedule(
             now + int(self.rng.uniform(0.5, 1.5) * self.case.life * SECOND),
             self.on_session_end,
@@ -252,7 +252,7 @@
             host, kb = self.playing.pop((front, ref))
             self.load_kb[host] -= kb
             if self.fronts[front] is one:
-                self.handle(now, front, api.Outcome(ref, attempt, host, api.Code.OK, SECOND, True))
+                self.handle(now, front, api.Outcome(ref, attempt, host, api.OutcomeCode.OK, SECOND, True))
 
     def on_list_change(self, now: int, front: int) -> None:
         """A front hears that the new hosts replace the old ones."""
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -142,7 +142,7 @@
         racks=1,
         uplink_kb=1e12,
         places_by_kind=(10**9,),
-        warm_within=1,
+        warm_up_time=1,
         probes=False,
         classes=tuple(replace(c, seats=0) for c in site.rules.settings.classes),
     )
@@ -244,7 +244,7 @@
 
     async def body(gateway: Gateway, where: str) -> None:
         spent = [0.0]
-        whole = gateway.core.plays.controller.handle
+        whole = gateway.core.session_table.controller.handle
 
         def timed(now: int, event: object) -> object:
             begin = time.perf_counter()
@@ -253,7 +253,7 @@
             finally:
                 spent[0] += time.perf_counter() - begin
 
-        gateway.core.plays.controller.handle = timed  # type: ignore[assignment, method-assign]
+        gateway.core.session_table.controller.handle = timed  # type: ignore[assignment, method-assign]
         count, begin, cpu = 1500, time.perf_counter(), time.process_time()
         limit = trio.CapacityLimiter(32)
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -29,11 +29,11 @@
 from types import BuiltinFunctionType, FunctionType, MethodType, ModuleType
 from typing import Any, NoReturn
 
-from copperyard.control.common import MESSAGES, Common, CommonPlace, Note
-from copperyard.control.zones.plan import Standing
+from copperyard.control.coordinator import MESSAGE_CODEC, Coordinator, CoordinatorConfig, LogLine
+from copperyard.control.zones.plan import ZoneStatus
 from copperyard.lab.sites.events import Manner
 from copperyard.lab.sites.simulated import MS, SECOND, Broken, Front, Site, spread
-from copperyard.membership.gateways.messages import Life
+from copperyard.membership.gateways.messages import MemberState
 
 ZONES, REGIONS = 5, [0, 0, 0, 1, 1]
 LINKS = Manner(loss=0.01, delay=(1 * MS, 60 * MS))
@@ -135,10 +135,10 @@
     return duty is not None and front.name in duty.delegates(front.site.time(front.name))
 
 
-def knows_dead(core: Common, name: str) -> bool:
+def knows_dead(core: Coordinator, name: str) -> bool:
     """Whether a gateway's own membership has another as dead."""
     member = core.members.members.get(name)
-    return member is not None and member.life >= Life.DEAD
+    return member is not None and member.state >= MemberState.DEAD
 
 
 def reported_dead(site: Site, message: Any) -> Iterator[str]:
@@ -152,7 +152,7 @@
 
 def mechanism() -> str:
     """The control mechanism of this version: cells or flat."""
-    return "cells" if any(field.name == "cells" for field in fields(CommonPlace)) else "flat"
+    return "cells" if any(field.name == "cells" for field in fields(CoordinatorConfig)) else "flat"
 
 
 # ---- one run
@@ -226,7 +226,7 @@
         tally.sent += 1
         tally.peers.add(to)
         if tally.weighed:
-            size = len(MESSAGES.frame(message))
+            size = len(MESSAGE_CODEC.frame(message))
             tally.sent_bytes += size
             sort = self.sent_by_kind.setdefault(type(message).__name__, [0, 0])
             sort[0] += 1
@@ -237,12 +237,12 @@
         tally.got += 1
         tally.callers.add(sender)
         if tally.weighed:
-            tally.got_bytes += len(MESSAGES.frame(message))
+            tally.got_bytes += len(MESSAGE_CODEC.frame(message))
         if self.dead_at and to in self.site.voters:
             for name in reported_dead(self.site, message):
                 self.reported_at.setdefault((to, name), self.site.net.now)
 
-    def _noted(self, front: Front, note: Note) -> None:
+    def _noted(self, front: Front, note: LogLine) -> None:
         now = self.site.net.now
         if note.event == "plan":
             epoch = int(dict(note.fields)["epoch"])
@@ -620,7 +620,7 @@
     site.lose(3)
     for name in lost:
         run.changed_at[name] = site.net.now
-    agreed = run.run_until(lambda: site.standing(3) is Standing.CLOSED, 60)
+    agreed = run.run_until(lambda: site.standing(3) is ZoneStatus.CLOSED, 60)
     epoch = run.newest_epoch()
     run.found["zone_known_s"] = agreed
     force = run.run_until(lambda: run.all_follow(epoch), 60) if agreed is not None else None
@@ -628,14 +628,16 @@
     run.step(max(0.0, 60 - (site.net.now - begin) / SECOND))
     run.recording = False
     worst, minute = run.worst_window(10), run.worst_window(len(run.windows))
-    held = [member.life for one in site.fronts() for member in one.core.members.members.values() if member.name in lost]
+    held = [
+        member.state for one in site.fronts() for member in one.core.members.members.values() if member.name in lost
+    ]
     return {
         "zone_known_s": agreed,
         "zone_in_force_s": None if agreed is None or force is None else agreed + force,
         "zone_gateways": names,
         "zone_worst_10s": worst,
         "zone_worst_minute": minute,
-        "zone_held_dead_after_60s": round(sum(life >= Life.DEAD for life in held) / max(1, len(held)), 4),
+        "zone_held_dead_after_60s": round(sum(life >= MemberState.DEAD for life in held) / max(1, len(held)), 4),
     }
 
 
@@ -668,7 +670,7 @@
         "storm_over_twice_s": run.longest_over_budget_s(),
         "storm_kinds": run.messages_by_kind(),
     }
-    run.run_until(lambda: site.standing(3) is Standing.OPEN, 60)
+    run.run_until(lambda: site.standing(3) is ZoneStatus.OPEN, 60)
     return found
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -12,9 +12,9 @@
 import sys
 import time
 
-from copperyard.control.common import MESSAGES
-from copperyard.control.zones.plan import Standing, Terms
-from copperyard.control.zones.planner import fill
+from copperyard.control.coordinator import MESSAGE_CODEC
+from copperyard.control.zones.plan import Terms, ZoneStatus
+from copperyard.control.zones.planner import allocate
 from copperyard.lab.sites.events import Manner
 from copperyard.lab.sites.simulated import Site, World
 
@@ -41,7 +41,7 @@
         own = [min(sum(demand[z]), rooms[z]) for z in range(n)]
         free = [max(0.0, 0.9 * rooms[z] - own[z]) for z in range(n)]
         begin = time.perf_counter()
-        given = fill(terms, demand, rooms, free, [[1.0] * n for _ in range(n)])
+        given = allocate(terms, demand, rooms, free, [[1.0] * n for _ in range(n)])
         took.append(time.perf_counter() - begin)
         # variables x[h][c][z]: demand of class c at home zone h served in zone z; worth first, distance second
         gain = np.array(
@@ -84,7 +84,7 @@
 def members(count: int) -> None:
     """Membership alone: traffic, false deaths, and the time until one dead gateway and a dead zone are known."""
     world = World(1, count, 5, Manner(loss=0.01, delay=(1 * MS, 60 * MS)))
-    world.net.sizes = lambda message: len(MESSAGES.frame(message))
+    world.net.sizes = lambda message: len(MESSAGE_CODEC.frame(message))
     world.run(30)
     begin, sent, size = world.net.now, world.net.sent, world.net.bytes
     world.run(30)
@@ -117,18 +117,18 @@
     begun = time.perf_counter()
     for seed in range(3):
         site = Site(seed, 5, each)
-        site.net.sizes = lambda message: len(MESSAGES.frame(message))
+        site.net.sizes = lambda message: len(MESSAGE_CODEC.frame(message))
         site.run(25)
         site.net.sent = site.net.bytes = 0
         site.run(10)
         sizes.append((site.net.sent / 10 / count, site.net.bytes / 10 / count))
         before, begin = len(site.plans), site.net.now
         site.lose(3)
-        while site.standing(3) is not Standing.CLOSED and site.net.now - begin < 60 * SECOND:
+        while site.standing(3) is not ZoneStatus.CLOSED and site.net.now - begin < 60 * SECOND:
             site.run(0.25)
         closed.append((site.net.now - begin) / SECOND)
         while any(
-            one.core.plan is None or one.core.plan.zones[3].standing is not Standing.CLOSED for one in site.fronts()
+            one.core.plan is None or one.core.plan.zones[3].status is not ZoneStatus.CLOSED for one in site.fronts()
         ):
             site.run(0.25)
         known.append((site.net.now - begin) / SECOND)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -31,15 +31,15 @@
 from copperyard.gateway.background import Background
 from copperyard.gateway.daemon import Gateway, Station
 from copperyard.gateway.disk import FolderDisk
+from copperyard.gateway.journal_runner import JournalRunner
 from copperyard.gateway.listing import list_place
-from copperyard.gateway.net import Signal, TcpNetwork, now
-from copperyard.gateway.store import Store
+from copperyard.gateway.net import AutoResetEvent, TcpNetwork, now
 from copperyard.lab.audit import Side
 from copperyard.lab.viewers import Client
-from copperyard.state import frames
-from copperyard.state.book import Append, Book, Create, Step
-from copperyard.state.facts import Carried, Redeemed, digest, encode
-from copperyard.state.ledger import State
+from copperyard.state import file_format
+from copperyard.state.durable_state import DurableState
+from copperyard.state.facts import CodeRedeemed, CodeSent, digest, encode
+from copperyard.state.journal_writer import Append, Create, JournalWriter, Step
 from copperyard.state.recovery import Recovery, recover
 
 WRITERS, FACTS_PER_WRITER = 32, 40  # concurrent writers; facts that each writes one after another
@@ -51,9 +51,9 @@
     return {"p50_ms": round(parts[49] * 1e3, 2), "p99_ms": round(parts[98] * 1e3, 2)}
 
 
-def sample_fact(n: int) -> Carried:
+def sample_fact(n: int) -> CodeSent:
     """A fact about code number `n`, of a typical size."""
-    return Carried(n, digest(str(n)), f"gw-1.5b3ce9b3/{n}", "streamer-07")
+    return CodeSent(n, digest(str(n)), f"gw-1.5b3ce9b3/{n}", "streamer-07")
 
 
 async def run_writers(name: str, one: Callable[[int], Awaitable[None]], **more: object) -> None:
@@ -80,7 +80,7 @@
     async with trio.open_nursery() as nursery:
         disk = FolderDisk(folder / "book")
         disk.lock("a measurement")
-        book = Book(Recovery(), "gw", "g", now(), 0)
+        book = JournalWriter(Recovery(), "gw", "g", now(), 0)
         waiting: deque[tuple[int, trio.Event]] = deque()
 
         async def stored() -> None:
@@ -88,29 +88,29 @@
                 waiting.popleft()[1].set()
 
         background = Background(Scheduler())
-        store = Store(book, disk, background, stored)
+        store = JournalRunner(book, disk, background, stored)
 
         async def through_book(n: int) -> None:
             done = trio.Event()
             waiting.append((book.write(now(), sample_fact(n)), done))
-            store.look()
+            store.notify()
             await done.wait()
 
         for task in (background.run, store.run):
             nursery.start_soon(task)
         await run_writers("group commit", through_book)
-        print_figures("group commit", syncs=book.tally.commits, bytes_a_fact=round(book.tally.bytes / book.tally.facts))
+        print_figures("group commit", syncs=book.stats.commits, bytes_a_fact=round(book.stats.bytes / book.stats.facts))
         nursery.cancel_scope.cancel()
     disk.close()
 
     single = FolderDisk(folder / "single")
     single.lock("a measurement")
     one_at_a_time = trio.Lock()
-    await single.do(Create("a.seg", frames.segment_head(1, 1)))
+    await single.do(Create("a.seg", file_format.segment_head(1, 1)))
 
     async def each_synced(n: int) -> None:
         async with one_at_a_time:
-            await single.do(Append("a.seg", frames.record(n + 1, encode(sample_fact(n)))))
+            await single.do(Append("a.seg", file_format.record(n + 1, encode(sample_fact(n)))))
 
     await run_writers("one sync each", each_synced)
     single.close()
@@ -124,10 +124,10 @@
     base.execute("pragma journal_mode=wal")
     base.execute("pragma synchronous=full")
     base.execute("create table codes (code blob primary key, at integer, request text, host text) without rowid")
-    waiting: list[tuple[Carried, trio.Event]] = []
-    wake, lock = Signal(), trio.Lock()
+    waiting: list[tuple[CodeSent, trio.Event]] = []
+    wake, lock = AutoResetEvent(), trio.Lock()
 
-    def write(some: list[Carried]) -> None:
+    def write(some: list[CodeSent]) -> None:
         base.execute("begin")
         base.executemany(
             "insert or replace into codes values (?, ?, ?, ?)", [(f.code, f.at, f.request, f.host) for f in some]
@@ -270,23 +270,23 @@
 
 
 def _write_journal(path: Path, size: int) -> None:
-    number, sequence, data = 1, 1, bytearray(frames.segment_head(1, 1))
+    number, sequence, data = 1, 1, bytearray(file_format.segment_head(1, 1))
     for n in range(size):
         code = n // 2 % max(1, size // 10)
-        one = sample_fact(code) if n % 2 == 0 else Redeemed(n, digest(str(code)), f"receipt-{code}")
-        data += frames.record(sequence, encode(one))
+        one = sample_fact(code) if n % 2 == 0 else CodeRedeemed(n, digest(str(code)), f"receipt-{code}")
+        data += file_format.record(sequence, encode(one))
         sequence += 1
         if len(data) > 8 << 20 or n == size - 1:
-            (path / frames.segment_name(number)).write_bytes(data)
+            (path / file_format.segment_name(number)).write_bytes(data)
             number += 1
-            data = bytearray(frames.segment_head(number, sequence))
+            data = bytearray(file_format.segment_head(number, sequence))
 
 
 async def _write_snapshot(found: Recovery, disk: FolderDisk) -> None:
-    book = Book(found, "gw", "g", 0, 0, begins=False)
+    book = JournalWriter(found, "gw", "g", 0, 0, begins=False)
     book.compact()
-    while (step := book.commit(0) or book.chore(0)) is not None:
-        lane = "commit" if book._busy["commit"] is step else "chore"
+    while (step := book.commit_step(0) or book.background_step(0)) is not None:
+        lane = "commit" if book._in_flight["commit"] is step else "chore"
         await disk.do(step)
         book.done(lane, 0)
 
@@ -297,10 +297,10 @@
     keys = [digest(str(n)) for n in range(count)]
     touched = [keys[rng.randrange(count)] for _ in range(count)]
     for _ in range(2):  # the first round is a warm-up
-        state = State()
+        state = DurableState()
         begun = time.perf_counter()
         for n, key in enumerate([*keys, *touched]):
-            state.apply(Redeemed(n, key, "r"))
+            state.apply(CodeRedeemed(n, key, "r"))
         filled = time.perf_counter() - begun
         begun = time.perf_counter()
         while state.expire(count, 2000):
@@ -310,7 +310,7 @@
         plain: dict[bytes, tuple[int, str]] = {}
         heap: list[tuple[int, bytes]] = []
         for n, key in enumerate([*keys, *touched]):
-            one = Redeemed(n, key, "r")
+            one = CodeRedeemed(n, key, "r")
             plain[one.code] = (one.at, one.receipt)
             heapq.heappush(heap, (n, key))
         filled = time.perf_counter() - begun
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -205,7 +205,9 @@
     """Main function of the gateway's process: serves until its input closes."""
     site = one_host_site()
     settings = site.rules.settings  # the list's weight alone limits the one host to 7,018 sessions
-    site = replace(site, rules=replace(site.rules, settings=replace(settings, weight_kb=100 * settings.weight_kb)))
+    site = replace(
+        site, rules=replace(site.rules, settings=replace(settings, kb_per_weight=100 * settings.kb_per_weight))
+    )
     place = list_place(f"http://{where}/", 3600 * 10**9, 7200 * 10**9)
     station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
     front = Gateway(station, TcpNetwork(4096), seed, random.Random(seed), lambda event, fields: None)
--- a/copperyard/bench/wire.py
+++ b/copperyard/bench/wire.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..settings import report_of
+from ..settings import make_report
 
 HEADER = struct.Struct("<IQII")
 REPLY = struct.Struct("<II")
@@ -102,7 +102,7 @@
         values = fields.unpack(struct.Struct(f"<{count}f"))
         if not count:
             return None
-        return report_of(dict(zip(self.columns.get(front, ()), values, strict=False)))
+        return make_report(dict(zip(self.columns.get(front, ()), values, strict=False)))
 
     def decode(self, body: bytes, records: int) -> Iterator[WireEvent]:
         """Yield (front, event) in order; `body` is the frame without its header."""
@@ -132,24 +132,24 @@
             return front, api.Outcome(ref, attempt, host, status, took, bool(over), self._report(front, fields, count))
         if code == NOTICE:
             front, ref, kind, value, host, attempt = fields.unpack(_NOTICE_LAYOUT)
-            return front, api.Note(ref, attempt, host, kind, value)
+            return front, api.SessionNotice(ref, attempt, host, kind, value)
         if code == OPENED:
             front, ref, attempt, host, took = fields.unpack(_OPENED_LAYOUT)
-            return front, api.Opened(ref, attempt, host, took)
+            return front, api.SessionOpened(ref, attempt, host, took)
         if code == WAKEUP:
             front, token = fields.unpack(_FRONT_U64_LAYOUT)
-            return front, api.Wake(token)
+            return front, api.TimerDue(token)
         if code == LEFT:
             front, ref = fields.unpack(_FRONT_U64_LAYOUT)
-            return front, api.Left(ref)
+            return front, api.ViewerLeft(ref)
         if code == CHECKED:
             front, host, status, took, count = fields.unpack(_CHECKED_LAYOUT)
-            return front, api.Probed(host, status, took, self._report(front, fields, count))
+            return front, api.ProbeResult(host, status, took, self._report(front, fields, count))
         if code == CARRIED:
             (front, ref, hint, deadline, home, title, _tenant, cls, host, _key, attrs, top, holders) = fields.unpack(
                 _CARRIED_LAYOUT
             )
-            return front, api.Carried(_request(ref, cls, top, deadline, hint, title, holders, home, attrs), host)
+            return front, api.CarriedSession(_request(ref, cls, top, deadline, hint, title, holders, home, attrs), host)
         if code == MEMBERSHIP:
             front, _generation, table, scope = fields.unpack(_MEMBERSHIP_LAYOUT)
             if scope == api.ListKind.FAILED:
@@ -213,8 +213,8 @@
 def encode(front: int, action: api.Action) -> bytes:
     """Encode an action as a record."""
     if isinstance(action, api.Send):
-        return _SEND_LAYOUT.pack(PASS_ON, 22, front, action.ref, action.not_past, action.server)
-    if isinstance(action, api.Rate):
+        return _SEND_LAYOUT.pack(PASS_ON, 22, front, action.ref, action.deadline, action.server)
+    if isinstance(action, api.SetRung):
         return _U64_U8_LAYOUT.pack(PITCH, 11, front, action.ref, action.rung)
     if isinstance(action, api.SetTimer):
         return _TWO_U64_LAYOUT.pack(SLEEP, 18, front, action.at, action.token)
@@ -228,6 +228,6 @@
         return _U64_LAYOUT.pack(REDIRECT, 10, front, action.ref)
     if isinstance(action, api.Probe):
         return _U32_LAYOUT.pack(HEALTH_CHECK, 6, front, action.server)
-    if isinstance(action, api.Watch):
+    if isinstance(action, api.Subscribe):
         return _U8_LAYOUT.pack(TRACK, 3, front, int(action.on))
     return _text(LOG, front, action.text)
--- a/copperyard/cli/main.py
+++ b/copperyard/cli/main.py
@@ -17,7 +17,7 @@
 from ..gateway.listing import list_place
 from ..gateway.net import TcpNetwork, now
 from ..gateway.node.__main__ import main as run_node
-from ..gateway.peers.place import neighbourhood
+from ..gateway.peers.place import peer_settings
 from ..telemetry.logs import LogWriter
 from .common import LogFormat, SettingsPath, load_site, parse_seconds, wait_for_end
 from .lab import lab
@@ -69,7 +69,7 @@
         )
         unix_ms = time.time_ns() // 1_000_000
         if site.common is not None:
-            hood = neighbourhood(site.common, gateway_settings.name, path.parent, trust_votes)
+            hood = peer_settings(site.common, gateway_settings.name, path.parent, trust_votes)
             station = replace(station, hood=hood, lengths=site.common.lengths, unix_ms=unix_ms)
         if site.state is not None:
             disk = FolderDisk(path.parent / site.state.folder / gateway_settings.name)
--- a/copperyard/cli/state.py
+++ b/copperyard/cli/state.py
@@ -11,8 +11,8 @@
 import typer
 
 from ..gateway.disk import FolderDisk, LockedError
-from ..state.book import Book
-from ..state.ledger import State
+from ..state.durable_state import DurableState
+from ..state.journal_writer import JournalWriter
 from ..state.recovery import Recovery, recover
 
 state = typer.Typer(no_args_is_help=True, help="What a gateway keeps on disk: its codes, its last list.")
@@ -109,20 +109,20 @@
 
 async def _compact(recovery: Recovery, disk: FolderDisk) -> None:
     """Write a snapshot and remove the files that it replaces."""
-    writer = Book(recovery, recovery.state.label, recovery.state.generation, 0, 0, begins=False)
+    writer = JournalWriter(recovery, recovery.state.label, recovery.state.generation, 0, 0, begins=False)
     writer.compact()
     for queue, step in _steps(writer):
         await disk.do(step)
         writer.done(queue, 0)
 
 
-def _steps(writer: Book) -> Iterator[tuple[str, Any]]:
+def _steps(writer: JournalWriter) -> Iterator[tuple[str, Any]]:
     while True:
-        step = writer.commit(0)
+        step = writer.commit_step(0)
         if step is not None:
             yield "commit", step
             continue
-        step = writer.chore(0)
+        step = writer.background_step(0)
         if step is None:
             return
         yield "chore", step
@@ -149,7 +149,7 @@
     typer.echo(f"{out}: {count} codes")
 
 
-def _rows(stored: State) -> Iterator[dict[str, Any]]:
+def _rows(stored: DurableState) -> Iterator[dict[str, Any]]:
     for code, record in stored.codes.items():
         fate = "unclear" if record.receipt is None else "redeemed"
         yield {
--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -10,12 +10,12 @@
 from lxml import etree
 
 from ..control.catalogue import Title
-from ..control.common import CommonPlace
+from ..control.coordinator import CoordinatorConfig
 from ..control.rules import FrontRules
-from ..control.zones.plan import LIVE, OTHER_REGION, SAME_REGION, Terms
+from ..control.zones.plan import LIVE_SESSION_NS, OTHER_REGION, SAME_REGION, Terms
 from ..membership.gateways.cells import CellMap
-from ..membership.gateways.members import Pace
-from ..state.agreement.council import MOST_VOTERS, Beat
+from ..membership.gateways.members import ProbeTiming
+from ..state.agreement.replica import MAX_VOTERS, ElectionTiming
 from .units import duration, parse_rate_kb
 
 WILDCARD_ADDRESSES = ("0.0.0.0", "[::]")
@@ -37,8 +37,8 @@
     listen: Mapping[str, str]
     reach: Mapping[str, str]
     terms: Terms
-    pace: Pace
-    beat: Beat
+    pace: ProbeTiming
+    beat: ElectionTiming
     lengths: tuple[int, ...]
     folder: str
     store: str
@@ -49,9 +49,9 @@
         """All gateways of the settings, with the number of their zone."""
         return self.cells.roster
 
-    def place(self, name: str) -> CommonPlace:
+    def place(self, name: str) -> CoordinatorConfig:
         """Return the part of the settings that one gateway needs."""
-        return CommonPlace.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
+        return CoordinatorConfig.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
 
 def read_common(
@@ -91,7 +91,7 @@
     prices = _read_prices(common, zone_elements, zones, regions, report)
     settings = rules.settings
     floors = [c.floor for c in settings.classes]
-    loads = tuple(settings.rung_kb[f] * c.scale for f, c in zip(floors, settings.classes, strict=True))
+    loads = tuple(settings.rung_kb[f] * c.rate_scale for f, c in zip(floors, settings.classes, strict=True))
     worths = tuple(settings.rung_worth[f] * c.worth for f, c in zip(floors, settings.classes, strict=True))
     gateways_by_zone = tuple(sum(1 for zone in roster.values() if zone == z) for z in range(len(zones)))
     for z, element in enumerate(zone_elements):
@@ -113,19 +113,21 @@
         dwell_most=duration(attrs["dwell-most"]),
         drift=float(attrs["drift"]),
     )
-    timing = Beat(duration(attrs["heart"]), duration(attrs["elect-least"]), duration(attrs["elect-most"]), terms.drift)
-    if timing.least < 3 * timing.heart:
+    timing = ElectionTiming(
+        duration(attrs["heart"]), duration(attrs["elect-least"]), duration(attrs["elect-most"]), terms.drift
+    )
+    if timing.min_election_timeout < 3 * timing.heartbeat_interval:
         report(
             common,
             f"elect-least '{attrs['elect-least']}' is under three times heart '{attrs['heart']}': a lost message "
             "or two would depose a leader",
         )
-    if timing.most < timing.least * 3 // 2:
+    if timing.max_election_timeout < timing.min_election_timeout * 3 // 2:
         report(
             common,
             f"elect-most '{attrs['elect-most']}' is under one and a half times elect-least '{attrs['elect-least']}'",
         )
-    if terms.holds < 4 * terms.every or terms.holds < 2 * timing.most:
+    if terms.holds < 4 * terms.every or terms.holds < 2 * timing.max_election_timeout:
         report(
             common,
             f"holds '{attrs['holds']}' is under four times every or twice elect-most: plans would run out where "
@@ -133,17 +135,17 @@
         )
     if terms.drift >= 0.2:
         report(common, f"drift '{attrs['drift']}' is not under 0.2: no lease could be kept")
-    probe_timing = Pace(duration(attrs["period"]), duration(attrs["answer"]))
+    probe_timing = ProbeTiming(duration(attrs["period"]), duration(attrs["answer"]))
     if probe_timing.timeout * 2 > probe_timing.period:
         report(common, f"answer '{attrs['answer']}' is over half of period '{attrs['period']}'")
-    _check_demand(root, zone_elements, terms, settings.weight_kb, report)
+    _check_demand(root, zone_elements, terms, settings.kb_per_weight, report)
     lengths = []
     for cls in range(len(settings.classes)):
-        prefixes = [e.prefix for e in rules.entries if e.cls == cls]
+        prefixes = [e.prefix for e in rules.admission_rules if e.cls == cls]
         lengths_of_class = [
             t.length for t in titles if t.length is not None and any(t.path.startswith(p) for p in prefixes)
         ]
-        lengths.append(sum(lengths_of_class) // len(lengths_of_class) if lengths_of_class else LIVE)
+        lengths.append(sum(lengths_of_class) // len(lengths_of_class) if lengths_of_class else LIVE_SESSION_NS)
     shared = json.dumps(
         [
             sorted(roster.items()),
@@ -192,10 +194,10 @@
             elements[voters[-1]],
             f"is voter {len(voters)}: an even council stands no more deaths than one of " f"{len(voters) - 1}",
         )
-    if len(voters) > MOST_VOTERS:
+    if len(voters) > MAX_VOTERS:
         report(
-            elements[voters[MOST_VOTERS]],
-            f"is voter {len(voters)}: more than {MOST_VOTERS} make every decision " "slower and none safer",
+            elements[voters[MAX_VOTERS]],
+            f"is voter {len(voters)}: more than {MAX_VOTERS} make every decision " "slower and none safer",
         )
     for z, zone in enumerate(zones):
         voters_here = [name for name in voters if roster[name] == z]
--- a/copperyard/config/load.py
+++ b/copperyard/config/load.py
@@ -13,7 +13,7 @@
 
 from .. import interface as api
 from ..control.catalogue import Catalogue, Title, Track
-from ..control.rules import Bounds, Entry, FrontRules
+from ..control.rules import AdmissionRule, Bounds, FrontRules
 from ..protocol.rtsp import Limits
 from .common import CommonPlan, read_common
 from .document import BadSettings, Mistake, read_document
@@ -247,7 +247,9 @@
             rungs.append((rate, worth))
         return rungs
 
-    def _classes(self, root: etree._Element, rungs: int) -> tuple[tuple[api.ClassSettings, ...], tuple[Entry, ...]]:
+    def _classes(
+        self, root: etree._Element, rungs: int
+    ) -> tuple[tuple[api.ClassSettings, ...], tuple[AdmissionRule, ...]]:
         elements = list(root.iterfind("classes/class"))
         self._check_unique(elements, "name")
         classes, entries = [], []
@@ -281,7 +283,7 @@
                     attrs["live"] == "yes",
                 )
             )
-            entries.append((attrs["path"], Entry(n, attrs["path"], paid)))
+            entries.append((attrs["path"], AdmissionRule(n, attrs["path"], paid)))
         # longest prefix first, so that a narrower class takes precedence whatever the order in the file
         entries.sort(key=lambda pair: -len(pair[0]))
         return tuple(classes), tuple(entry for _, entry in entries)
@@ -362,14 +364,14 @@
             cells=int(fleet["cells"]),
             racks=int(fleet["racks"]),
             uplink_kb=parse_rate_kb(fleet["uplink"]),
-            weight_kb=parse_rate_kb(fleet["link"]),
+            kb_per_weight=parse_rate_kb(fleet["link"]),
             places_by_kind=tuple(map(int, fleet["places"].split())),
-            full_from=float(fleet["full-from"]),
-            join_adds=float(fleet["join-adds"]),
-            told_late=duration(reports["told-late"]),
-            told_every=duration(reports["told-every"]),
+            full_threshold=float(fleet["full-from"]),
+            join_ratio=float(fleet["join-adds"]),
+            notice_delay=duration(reports["told-late"]),
+            notice_interval=duration(reports["told-every"]),
             shortfall_cost=float(prices["shortfall"]),
-            switch_s=duration(prices["switch"]) / 1e9,
+            switch_cost_s=duration(prices["switch"]) / 1e9,
             max_attempts=int(rules["attempts"]),
             max_retry_after=max_retry_after,
             retry_after=max_retry_after > 0,
@@ -377,15 +379,15 @@
             cancelling=True,
             connect_timeout=duration(rules["connect"]),
             subscribe=True,
-            ask_every=0,
-            cold_from=float(fleet["cold-from"]),
-            warm_within=duration(fleet["warm-within"]),
+            list_poll_interval=0,
+            cold_ratio=float(fleet["cold-from"]),
+            warm_up_time=duration(fleet["warm-within"]),
             drain_grace=duration(rules["drain-grace"]),
-            fall_multiple=float(rules["fall-multiple"]),
-            fall=duration(rules["fall"]),
-            free_resends=float(rules["further"]) if has_retry_budget else None,
-            further_ratio=float(rules["further-share"]) if has_retry_budget else 0.0,
-            ratio_span=duration(rules["further-span"]) if has_retry_budget else 0,
+            cold_budget_multiple=float(rules["fall-multiple"]),
+            cold_window=duration(rules["fall"]),
+            free_retries=float(rules["further"]) if has_retry_budget else None,
+            retry_ratio=float(rules["further-share"]) if has_retry_budget else 0.0,
+            retry_window=duration(rules["further-span"]) if has_retry_budget else 0,
             price_cross_zone=float(prices["crossing"]),
             price_late_fail=float(prices["late-fail"]),
             price_move=float(prices["move"]),
--- a/copperyard/control/admission.py
+++ b/copperyard/control/admission.py
@@ -6,7 +6,7 @@
 
 from ..protocol.rtsp.headers import Target
 from .catalogue import Title
-from .rules import Entry, FrontRules
+from .rules import AdmissionRule, FrontRules
 
 CODE_PARAMETER = "code"
 MAX_CODE_CHARS = 128
@@ -24,7 +24,7 @@
 class Admission:
     """The class of a request for a title, and its code."""
 
-    entry: Entry
+    entry: AdmissionRule
     code: str | None
 
 
@@ -33,7 +33,7 @@
     code = target.get(CODE_PARAMETER)
     if code is not None and not (0 < len(code) <= MAX_CODE_CHARS and code.isascii() and code.isalnum()):
         return Denial(400, "a code is 1 to 128 letters and digits")
-    matching = [e for e in rules.entries if title.path.startswith(e.prefix)]
+    matching = [e for e in rules.admission_rules if title.path.startswith(e.prefix)]
     for entry in matching:
         if entry.paid == (code is not None):
             return Admission(entry, code)
@@ -50,5 +50,5 @@
     rates = rules.settings.rung_kb
     if bandwidth is None:
         return len(rates) - 1
-    scale = rules.settings.classes[cls].scale
+    scale = rules.settings.classes[cls].rate_scale
     return max((n for n, kb in enumerate(rates) if kb * scale * 8000 <= bandwidth), default=0)
--- a/copperyard/control/attempt.py
+++ b/copperyard/control/attempt.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..interface import Code, NoteKind, Report
+from ..interface import NoticeKind, OutcomeCode, Report
 from ..protocol.rtp import App, Block, Bye, ReceiverReport, SenderReport, encode_compound, parse_compound
 from ..protocol.rtsp import Connection, Event, Limits, Malformed, Reply, Request, Response, Run, Unasked, frame_header
 from ..protocol.rtsp.headers import parse_rtp_info, parse_session, quote_path
 from ..protocol.rtsp.messages import BadHeader, Headers
 from .catalogue import Title
-from .evidence import REPORT_HEADER, UP_HEADER, parse_host_up, parse_note, parse_report
+from .host_reports import HOST_UP_HEADER, LOAD_REPORT_HEADER, parse_host_up, parse_note, parse_report
 from .splice import Splice, splice_run
 
 MAX_REPORT_BACKLOG_BYTES = 8192  # bytes waiting for a host above which receiver reports are dropped
-FEATURE = "copperyard.host.1"
+HOST_FEATURE = "copperyard.host.1"
 TEXT_CONTENT_TYPE = ("Content-Type", "text/parameters")
 
 
@@ -28,7 +28,7 @@
     """Stages of an attempt, in order. The second one is the check of the host, which may be skipped."""
 
     CONNECT = 0
-    ASK = 1
+    CHECK = 1
     SETUP = 2
     PLAY = 3
     OPEN = 4
@@ -74,7 +74,7 @@
 class HostNote:
     """A host's note on the load of its links."""
 
-    kind: NoteKind
+    kind: NoticeKind
     value: float
 
 
@@ -99,7 +99,7 @@
 class AttemptEnded:
     """The attempt ended with this code. `status` is the host's RTSP status, 0 if it sent none."""
 
-    code: Code
+    code: OutcomeCode
     status: int = 0
 
 
@@ -149,17 +149,17 @@
     limits: Limits
     splices: tuple[Splice, ...]
     decided_at: int
-    limit: int
+    deadline: int
     stage: Stage = Stage.CONNECT
-    verdict: Code | None = None
+    outcome: OutcomeCode | None = None
     report: Report | None = None
     out: bytearray = field(default_factory=bytearray)
     sent: bool = False
     last_heard: int = 0
     rung: int = 0
-    intent: int = 0
+    intent_sequence: int = 0
     receipt_sequence: int = 0
-    hold: bool = False
+    hold_play: bool = False
     last_exchange_ns: int = 0  # duration of the connect, or of the check before the set-up
     check_sent_at: int = 0
     _play_ready: bool = False
@@ -190,7 +190,7 @@
         """Check the host after connecting: send a keep-alive, whose answer tells the host's uptime. Nothing of the
         session has been sent yet.
         """
-        self.stage, self.last_heard, self.check_sent_at = Stage.ASK, now, now
+        self.stage, self.last_heard, self.check_sent_at = Stage.CHECK, now, now
         self._send_request("GET_PARAMETER", f"rtsp://{self.plan.address}/")
 
     def start_setup(self, now: int) -> None:
@@ -203,7 +203,7 @@
         headers: Headers = (("Transport", f"RTP/AVP/TCP;unicast;interleaved={2 * n}-{2 * n + 1}"),)
         if n == 0:
             headers += (
-                ("Require", FEATURE),
+                ("Require", HOST_FEATURE),
                 ("Via", f"RTSP/1.0 {plan.front}"),
                 ("Request-Id", f"{plan.front}/{plan.ref}"),
                 ("Class", plan.cls),
@@ -268,11 +268,11 @@
             self._handle_event(now, event, found)
         return found
 
-    def connection_lost_code(self) -> Code:
+    def connection_lost_code(self) -> OutcomeCode:
         """Return the outcome of the attempt when the connection is lost in the current stage."""
         if not self.sent:
-            return Code.CONNECT_FAILED
-        return Code.OK if self._bye_count and self._bye_count >= self._tracks_set_up else Code.RESET
+            return OutcomeCode.CONNECT_FAILED
+        return OutcomeCode.OK if self._bye_count and self._bye_count >= self._tracks_set_up else OutcomeCode.RESET
 
     def _handle_event(self, now: int, event: Event, found: list[AttemptResult]) -> None:
         if isinstance(event, Run):
@@ -284,11 +284,11 @@
             self._handle_request(event)
         elif isinstance(event, Malformed | Unasked):
             if not self.sent:
-                return self._ended(Code.CONNECT_FAILED, 0, found)
+                return self._ended(OutcomeCode.CONNECT_FAILED, 0, found)
             # after a protocol violation it is not known whether the set-up ran
-            self._ended(Code.RESET if self.stage is Stage.OPEN else Code.ERROR, 0, found)
+            self._ended(OutcomeCode.RESET if self.stage is Stage.OPEN else OutcomeCode.ERROR, 0, found)
 
-    def _ended(self, code: Code, status: int, found: list[AttemptResult]) -> None:
+    def _ended(self, code: OutcomeCode, status: int, found: list[AttemptResult]) -> None:
         found.append(AttemptEnded(code, status))
 
     def _handle_request(self, request: Request) -> None:
@@ -297,13 +297,13 @@
 
     def _handle_reply(self, now: int, reply: Reply, found: list[AttemptResult]) -> None:
         response = reply.response
-        report = parse_report(response.header(REPORT_HEADER))
+        report = parse_report(response.header(LOAD_REPORT_HEADER))
         if report is not None:
             self.report = report
             if self.stage is Stage.OPEN:
                 found.append(LoadReported(report))
-        if self.stage is Stage.ASK:
-            found.append(HostChecked(parse_host_up(response.header(UP_HEADER))))
+        if self.stage is Stage.CHECK:
+            found.append(HostChecked(parse_host_up(response.header(HOST_UP_HEADER))))
         elif reply.method == "SETUP":
             self._handle_setup_reply(response, found)
         elif reply.method == "PLAY" and self.stage is Stage.PLAY:
@@ -313,31 +313,31 @@
         elif reply.method == "SET_PARAMETER":
             self._handle_rung_reply(response, found)
         elif response.status == 454:  # keep-alive for a session that the host no longer has
-            self._ended(Code.RESET, 454, found)
+            self._ended(OutcomeCode.RESET, 454, found)
 
     def _handle_setup_reply(self, response: Response, found: list[AttemptResult]) -> None:
         first = self._tracks_set_up == 0
         if response.status != 200:
             # Only a 453 to the first SETUP proves that nothing ran: the code is redeemed with that SETUP.
             full = response.status == 453 and (first or self.plan.code is None)
-            return self._ended(Code.FULL if full else Code.ERROR, response.status, found)
+            return self._ended(OutcomeCode.FULL if full else OutcomeCode.ERROR, response.status, found)
         if first:
             try:
                 self._session_id = parse_session(response.header("Session") or "")[0]
             except BadHeader:
-                return self._ended(Code.ERROR, response.status, found)
+                return self._ended(OutcomeCode.ERROR, response.status, found)
             if self.plan.code is not None or self.plan.receipt:
                 found.append(ReceiptReceived(response.header("Receipt") or ""))
         self._tracks_set_up += 1
         if self._tracks_set_up < len(self.splices):
             return self._send_setup()
         self._play_ready = True
-        if not self.hold:
+        if not self.hold_play:
             self.release_play()
 
     def release_play(self) -> None:
         """Allow the PLAY. It is sent now, or once all tracks are set up."""
-        self.hold = False
+        self.hold_play = False
         if self._play_ready and self.stage is Stage.SETUP:
             self.stage = Stage.PLAY
             self._send_request("PLAY", self._url(), (("Range", f"npt={self.plan.start:.3f}-"),))
@@ -345,7 +345,7 @@
     def _handle_play_reply(self, now: int, response: Response, found: list[AttemptResult]) -> None:
         if response.status != 200:
             full = response.status == 453 and self.plan.code is None
-            return self._ended(Code.FULL if full else Code.ERROR, response.status, found)
+            return self._ended(OutcomeCode.FULL if full else OutcomeCode.ERROR, response.status, found)
         self.stage = Stage.OPEN
         found.append(PlaybackStarted(self._infos(now, response)))
         self._send_wanted_rung()
@@ -387,32 +387,34 @@
                 self._bye_count += 1
                 found.append(_for_viewer(splice, encode_compound([Bye((splice.ssrc,))], splice.ssrc)))
                 if self._bye_count == self._tracks_set_up:
-                    self._ended(Code.OK, 0, found)
+                    self._ended(OutcomeCode.OK, 0, found)
 
 
 def _for_viewer(splice: Splice, payload: bytes) -> MediaData:
     return MediaData(frame_header(splice.channel + 1, len(payload)) + payload)
 
 
-class Question:
+class HostQuery:
     """One GET_PARAMETER to a host, on a connection of its own."""
 
     def __init__(self, address: str, limits: Limits, headers: Headers = ()) -> None:
         self._wire = Connection(limits)
         self.out = self._wire.ask("GET_PARAMETER", f"rtsp://{address}/", headers)[1]
 
-    def receive(self, data: bytes) -> Response | Code | None:
+    def receive(self, data: bytes) -> Response | OutcomeCode | None:
         """Return the response, ERROR for a malformed one, None while there is none."""
         for event in self._wire.receive(data):
             if isinstance(event, Reply):
                 return event.response
             if isinstance(event, Malformed | Unasked):
-                return Code.ERROR
+                return OutcomeCode.ERROR
         return None
 
 
-def load_told(answer: Response | Code) -> tuple[Code, Report | None]:
+def probe_result(answer: Response | OutcomeCode) -> tuple[OutcomeCode, Report | None]:
     """Return the code and the load report of a probe's answer."""
-    if isinstance(answer, Code):
+    if isinstance(answer, OutcomeCode):
         return answer, None
-    return (Code.OK if answer.status == 200 else Code.ERROR), parse_report(answer.header(REPORT_HEADER))
+    return (OutcomeCode.OK if answer.status == 200 else OutcomeCode.ERROR), parse_report(
+        answer.header(LOAD_REPORT_HEADER)
+    )
--- a/copperyard/control/cells.py
+++ b/copperyard/control/cells.py
@@ -15,7 +15,7 @@
 
 from ..membership.gateways.cells import DELEGATES_PER_CELL, CellPlace, ranked
 from .zones.facts import MAX_TALLY
-from .zones.plan import CellReport, Summary, Terms
+from .zones.plan import CellReport, FrontSummary, Terms
 from .zones.rollup import CellAggregate
 
 SECOND = 1_000_000_000
@@ -35,19 +35,19 @@
 class MemberReport:
     """Report of a member to its delegates. `reachability`: its ReachabilityRow counts, but of the last periods only."""
 
-    summary: Summary
+    summary: FrontSummary
     reachability: ZoneCounts
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReportAck:
     """Ack of a collector to a delegate: the report of that number arrived."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Resign:
+class DelegateResignation:
     """Message of a delegate to its cell: it is no delegate for `ns`, as its reports reach no collector."""
 
     ns: int
@@ -126,14 +126,14 @@
         if self.aggregate.update(now, report.summary):
             self._reachability[sender] = (now, report.reachability)
 
-    def report_acked(self, now: int, sender: str, message: Heard) -> None:
+    def report_acked(self, now: int, sender: str, message: ReportAck) -> None:
         """Record the ack of a collector."""
         if any(number == message.number and to == sender for number, _, to in self._unacked):
             self._acked_at = now
             while self._unacked and self._unacked[0][0] <= message.number:
                 self._unacked.popleft()
 
-    def delegate_resigned(self, now: int, sender: str, message: Resign) -> None:
+    def delegate_resigned(self, now: int, sender: str, message: DelegateResignation) -> None:
         """Record that another delegate resigned for a while."""
         if sender in self.cell.names and 0 < message.ns <= 2 * RESIGNATION_NS:
             self._resigned_until[sender] = now + message.ns
@@ -182,10 +182,10 @@
             self._unacked.append((report.number, now, to))
         return to, report
 
-    def resign_if_unheard(self, now: int) -> Resign | None:
+    def resign_if_unheard(self, now: int) -> DelegateResignation | None:
         """Resign if no collector acknowledges this delegate's reports; called after each report."""
         if self._delegate_since < 0 or now - self._acked_at <= RESIGN_AFTER_NS or len(self.cell.names) == 1:
             return None
         self._resigned_until[self.name] = now + RESIGNATION_NS
         self._delegate_since, self._reported_to_at = -1, -DELEGATE_BY_REPORT_NS - 1
-        return Resign(RESIGNATION_NS)
+        return DelegateResignation(RESIGNATION_NS)
--- a/copperyard/control/feed.py
+++ b/copperyard/control/controller_driver.py
@@ -9,7 +9,7 @@
 from ..interface import Action, Event
 
 
-class Feed:
+class ControllerDriver:
     """Call it with an event. Events that are raised while actions are executed are handled after them, not nested. An
     action without a handler is an error.
     """
--- a/copperyard/control/evidence.py
+++ b/copperyard/control/host_reports.py
@@ -8,17 +8,17 @@
 
 import math
 
-from ..interface import NoteKind, Report
+from ..interface import NoticeKind, Report
 from ..protocol.rtp import App
 
-REPORT_HEADER = "Load-Report"
-UP_HEADER = "Host-Up"
+LOAD_REPORT_HEADER = "Load-Report"
+HOST_UP_HEADER = "Host-Up"
 MAX_UPTIME_NS = 1 << 60  # ns; above any real uptime
 NOTE_NAME = "CPYD"
 MIN_NOTE_INTERVAL_NS = (
     400_000_000  # ns; a host sends a note once a second, on one session of each front or on all of them
 )
-_KINDS = (NoteKind.SHARE, NoteKind.LINK, NoteKind.UPLINK)
+_KINDS = (NoticeKind.SHARE, NoticeKind.LINK, NoticeKind.UPLINK)
 
 
 def parse_report(text: str | None) -> Report | None:
@@ -54,12 +54,12 @@
     return boot, min(MAX_UPTIME_NS, int(age) * 1_000_000) if age is not None else None
 
 
-def encode_up(boot: str, age: int | None) -> str:
+def encode_host_up(boot: str, age: int | None) -> str:
     """Return the value of the Host-Up header; `age` in ns."""
     return f"boot={boot}" + (f"; ms={age // 1_000_000}" if age is not None else "")
 
 
-def parse_note(app: App) -> tuple[NoteKind, float] | None:
+def parse_note(app: App) -> tuple[NoticeKind, float] | None:
     """Parse an APP packet, None if it is not a note."""
     if app.name != NOTE_NAME or len(app.data) < 4:
         return None
@@ -67,7 +67,7 @@
     return None if kind is None else (kind, int.from_bytes(app.data[:4], "big") / 65536)
 
 
-def note_app(ssrc: int, kind: NoteKind, value: float) -> App:
+def encode_note(ssrc: int, kind: NoticeKind, value: float) -> App:
     """Return the APP packet of a note."""
     return App(ssrc, NOTE_NAME, int(kind), min(0xFFFFFFFF, round(value * 65536)).to_bytes(4, "big"))
 
--- a/copperyard/control/hosts.py
+++ b/copperyard/control/hosts.py
@@ -70,7 +70,7 @@
         if host is not None:
             host.last_heard = now
 
-    def sure(self, now: int, server: int) -> bool:
+    def heard_recently(self, now: int, server: int) -> bool:
         """Return whether the host was heard so recently that its process cannot have restarted since."""
         host = self._hosts.get(server)
         return host is not None and host.last_heard is not None and now - host.last_heard < HEARD_RECENTLY_NS
--- a/copperyard/control/orders.py
+++ b/copperyard/control/io_actions.py
@@ -8,11 +8,11 @@
 from .attempt import Attempt
 
 if TYPE_CHECKING:
-    from .visits import Visitor
+    from .rtsp_server import ViewerConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartAttempt:
     """Connect to the attempt's host and run its dialogue. Unless it plays by the attempt's deadline, the connection
     is closed and the core is told.
     """
@@ -21,35 +21,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flush:
+class FlushAttempt:
     """Write the attempt's pending bytes to its host."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class StopAttempt:
     """Write the attempt's pending bytes, close its connection, then tell the core."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Wrote:
+class FlushViewer:
     """Write the pending bytes of a viewer connection."""
 
-    visitor: Visitor
+    connection: ViewerConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Hangup:
+class CloseViewer:
     """Close a viewer connection once its outbox is empty."""
 
-    visitor: Visitor
+    connection: ViewerConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ProbeHost:
     """Probe a host: one request on a connection of its own, answered within the connect time-out."""
 
     server: int
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class QueryCode:
     """Ask a host what became of the set-up `request`, within the connect time-out. The answer is returned with
     `code`, the code's digest.
     """
@@ -68,18 +68,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class FollowList:
     """Start or stop following the server list."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """Write a log line. `fields` never contain a code in clear text."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
 
 
-IoAction = Start | Flush | Stop | Wrote | Hangup | Ask | Settle | Follow | Line
+IoAction = (
+    StartAttempt | FlushAttempt | StopAttempt | FlushViewer | CloseViewer | ProbeHost | QueryCode | FollowList | LogLine
+)
--- a/copperyard/control/memory.py
+++ b/copperyard/control/journal.py
@@ -4,10 +4,10 @@
 
 from typing import Protocol
 
+from ..state.durable_state import DurableState
 from ..state.facts import Fact
-from ..state.ledger import State
 
-STORE_WAIT = 1_000_000_000  # ns that a paid set-up, or its PLAY, waits for the disk
+JOURNAL_TIMEOUT_NS = 1_000_000_000  # ns that a paid set-up, or its PLAY, waits for the disk
 """A disk that takes a second has failed for this purpose, and most of the deadline is left to try elsewhere or to
 refuse. Half of the time left until the deadline would serve as well.
 """
@@ -17,14 +17,14 @@
     """Takes facts. Each gets a sequence number and becomes durable at some later time, or never."""
 
     @property
-    def state(self) -> State:
+    def state(self) -> DurableState:
         """The state that the facts written so far add up to."""
 
     @property
-    def well(self) -> bool:
+    def healthy(self) -> bool:
         """Whether a fact that is written now can be expected to become durable soon."""
 
-    def at(self, now: int) -> int:
+    def service_time(self, now: int) -> int:
         """Return the service time of a loop time (ns)."""
 
     def write(self, now: int, fact: Fact) -> int:
@@ -37,12 +37,12 @@
 class NullJournal:
     """No journal: nothing survives the process, and nothing waits for it."""
 
-    well = True
+    healthy = True
 
     def __init__(self) -> None:
-        self.state = State()
+        self.state = DurableState()
 
-    def at(self, now: int) -> int:
+    def service_time(self, now: int) -> int:
         """Return the loop time itself."""
         return now
 
--- a/copperyard/control/node/core.py
+++ b/copperyard/control/node/core.py
@@ -16,29 +16,29 @@
 from ...interface import (
     Action,
     Cancel,
-    Carried,
-    Code,
+    CarriedSession,
     Fail,
-    Left,
     Log,
     Move,
-    Note,
-    NoteKind,
-    Opened,
+    NoticeKind,
     Outcome,
+    OutcomeCode,
     Probe,
-    Probed,
-    Rate,
+    ProbeResult,
     Refuse,
     Report,
     Request,
     Send,
     ServerList,
     ServerState,
+    SessionNotice,
+    SessionOpened,
+    SetRung,
     SetTimer,
     Settings,
-    Wake,
-    Watch,
+    Subscribe,
+    TimerDue,
+    ViewerLeft,
 )
 from ...membership.fleet import Fleet
 from ...protocol import rtsp
@@ -47,17 +47,21 @@
 from ...protocol.node.messages import Cause, Message, MessageError, MessageKind, Param, encode, parse_report
 from ...protocol.node.viewer import SetupRequest
 from ...protocol.rtsp.messages import BadHeader
-from ...settings import Platform, report_of
+from ...settings import Platform, make_report
 from ..budget import RetryBudget
-from ..feed import Feed
+from ..controller_driver import ControllerDriver
 from ..timers import Timers
 from . import bounds
 from .links import HostState, Link, LinkState, PendingProbe
 from .sessions import Attempt, Session, Viewer
 
-NOTE_KINDS = {"share": NoteKind.SHARE, "step": NoteKind.RUNG, "asked": NoteKind.LINK, "rack": NoteKind.UPLINK}
-ATTEMPT_CODES: dict[int, Code] = {Cause.FULL: Code.FULL, Cause.ERROR: Code.ERROR, Cause.MOOT: Code.MOOT}
-SESSION_CODES: dict[int, Code] = {Cause.NORMAL: Code.OK, Cause.CANCELLED: Code.CANCELLED}
+NOTE_KINDS = {"share": NoticeKind.SHARE, "step": NoticeKind.RUNG, "asked": NoticeKind.LINK, "rack": NoticeKind.UPLINK}
+ATTEMPT_CODES: dict[int, OutcomeCode] = {
+    Cause.FULL: OutcomeCode.FULL,
+    Cause.ERROR: OutcomeCode.ERROR,
+    Cause.MOOT: OutcomeCode.MOOT,
+}
+SESSION_CODES: dict[int, OutcomeCode] = {Cause.NORMAL: OutcomeCode.OK, Cause.CANCELLED: OutcomeCode.CANCELLED}
 STATUS_REFUSED, STATUS_FAILED = 503, 500
 
 
@@ -85,7 +89,7 @@
         self.settings, self.platform, self.fleet, self.sockets = settings, platform, fleet, sockets
         self.controller = Controller(settings, seed)
         self.class_numbers = {kind.name: n for n, kind in enumerate(settings.classes)}
-        self.budget = RetryBudget(settings.ratio_span, settings.free_resends, settings.further_ratio)
+        self.budget = RetryBudget(settings.retry_window, settings.free_retries, settings.retry_ratio)
         self.timers = Timers()
         self.io_actions = IoActions()
         self.sessions: dict[int, Session] = {}
@@ -104,11 +108,11 @@
         self._connections_at_limit = False
         self._rng = random.Random(seed)
         self._last_suspicion = -bounds.SUSPICION_PERIOD
-        self._feed = Feed(
+        self._feed = ControllerDriver(
             lambda: self.controller,
             {
                 Send: self._send,
-                Rate: self._rate,
+                SetRung: self._rate,
                 Refuse: self._refuse,
                 Fail: self._fail,
                 Cancel: self._cancel,
@@ -116,7 +120,7 @@
                 Probe: self._probe,
                 SetTimer: self._set_timer,
                 Log: self._log,
-                Watch: self._watch_list,
+                Subscribe: self._watch_list,
             },
         )
 
@@ -191,15 +195,15 @@
 
     def run_timers(self, now: int) -> None:
         """Run all timers that are due."""
-        for key in self.timers.due(now):
+        for key in self.timers.pop_due(now):
             assert isinstance(key, tuple)
             timer, subject = key
             if timer == "controller":
-                self._feed(now, Wake(subject))
+                self._feed(now, TimerDue(subject))
             elif timer == "deadline":
                 self._attempt_timed_out(now, subject)
             elif timer == "probe":
-                self._finish_probe(now, subject, Code.TIMEOUT, None)
+                self._finish_probe(now, subject, OutcomeCode.TIMEOUT, None)
             elif timer == "redial":
                 self._ensure_link(now, subject)
             elif timer == "silence":
@@ -232,7 +236,7 @@
             if host is not None and entry.state != ServerState.READY:
                 self._withdraw_unsent(now, host)
         for session in lost:
-            self._end_session(now, session, Code.RESET, Cause.RESET, True)
+            self._end_session(now, session, OutcomeCode.RESET, Cause.RESET, True)
         for host in gone:
             # another host may answer at this address from now on: only a connection opened before shows that
             # this host is still there
@@ -244,7 +248,7 @@
         """Withdraw the set-ups that wait for a connection to a host that drains or is gone: they must not be sent."""
         for link in list(host.links):
             for one in [one for one in link.outbox if not isinstance(one, bytes)]:
-                self._finish_attempt(now, one, Code.MOOT, None)
+                self._finish_attempt(now, one, OutcomeCode.MOOT, None)
 
     def _host_name(self, server: int) -> str:
         return next(name for name, number in self.fleet.numbers.items() if number == server)
@@ -285,7 +289,7 @@
             self._abandon_setup(now, session)
         established, viewer.newly_established = viewer.newly_established, []
         for session in established:  # the viewer left before the answer was sent: nobody will use or end the session
-            self._end_session(now, session, Code.CANCELLED, Cause.NORMAL, False, tell_host=True)
+            self._end_session(now, session, OutcomeCode.CANCELLED, Cause.NORMAL, False, tell_host=True)
         notices, viewer.notices = viewer.notices, []
         for data in notices:  # notices that were not sent yet go to a connection that is being read
             self._notify_viewer(None, data)
@@ -383,7 +387,7 @@
         if cls is None:
             raise BadHeader(400, f"no class is named {setup.class_name[:40]!r}")
         known = self.sessions_by_id.get(setup.session_id)
-        if known is None and len(self.sessions) >= self.platform.held:
+        if known is None and len(self.sessions) >= self.platform.max_held:
             return self._reject(viewer, setup)  # the settings bound the sessions that a node holds
         if setup.at is not None:
             if known is None:
@@ -397,7 +401,7 @@
             raise BadHeader(400, "the session already exists")
         if self._accept_until is not None and now >= self._accept_until:
             return self._reject(viewer, setup)
-        self.budget.taken(now)
+        self.budget.count_request(now)
         session_request = self._session_request(now, setup, cls)
         session = self._add_session(session_request.ref, setup, viewer)
         viewer.open_setups[session.ref] = session
@@ -454,7 +458,7 @@
         session.attempts, session.host, session.established, session.established_at = 1, host, True, now
         self._session_established(now, viewer)
         host.sessions[session.ref] = session
-        self._feed(now, Carried(session_request, host.server))
+        self._feed(now, CarriedSession(session_request, host.server))
         self._ensure_link(now, host)
         self._schedule_check(now, host)
 
@@ -465,7 +469,7 @@
             return self._respond(viewer, request, 200 if id in self.ended_sessions else 454)
         self._respond(viewer, request, 200)
         if session.established:
-            self._end_session(now, session, Code.CANCELLED, cause or Cause.NORMAL, False, tell_host=True)
+            self._end_session(now, session, OutcomeCode.CANCELLED, cause or Cause.NORMAL, False, tell_host=True)
         else:
             self._abandon_setup(now, session)
 
@@ -473,9 +477,9 @@
         """The viewer has withdrawn or gone: the attempt in flight, if any, is released at its host."""
         attempt = session.attempt
         self._remove_session(session)
-        self._feed(now, Left(session.ref))
+        self._feed(now, ViewerLeft(session.ref))
         if attempt is not None:
-            self._abort_attempt(now, attempt, Code.CANCELLED, True)
+            self._abort_attempt(now, attempt, OutcomeCode.CANCELLED, True)
 
     def _remove_session(self, session: Session) -> None:
         self.sessions.pop(session.ref, None)
@@ -512,16 +516,16 @@
             return
         number = session.attempts
         session.attempts += 1
-        if host is None or not host.listed or action.not_past <= now:
-            self._feed(now, Outcome(session.ref, number, action.server, Code.MOOT, 0, False))
+        if host is None or not host.listed or action.deadline <= now:
+            self._feed(now, Outcome(session.ref, number, action.server, OutcomeCode.MOOT, 0, False))
             return
-        attempt = session.attempt = Attempt(session, number, host, now, action.not_past)
-        self.timers.set(("deadline", attempt), action.not_past)
+        attempt = session.attempt = Attempt(session, number, host, now, action.deadline)
+        self.timers.set(("deadline", attempt), action.deadline)
         self._enqueue(now, attempt)
 
     def _enqueue(self, now: int, attempt: Attempt) -> None:
         host = attempt.host
-        link = host.best_link(self.platform.streams)
+        link = host.best_link(self.platform.streams_per_connection)
         if link is None and len(host.links) >= bounds.MAX_LINKS_PER_HOST:
             link = min(host.links, key=lambda one: one.load)
         link = attempt.link = link or self._dial(now, host)
@@ -530,7 +534,7 @@
             self.io_actions.write_links.append(link)
 
     def _rate(self, now: int, action: Action) -> None:
-        assert isinstance(action, Rate)
+        assert isinstance(action, SetRung)
         session = self.sessions.get(action.ref)
         if session is None:
             return
@@ -560,7 +564,7 @@
         assert isinstance(action, Cancel)
         session = self.sessions.get(action.ref)
         if session is not None and session.attempt is not None and session.attempt.number == action.attempt:
-            self._abort_attempt(now, session.attempt, Code.CANCELLED, False)
+            self._abort_attempt(now, session.attempt, OutcomeCode.CANCELLED, False)
 
     def _move(self, now: int, action: Action) -> None:
         assert isinstance(action, Move)
@@ -572,13 +576,13 @@
         while len(self.moved_viewers) > bounds.MAX_MOVED_VIEWERS:
             del self.moved_viewers[next(iter(self.moved_viewers))]
         self._notify_viewer(session.viewer, viewer_protocol.encode_redirect(session.id_text))
-        self._end_session(now, session, Code.CANCELLED, Cause.CANCELLED, False, tell_host=True)
+        self._end_session(now, session, OutcomeCode.CANCELLED, Cause.CANCELLED, False, tell_host=True)
 
     def _probe(self, now: int, action: Action) -> None:
         assert isinstance(action, Probe)
         host = self.hosts.get(action.server)
         if host is None:
-            self._feed(now, Probed(action.server, Code.CONNECT_FAILED, 0))
+            self._feed(now, ProbeResult(action.server, OutcomeCode.CONNECT_FAILED, 0))
             return
         self._last_number += 1
         probe = self.probes[self._last_number.to_bytes(8, "big")] = PendingProbe(
@@ -588,11 +592,11 @@
         # a host answers a TEST with cause 0 without a report
         self._send_to_host(now, host, encode(MessageKind.TEST, probe.id, ((Param.CAUSE, b"\1"),)))
 
-    def _finish_probe(self, now: int, id: bytes, code: Code, report: Report | None) -> None:
+    def _finish_probe(self, now: int, id: bytes, code: OutcomeCode, report: Report | None) -> None:
         probe = self.probes.pop(id, None)
         if probe is not None:
-            self.timers.drop(("probe", id))
-            self._feed(now, Probed(probe.host.server, code, now - probe.sent_at, report))
+            self.timers.cancel(("probe", id))
+            self._feed(now, ProbeResult(probe.host.server, code, now - probe.sent_at, report))
             self._remove_if_unused(probe.host)
 
     # ---- media hosts
@@ -630,7 +634,7 @@
         """
         link.state = LinkState.HALF_CLOSED
         link.host.links.remove(link)
-        self.timers.drop(("partial", link))
+        self.timers.cancel(("partial", link))
         self.io_actions.half_close.append(link)
 
     def waiting_viewers(self, link: Link) -> list[Viewer]:
@@ -655,16 +659,16 @@
                 overdue.append(one)
             elif one.session.viewer in busy:
                 link.outbox.append(one)
-            elif one.number and not self.budget.spend(now):
+            elif one.number and not self.budget.try_spend(now):
                 over_budget.append(one)
             else:
                 one.written, one.written_at = True, now
                 link.attempts[one.session.setup.session_id] = one
                 parts.append(one.encode(now))
         for one in overdue:
-            self._abort_attempt(now, one, Code.TIMEOUT, False)
+            self._abort_attempt(now, one, OutcomeCode.TIMEOUT, False)
         for one in over_budget:
-            self._finish_attempt(now, one, Code.MOOT, None)
+            self._finish_attempt(now, one, OutcomeCode.MOOT, None)
         return b"".join(parts), aborts_attempt
 
     def link_down(self, now: int, link: Link, refused: bool = False, silent: bool = False, reset: bool = False) -> None:
@@ -681,9 +685,9 @@
         if previous_state is LinkState.UP:
             host.link_lost, host.last_reset = True, now if reset else host.last_reset
         unsent, link.outbox = link.outbox, []
-        self.timers.drop(("partial", link))
+        self.timers.cancel(("partial", link))
         for attempt in list(link.attempts.values()):
-            self._finish_attempt(now, attempt, Code.RESET, None)
+            self._finish_attempt(now, attempt, OutcomeCode.RESET, None)
         for one in unsent:
             if isinstance(one, bytes):
                 if previous_state is LinkState.UP and host.listed and len(unsent) < bounds.MAX_LINK_OUTBOX:
@@ -696,7 +700,7 @@
             else:
                 # running out of descriptors here is no failure of the host
                 local = previous_state is LinkState.DIALLING and not (refused or silent)
-                self._finish_attempt(now, one, Code.MOOT if local else Code.CONNECT_FAILED, None)
+                self._finish_attempt(now, one, OutcomeCode.MOOT if local else OutcomeCode.CONNECT_FAILED, None)
         if previous_state is LinkState.DIALLING and (refused or silent):
             self._dial_failed(now, host, refused)
         self._ensure_link(now, host)
@@ -731,7 +735,7 @@
         if host.sessions or host.links:
             self.log_line("host lost", host=host.name, sessions=len(host.sessions), listed=int(host.listed))
         for session in list(host.sessions.values()):
-            self._end_session(now, session, Code.RESET, Cause.RESET, True)
+            self._end_session(now, session, OutcomeCode.RESET, Cause.RESET, True)
         for link in [one for one in host.links if one.state is LinkState.UP]:
             self._close_link(now, link)
 
@@ -836,7 +840,7 @@
             self.log_line("host speaks nonsense", host=link.host.name, text=str(error))
             self._abort_link(now, link)
         elif not link.decoder.partial or link.state is not LinkState.UP:
-            self.timers.drop(("partial", link))
+            self.timers.cancel(("partial", link))
         elif messages or ("partial", link) not in self.timers:
             # timed from the start of the message: a host that trickles bytes must not hold the connection for good
             self.timers.set(("partial", link), now + self.settings.connect_timeout)
@@ -852,11 +856,13 @@
         elif message.kind == MessageKind.TESTED:
             probe = self.probes.get(message.session)
             if probe is not None and probe.host is link.host:
-                self._finish_probe(now, probe.id, Code.OK if message.cause == 1 else Code.ERROR, self._report(message))
+                self._finish_probe(
+                    now, probe.id, OutcomeCode.OK if message.cause == 1 else OutcomeCode.ERROR, self._report(message)
+                )
 
     def _report(self, message: Message) -> Report | None:
         text = message.text(Param.REPORT)
-        return report_of(parse_report(text)) if text else None
+        return make_report(parse_report(text)) if text else None
 
     def _setup_answered(self, now: int, link: Link, message: Message) -> None:
         attempt = link.attempts.pop(message.session, None)
@@ -869,8 +875,8 @@
         session, description = attempt.session, message.params[Param.DESCRIPTION]
         if len(description) > viewer_protocol.MAX_BODY_BYTES:  # too long for a message to a viewer
             self._send_to_host(now, link.host, _encode_release(message.session, Cause.NORMAL))
-            return self._finish_attempt(now, attempt, Code.RESET, None)
-        self.timers.drop(("deadline", attempt))
+            return self._finish_attempt(now, attempt, OutcomeCode.RESET, None)
+        self.timers.cancel(("deadline", attempt))
         session.attempt, session.host, session.established, session.established_at = None, link.host, True, now
         link.host.sessions[session.ref] = session
         self._schedule_check(now, link.host)
@@ -878,13 +884,13 @@
         if session.viewer is not None:
             session.viewer.newly_established.append(session)
             self._session_established(now, session.viewer)
-        self._feed(now, Opened(session.ref, attempt.number, link.host.server, now - attempt.queued_at))
+        self._feed(now, SessionOpened(session.ref, attempt.number, link.host.server, now - attempt.queued_at))
 
     def _released(self, now: int, link: Link, message: Message) -> None:
         attempt = link.attempts.get(message.session)
         if attempt is not None:
             return self._finish_attempt(
-                now, attempt, ATTEMPT_CODES.get(message.cause, Code.RESET), self._report(message)
+                now, attempt, ATTEMPT_CODES.get(message.cause, OutcomeCode.RESET), self._report(message)
             )
         session = self.sessions_by_id.get(message.session)
         # a host that left the list and came back keeps its connections and sessions
@@ -894,8 +900,10 @@
             and session.host is not None
             and session.host.name == link.host.name
         ):
-            code = SESSION_CODES.get(message.cause, Code.RESET)
-            self._end_session(now, session, code, message.cause, code is not Code.CANCELLED, self._report(message))
+            code = SESSION_CODES.get(message.cause, OutcomeCode.RESET)
+            self._end_session(
+                now, session, code, message.cause, code is not OutcomeCode.CANCELLED, self._report(message)
+            )
 
     def _note(self, now: int, message: Message) -> None:
         session = self.sessions_by_id.get(message.session)
@@ -905,7 +913,7 @@
         except ValueError:
             return
         if session is not None and session.established and session.host is not None and kind is not None:
-            self._feed(now, Note(session.ref, session.attempts - 1, session.host.server, kind, value))
+            self._feed(now, SessionNotice(session.ref, session.attempts - 1, session.host.server, kind, value))
 
     # ---- ends of attempts and sessions
 
@@ -916,9 +924,9 @@
             if attempt.written and link is not None and link.last_heard <= attempt.written_at:
                 link.suspect = True
                 self._suspect_hosts(now)
-            self._abort_attempt(now, attempt, Code.TIMEOUT, False)
+            self._abort_attempt(now, attempt, OutcomeCode.TIMEOUT, False)
 
-    def _abort_attempt(self, now: int, attempt: Attempt, code: Code, session_over: bool) -> None:
+    def _abort_attempt(self, now: int, attempt: Attempt, code: OutcomeCode, session_over: bool) -> None:
         """Abort an attempt. If it may have been sent, a release is queued for the host; otherwise it never ran."""
         link = attempt.link
         if attempt.written and link is not None:
@@ -926,16 +934,16 @@
             link.outbox.append(_encode_release(attempt.session.setup.session_id, Cause.NORMAL))
             link.aborts_attempt = True
             self.io_actions.write_links.append(link)
-        elif code is Code.TIMEOUT:
-            code = Code.CONNECT_FAILED
+        elif code is OutcomeCode.TIMEOUT:
+            code = OutcomeCode.CONNECT_FAILED
         self._finish_attempt(now, attempt, code, None, session_over)
 
     def _finish_attempt(
-        self, now: int, attempt: Attempt, code: Code, report: Report | None, session_over: bool = False
+        self, now: int, attempt: Attempt, code: OutcomeCode, report: Report | None, session_over: bool = False
     ) -> None:
         """Report the outcome of an attempt, which it gets once."""
         session, link = attempt.session, attempt.link
-        self.timers.drop(("deadline", attempt))
+        self.timers.cancel(("deadline", attempt))
         if link is not None:
             link.attempts.pop(session.setup.session_id, None)
             if attempt in link.outbox:
@@ -954,7 +962,7 @@
         self,
         now: int,
         session: Session,
-        code: Code,
+        code: OutcomeCode,
         cause: int,
         notify: bool,
         report: Report | None = None,
--- a/copperyard/control/outbox.py
+++ b/copperyard/control/outbox.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, limit: int, stall: int) -> None:
-        self.limit, self.stall = limit, stall
+        self.limit, self.stall_ns = limit, stall
         self.size = 0
         self.bytes_taken = 0  # total bytes accepted by the peer
         self._chunks: deque[bytes] = deque()
@@ -34,7 +34,7 @@
         return self.size >= self.limit
 
     @property
-    def roomy(self) -> bool:
+    def has_room(self) -> bool:
         """Whether the source of this queue may resume: at most half full, so that it does not toggle on each byte."""
         return self.size * 2 <= self.limit
 
@@ -48,7 +48,7 @@
             self._chunks.appendleft(b"".join(parts))
         return self._chunks[0] if self._chunks else b""
 
-    def took(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Remove `size` bytes, which the peer accepted, of those that peek returned."""
         if size:
             head = self._chunks.popleft()
--- a/copperyard/control/redemption.py
+++ b/copperyard/control/redemption.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from ..state.durable_state import CodeRecord
 from ..state.facts import digest
-from ..state.ledger import Kept
 
 
 class CodeState(Enum):
@@ -22,7 +22,7 @@
     UNCLEAR = "unclear"
 
 
-class Verdict(Enum):
+class ClaimResult(Enum):
     """What a request with a code may do."""
 
     REDEEM = "redeem"
@@ -55,27 +55,27 @@
     def __len__(self) -> int:
         return len(self._codes)
 
-    def restore(self, codes: Mapping[bytes, Kept]) -> None:
+    def restore(self, codes: Mapping[bytes, CodeRecord]) -> None:
         """Take over the codes of an earlier run; those without a receipt are unclear."""
         for code, kept in codes.items():
             state = CodeState.UNCLEAR if kept.receipt is None else CodeState.REDEEMED
             self._codes[code] = _CodeRecord(state, None, kept.receipt or "", True)
 
-    def claim(self, code: str, ref: int) -> Verdict:
+    def claim(self, code: str, ref: int) -> ClaimResult:
         """Claim a code for the request `ref`. REDEEM and RESUME bind the code to the request until `release`."""
         key = digest(code)
         record = self._codes.get(key)
         if record is None:
             if len(self._codes) >= self.max_codes:
-                return Verdict.TABLE_FULL
+                return ClaimResult.TABLE_FULL
             self._codes[key] = _CodeRecord(CodeState.PENDING, ref)
-            return Verdict.REDEEM
+            return ClaimResult.REDEEM
         if record.ref is not None:
-            return Verdict.BUSY
+            return ClaimResult.BUSY
         if record.state is CodeState.UNCLEAR:
-            return Verdict.UNCLEAR
+            return ClaimResult.UNCLEAR
         record.ref = ref
-        return Verdict.RESUME
+        return ClaimResult.RESUME
 
     def receipt(self, code: str) -> str:
         """Return the receipt for a resumed set-up, empty if the code is not redeemed yet."""
--- a/copperyard/control/visits.py
+++ b/copperyard/control/rtsp_server.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from urllib.parse import urlencode
 
-from ..interface import Code
+from ..interface import OutcomeCode
 from ..protocol.rtp import Bye, ReceiverReport, encode_compound, parse_compound
 from ..protocol.rtsp import Connection, Frame, Malformed, Reply, Request, Response, Unasked, frame_header
 from ..protocol.rtsp.connection import supported
@@ -36,10 +36,10 @@
 from .admission import Admission, Denial, admit, highest_rung
 from .attempt import ForwardedReply, MediaData
 from .catalogue import Catalogue, Title, describe
-from .orders import Hangup, IoAction, Line, Wrote
+from .io_actions import CloseViewer, FlushViewer, IoAction, LogLine
 from .outbox import Outbox
-from .plays import Plays, SessionRequest
 from .rules import FrontRules
+from .session_table import SessionRequest, SessionTable
 from .splice import Splice
 
 SECOND = 1_000_000_000
@@ -66,7 +66,7 @@
     data: bytes | None = None
 
 
-class Visitor:
+class ViewerConnection:
     """One viewer connection."""
 
     def __init__(self, rules: FrontRules, peer: str, number: int, now: int) -> None:
@@ -74,14 +74,14 @@
         self.wire = Connection(rules.viewers)
         self.outbox = Outbox(rules.bounds.queue, rules.bounds.stall)
         self.peer = peer
-        self.sessions: dict[str, Session] = {}
+        self.sessions: dict[str, RtspSession] = {}
         self.pending_responses: deque[PendingResponse] = deque()
         self.closing = False
         self.gone = False
 
 
 @dataclass(eq=False, slots=True)
-class Session:
+class RtspSession:
     """One RTSP session. It owns its session request and takes the callbacks of `RequestOwner`.
 
     `splices` holds the RTP state of each track by number, `playing_splices` those of the current request in track
@@ -90,8 +90,8 @@
     each track was last forwarded.
     """
 
-    rtsp_server: Visits
-    visitor: Visitor
+    rtsp_server: RtspServer
+    connection: ViewerConnection
     id: str
     title: Title
     admission: Admission
@@ -100,7 +100,7 @@
     splices: dict[int, Splice] = field(default_factory=dict)
     state: RtspState = RtspState.READY
     ref: int | None = None
-    slots: list[PendingResponse] = field(default_factory=list)
+    pending_responses: list[PendingResponse] = field(default_factory=list)
     start_s: float = 0.0
     last_heard: int = 0
     playing_splices: tuple[Splice, ...] = ()
@@ -118,9 +118,9 @@
         headers: Headers = (("Retry-After", str(-(-retry_after // SECOND))),) if retry_after > 0 else ()
         self._answer_and_reset(now, Response(453, headers))
 
-    def failed(self, now: int, code: Code | None) -> None:
+    def failed(self, now: int, code: OutcomeCode | None) -> None:
         """Answer the PLAY with 504 after a time-out, 503 if no host had room, 502 otherwise."""
-        status = {Code.TIMEOUT: 504, Code.FULL: 503, None: 503}.get(code, 502)
+        status = {OutcomeCode.TIMEOUT: 504, OutcomeCode.FULL: 503, None: 503}.get(code, 502)
         self._answer_and_reset(now, Response(status))
 
     def denied(self, now: int, status: int, text: str) -> None:
@@ -133,16 +133,16 @@
 
     def _answer_pending(self, now: int, response: Response) -> None:
         """Answer all requests that wait for this outcome: the PLAY and its repetitions."""
-        waiting, self.slots = self.slots, []
+        waiting, self.pending_responses = self.pending_responses, []
         with_id = Response(response.status, (("Session", self.id), *response.headers), b"", response.reason)
         for pending in waiting:
-            self.rtsp_server.reply(now, self.visitor, pending, with_id)
+            self.rtsp_server.reply(now, self.connection, pending, with_id)
 
     def media(self, now: int, media: MediaData) -> None:
         """Queue media for the viewer."""
-        if not self.visitor.gone:
-            self.visitor.outbox.put(media.data)
-            self.rtsp_server.output_added(self.visitor)
+        if not self.connection.gone:
+            self.connection.outbox.put(media.data)
+            self.rtsp_server.output_added(self.connection)
 
     def forwarded_reply(self, now: int, reply: ForwardedReply) -> None:
         """Answer the viewer's PAUSE or PLAY with the host's status."""
@@ -155,29 +155,29 @@
             headers = self._play_headers(reply.infos) if ok else ()
         self._answer_pending(now, Response(reply.response.status, headers))
 
-    def ended(self, now: int, code: Code) -> None:
+    def ended(self, now: int, code: OutcomeCode) -> None:
         """Reset the session. Unless the host ended the stream itself, send RTCP BYE and remove the session."""
         self.state, self.ref = RtspState.READY, None
-        self._answer_pending(now, Response(504 if code == Code.TIMEOUT else 502))
-        if code != Code.OK:
+        self._answer_pending(now, Response(504 if code == OutcomeCode.TIMEOUT else 502))
+        if code != OutcomeCode.OK:
             # The host sent no BYE; the viewer must not wait for media that never come.
             for splice in self.playing_splices:
                 bye = encode_compound([Bye((splice.ssrc,))], splice.ssrc)
-                self.visitor.outbox.put(frame_header(splice.channel + 1, len(bye)) + bye)
+                self.connection.outbox.put(frame_header(splice.channel + 1, len(bye)) + bye)
             # The connection stays open: a TEARDOWN may be on its way and needs its response.
             self.rtsp_server.remove_session(self)
-        self.rtsp_server.output_added(self.visitor)
+        self.rtsp_server.output_added(self.connection)
 
     def redirected(self, now: int) -> None:
         """Send the viewer a REDIRECT to the same URL."""
         url = self.base_url + quote_path(self.title.path)
-        data = self.visitor.wire.ask("REDIRECT", url, (("Session", self.id), ("Location", url)))[1]
-        self.visitor.outbox.put(data)
-        self.rtsp_server.output_added(self.visitor)
+        data = self.connection.wire.ask("REDIRECT", url, (("Session", self.id), ("Location", url)))[1]
+        self.connection.outbox.put(data)
+        self.rtsp_server.output_added(self.connection)
 
     def blocked(self) -> bool:
         """Return whether the viewer's outbox is full."""
-        return self.visitor.outbox.full
+        return self.connection.outbox.full
 
     def _play_headers(self, infos: tuple[tuple[int, int] | None, ...]) -> Headers:
         end_s = self.title.length / SECOND if self.title.length is not None else None
@@ -187,40 +187,40 @@
         return headers + ((("RTP-Info", ",".join(rtp_infos)),) if rtp_infos else ())
 
 
-class Visits:
+class RtspServer:
     """All viewer connections and RTSP sessions of one front."""
 
     def __init__(
         self,
         rules: FrontRules,
         catalogue: Catalogue,
-        session_table: Plays,
+        session_table: SessionTable,
         rng: random.Random,
         io_actions: list[IoAction],
         name: str,
     ) -> None:
         self.rules, self.catalogue, self.session_table = rules, catalogue, session_table
         self.rng, self.io_actions, self.server_header = rng, io_actions, ("Server", name)
-        self.visitors: dict[int, Visitor] = {}
+        self.connections: dict[int, ViewerConnection] = {}
         self._next = 0
-        self.sessions: dict[str, Session] = {}
+        self.sessions: dict[str, RtspSession] = {}
         self.draining = False
 
     # ---- connections
 
-    def opened(self, now: int, peer: str) -> Visitor | None:
+    def opened(self, now: int, peer: str) -> ViewerConnection | None:
         """Accept a viewer connection; None if the limit is reached or the front is draining."""
-        if len(self.visitors) >= self.rules.bounds.connections or self.draining:
+        if len(self.connections) >= self.rules.bounds.connections or self.draining:
             return None
         self._next += 1
-        connection = Visitor(self.rules, peer, self._next, now)
-        self.visitors[self._next] = connection
+        connection = ViewerConnection(self.rules, peer, self._next, now)
+        self.connections[self._next] = connection
         self.session_table.timers.set(("quiet", connection.number), now + self.rules.bounds.idle)
         return connection
 
     def connection_idle(self, now: int, number: int) -> None:
         """Handle the idle timer of a connection: close it if it has no session and sent nothing."""
-        connection = self.visitors.get(number)
+        connection = self.connections.get(number)
         if connection is None:
             return
         until = connection.last_heard + self.rules.bounds.idle
@@ -232,15 +232,15 @@
         else:
             self.session_table.timers.set(("quiet", number), max(until, now + SECOND))
 
-    def closed(self, now: int, connection: Visitor) -> None:
+    def closed(self, now: int, connection: ViewerConnection) -> None:
         """The viewer's connection is closed. End its sessions, which cannot continue without it."""
         connection.gone = True
-        self.visitors.pop(connection.number, None)
-        self.session_table.timers.drop(("quiet", connection.number))
+        self.connections.pop(connection.number, None)
+        self.session_table.timers.cancel(("quiet", connection.number))
         for session in list(connection.sessions.values()):
             self._end_session(now, session)
 
-    def received(self, now: int, connection: Visitor, data: bytes) -> None:
+    def received(self, now: int, connection: ViewerConnection, data: bytes) -> None:
         """Process bytes from a viewer."""
         connection.last_heard = now
         for event in connection.wire.receive(data):
@@ -255,7 +255,7 @@
             else:
                 assert isinstance(event, Reply | Unasked)  # a viewer's response to a REDIRECT changes nothing
 
-    def _handle_frame(self, now: int, connection: Visitor, event: Frame) -> None:
+    def _handle_frame(self, now: int, connection: ViewerConnection, event: Frame) -> None:
         """Handle an interleaved frame. RTCP from a viewer counts as activity; one receiver report per track is
         forwarded to the host in each RECEIVER_REPORT_INTERVAL_NS.
         """
@@ -281,23 +281,23 @@
                 session.last_reports[track] = now
                 self.session_table.received_by_viewer(session.ref, track, tuple(blocks))
 
-    def _handle_malformed(self, now: int, connection: Visitor, event: Malformed) -> None:
-        self.io_actions.append(Line("viewer malformed", (("peer", connection.peer), ("text", event.text))))
+    def _handle_malformed(self, now: int, connection: ViewerConnection, event: Malformed) -> None:
+        self.io_actions.append(LogLine("viewer malformed", (("peer", connection.peer), ("text", event.text))))
         pending = PendingResponse(Request("", "*"))
         connection.pending_responses.append(pending)
         self.reply(now, connection, pending, Response(event.status, (("Connection", "close"),)))
         self.close_after_output(connection)
 
-    def close_after_output(self, connection: Visitor) -> None:
+    def close_after_output(self, connection: ViewerConnection) -> None:
         """Close the connection once its output is written. No further input is read."""
         connection.closing = True
-        self.io_actions.append(Hangup(connection))
+        self.io_actions.append(CloseViewer(connection))
 
-    def output_added(self, connection: Visitor) -> None:
+    def output_added(self, connection: ViewerConnection) -> None:
         """Have the I/O write the connection's outbox."""
-        self.io_actions.append(Wrote(connection))
+        self.io_actions.append(FlushViewer(connection))
 
-    def reply(self, now: int, connection: Visitor, pending: PendingResponse, response: Response) -> None:
+    def reply(self, now: int, connection: ViewerConnection, pending: PendingResponse, response: Response) -> None:
         """Answer a request once. The response leaves when all earlier requests are answered."""
         if pending.data is not None or connection.gone:
             return
@@ -309,7 +309,7 @@
 
     # ---- requests
 
-    def _handle_request(self, now: int, connection: Visitor, request: Request) -> None:
+    def _handle_request(self, now: int, connection: ViewerConnection, request: Request) -> None:
         pending = PendingResponse(request)
         connection.pending_responses.append(pending)
         if len(connection.pending_responses) > self.rules.viewers.pending:
@@ -320,11 +320,13 @@
             response = self._answer(now, connection, pending, request)
         except BadHeader as error:
             response = Response(error.status, (), b"")
-            self.io_actions.append(Line("viewer mistaken", (("peer", connection.peer), ("text", str(error)))))
+            self.io_actions.append(LogLine("viewer mistaken", (("peer", connection.peer), ("text", str(error)))))
         if response is not None:
             self.reply(now, connection, pending, response)
 
-    def _answer(self, now: int, connection: Visitor, pending: PendingResponse, request: Request) -> Response | None:
+    def _answer(
+        self, now: int, connection: ViewerConnection, pending: PendingResponse, request: Request
+    ) -> Response | None:
         """Return the response, or None if it follows later."""
         if request.cseq is None:
             return Response(400, (), b"", "CSeq is missing or no number")
@@ -357,7 +359,7 @@
         session.last_heard = now
         return self._answer_in_session(now, session, pending, request, target)
 
-    def _refresh_session(self, now: int, connection: Visitor, request: Request) -> None:
+    def _refresh_session(self, now: int, connection: ViewerConnection, request: Request) -> None:
         """Refresh the session that an OPTIONS request names. RFC 2326 section 10.1 leaves the session state
         unaffected, but deployed players use OPTIONS as a keep-alive.
         """
@@ -367,7 +369,7 @@
             session.last_heard = now
 
     def _answer_in_session(
-        self, now: int, session: Session, pending: PendingResponse, request: Request, target: Target
+        self, now: int, session: RtspSession, pending: PendingResponse, request: Request, target: Target
     ) -> Response | None:
         method, state = request.method, session.state
         if method == "TEARDOWN":
@@ -379,15 +381,15 @@
             return Response(460, (("Session", session.id),))
         if method == "PLAY":
             return self._answer_play(now, session, pending, request)
-        if state is RtspState.PAUSED and not session.slots:
+        if state is RtspState.PAUSED and not session.pending_responses:
             return Response(200, (("Session", session.id),))
-        if state is not RtspState.PLAYING or session.slots or session.ref is None:
+        if state is not RtspState.PLAYING or session.pending_responses or session.ref is None:
             return Response(455, (("Session", session.id), ("Allow", METHODS)))
-        session.slots.append(pending)
+        session.pending_responses.append(pending)
         self.session_table.pause(now, session.ref)
         return None
 
-    def _answer_parameter(self, request: Request, session: Session | None = None) -> Response:
+    def _answer_parameter(self, request: Request, session: RtspSession | None = None) -> Response:
         """Answer GET_PARAMETER and SET_PARAMETER. An empty body is a keep-alive (RFC 2326 sections 10.8, 10.9); no
         parameters are supported.
         """
@@ -422,7 +424,7 @@
         url = base + quote_path(target.path) + "/"
         return Response(200, (("Content-Base", url), ("Content-Type", SDP_TYPE)), body)
 
-    def _answer_setup(self, now: int, connection: Visitor, request: Request, target: Target) -> Response:
+    def _answer_setup(self, now: int, connection: ViewerConnection, request: Request, target: Target) -> Response:
         found = self._find_title(target)
         if isinstance(found, Response):
             return found
@@ -466,10 +468,16 @@
         )
 
     def _open_session(
-        self, now: int, connection: Visitor, request: Request, target: Target, title: Title, admission: Admission
-    ) -> Session:
+        self,
+        now: int,
+        connection: ViewerConnection,
+        request: Request,
+        target: Target,
+        title: Title,
+        admission: Admission,
+    ) -> RtspSession:
         top = highest_rung(self.rules, admission.entry.cls, parse_bandwidth(request.header("Bandwidth")))
-        session = Session(
+        session = RtspSession(
             self, connection, f"{self.rng.getrandbits(96):024x}", title, admission, f"rtsp://{target.host}", top
         )
         connection.sessions[session.id] = self.sessions[session.id] = session
@@ -477,7 +485,7 @@
         return session
 
     def _choose_channels(
-        self, connection: Visitor, session: Session | None, track: int, transport: Transport
+        self, connection: ViewerConnection, session: RtspSession | None, track: int, transport: Transport
     ) -> int | None:
         """Return the first channel of a pair for a track, None if the requested pair or all pairs are taken."""
         taken = {
@@ -491,21 +499,23 @@
             return transport.channels[0] if taken.isdisjoint(transport.channels) else None
         return next((n for n in range(0, 256, 2) if n not in taken and n + 1 not in taken), None)
 
-    def _answer_play(self, now: int, session: Session, pending: PendingResponse, request: Request) -> Response | None:
+    def _answer_play(
+        self, now: int, session: RtspSession, pending: PendingResponse, request: Request
+    ) -> Response | None:
         ranged = request.header("Range")
         length = session.title.length
         span = parse_range(ranged, length / SECOND if length is not None else None) if ranged else None
-        if session.state is RtspState.STARTING or session.state is RtspState.PLAYING and session.slots:
-            session.slots.append(pending)  # a repeated PLAY gets the same answer as the pending one
+        if session.state is RtspState.STARTING or session.state is RtspState.PLAYING and session.pending_responses:
+            session.pending_responses.append(pending)  # a repeated PLAY gets the same answer as the pending one
             return None
         if session.state is RtspState.PLAYING:
             if span is not None and span.start is not None:
                 return Response(455, (("Session", session.id), ("Allow", METHODS)))
             return Response(200, (("Session", session.id),))
         if session.state is RtspState.PAUSED and session.ref is not None:
-            if session.slots:
+            if session.pending_responses:
                 return Response(455, (("Session", session.id),))
-            session.slots.append(pending)
+            session.pending_responses.append(pending)
             if span is not None and span.start is not None:
                 session.start_s = span.start
             self.session_table.resume(
@@ -516,7 +526,7 @@
             return Response(503, (("Session", session.id),))
         session.start_s = span.start if span is not None and span.start is not None else 0.0
         session.state = RtspState.STARTING
-        session.slots.append(pending)
+        session.pending_responses.append(pending)
         tracks = tuple(sorted(session.splices))
         session.playing_splices = tuple(session.splices[n] for n in tracks)
         session_request = SessionRequest(
@@ -536,30 +546,30 @@
 
     # ---- end of sessions
 
-    def remove_session(self, session: Session) -> None:
+    def remove_session(self, session: RtspSession) -> None:
         """Forget a session and its idle timer."""
-        session.visitor.sessions.pop(session.id, None)
+        session.connection.sessions.pop(session.id, None)
         self.sessions.pop(session.id, None)
-        self.session_table.timers.drop(("idle", session.id))
+        self.session_table.timers.cancel(("idle", session.id))
 
-    def _end_session(self, now: int, session: Session) -> None:
+    def _end_session(self, now: int, session: RtspSession) -> None:
         """End a session that the viewer closed or left. Pending requests are answered first."""
         ref, session.ref = session.ref, None
         session._answer_pending(now, Response(455, (), b"", "The session was torn down"))
         self.remove_session(session)
         if ref is not None:
-            self.session_table.leave(now, ref)
+            self.session_table.viewer_left(now, ref)
 
     def session_idle(self, now: int, name: str) -> None:
         """Handle the idle timer of a session: end it if its viewer showed no activity for the session time-out."""
         session = self.sessions.get(name)
         if session is None:
             return
-        if session.state is RtspState.PLAYING and session.visitor.outbox.bytes_taken > session.bytes_taken:
+        if session.state is RtspState.PLAYING and session.connection.outbox.bytes_taken > session.bytes_taken:
             # A viewer that accepts media is alive even if it sends nothing (RFC 2326 section 12.37 leaves this to the
             # server). A viewer that accepts nothing loses its connection through the stall time-out.
             session.last_heard = now
-        session.bytes_taken = session.visitor.outbox.bytes_taken
+        session.bytes_taken = session.connection.outbox.bytes_taken
         until = session.last_heard + self.rules.bounds.idle
         if now - until > SECOND and session.state is not RtspState.STARTING:
             # The timer is late because this process was stalled. What the viewer sent meanwhile may still be unread.
@@ -568,9 +578,11 @@
         if now < until or session.state is RtspState.STARTING:
             self.session_table.timers.set(("idle", name), max(until, now + SECOND))
             return
-        self.io_actions.append(Line("session idle", (("peer", session.visitor.peer),)))
+        self.io_actions.append(LogLine("session idle", (("peer", session.connection.peer),)))
         self._end_session(now, session)
 
-    def stalled(self, now: int, connection: Visitor) -> None:
+    def stalled(self, now: int, connection: ViewerConnection) -> None:
         """Log that a viewer accepted no bytes for the stall time-out."""
-        self.io_actions.append(Line("viewer stalled", (("peer", connection.peer), ("waiting", connection.outbox.size))))
+        self.io_actions.append(
+            LogLine("viewer stalled", (("peer", connection.peer), ("waiting", connection.outbox.size)))
+        )
--- a/copperyard/control/rules.py
+++ b/copperyard/control/rules.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class AdmissionRule:
     """Admits requests to a class. The first one whose path prefix matches and whose `paid` agrees with the presence
     of a code applies. `cls` is the index of the class in Settings.classes.
     """
@@ -47,7 +47,7 @@
     """Configuration of a front's core. `viewers` and `hosts` limit the RTSP connections to either side."""
 
     settings: Settings
-    entries: tuple[Entry, ...]
+    admission_rules: tuple[AdmissionRule, ...]
     bounds: Bounds
     viewers: Limits
     hosts: Limits
--- a/copperyard/control/scheduler.py
+++ b/copperyard/control/scheduler.py
@@ -21,12 +21,12 @@
 class Priority(IntEnum):
     """Urgency of a job."""
 
-    SOON = 0  # somebody waits for the result
-    USUAL = 1
-    IDLE = 2  # housekeeping
+    HIGH = 0  # somebody waits for the result
+    NORMAL = 1
+    LOW = 2  # housekeeping
 
 
-Piece = Callable[[int], int | None]
+JobStep = Callable[[int], int | None]
 """Does one step at the given time and returns when (ns, same clock) to run again, None for never."""
 
 
@@ -36,7 +36,7 @@
 
     name: str
     priority: Priority
-    step: Piece
+    step: JobStep
     due: int
     steps_run: int = 0
     total_ns: int = 0
@@ -54,7 +54,7 @@
         self._credit = float(burst)
         self._refilled_at: int | None = None
 
-    def add(self, now: int, name: str, priority: Priority, step: Piece, at: int | None = None) -> None:
+    def add(self, now: int, name: str, priority: Priority, step: JobStep, at: int | None = None) -> None:
         """Add a job that is due at `at`, or now. Replaces a job of the same name."""
         self._jobs[name] = Job(name, priority, step, now if at is None else at)
 
@@ -102,7 +102,7 @@
         else:
             job.due = max(now, next_at)
 
-    def took(self, now: int, job: Job, ns: int) -> None:
+    def record_run(self, now: int, job: Job, ns: int) -> None:
         """Account for the time that a step took."""
         self._refill(now)
         self._credit -= ns
--- a/copperyard/control/plays.py
+++ b/copperyard/control/session_table.py
@@ -18,31 +18,31 @@
 from ..interface import (
     Action,
     Cancel,
-    Code,
     Fail,
-    Left,
     Log,
     Move,
-    Note,
-    NoteKind,
-    Opened,
+    NoticeKind,
     Outcome,
+    OutcomeCode,
     Probe,
-    Probed,
-    Rate,
+    ProbeResult,
     Refuse,
     Report,
     Request,
     Send,
     ServerList,
+    SessionNotice,
+    SessionOpened,
+    SetRung,
     SetTimer,
-    Wake,
-    Watch,
-    Ways,
+    Subscribe,
+    TimerDue,
+    ViewerLeft,
+    ZoneAllocation,
 )
 from ..protocol.rtp import Block
-from ..state.facts import Carried, Cleared, digest
-from ..state.facts import Redeemed as CodeRedeemed
+from ..state.facts import CodeCleared, CodeSent, digest
+from ..state.facts import CodeRedeemed as CodeRedeemed
 from .attempt import (
     Attempt,
     AttemptEnded,
@@ -60,18 +60,18 @@
 )
 from .budget import RetryBudget
 from .catalogue import Title
-from .evidence import NoteRateLimiter
-from .feed import Feed
+from .controller_driver import ControllerDriver
+from .host_reports import NoteRateLimiter
 from .hosts import HostBook
-from .memory import STORE_WAIT, Journal, NullJournal
-from .orders import Ask, Flush, Follow, IoAction, Line, Settle, Start, Stop
-from .redemption import CodeState, Redemptions, Verdict
+from .io_actions import FlushAttempt, FollowList, IoAction, LogLine, ProbeHost, QueryCode, StartAttempt, StopAttempt
+from .journal import JOURNAL_TIMEOUT_NS, Journal, NullJournal
+from .redemption import ClaimResult, CodeState, Redemptions
 from .rules import FrontRules
-from .settling import Answer, Settler, parse_settled
 from .splice import Splice
 from .timers import Timers
+from .unresolved_codes import SetupFate, UnresolvedCodes, parse_settled
 
-NOT_RUN_OUTCOMES = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)
+NOT_RUN_OUTCOMES = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.MOOT)
 SECOND = 1_000_000_000
 CODE_EXPIRY_INTERVAL_NS = 60 * SECOND  # ns between checks for expired codes
 MAX_CODES_EXPIRED = 2000  # codes forgotten per run; about 1 ms
@@ -86,7 +86,7 @@
     def refused(self, now: int, retry_after: int) -> None:
         """Answer: refused. A retry is safe, best after `retry_after` ns (0: no advice)."""
 
-    def failed(self, now: int, code: Code | None) -> None:
+    def failed(self, now: int, code: OutcomeCode | None) -> None:
         """Answer: failed. Whether anything ran at a host is not known."""
 
     def denied(self, now: int, status: int, text: str) -> None:
@@ -98,7 +98,7 @@
     def forwarded_reply(self, now: int, reply: ForwardedReply) -> None:
         """Deliver the host's answer to a forwarded PAUSE or PLAY."""
 
-    def ended(self, now: int, code: Code) -> None:
+    def ended(self, now: int, code: OutcomeCode) -> None:
         """The playing session has ended."""
 
     def redirected(self, now: int) -> None:
@@ -135,7 +135,7 @@
 
     ref: int
     request: SessionRequest
-    customer: RequestOwner | None
+    owner: RequestOwner | None
     deadline: int
     code_is_fresh: bool
     rung: int = 0
@@ -143,22 +143,22 @@
     attempt: Attempt | None = None
     answered: bool = False
     playing: bool = False
-    last_outcome: Code | None = None
+    last_outcome: OutcomeCode | None = None
     host: str = ""
     last_keep_alive: int = 0
     playing_since: int = 0
 
 
-class Watcher:
+class SessionObserver:
     """Observer of session requests and their outcomes. This base class ignores all events."""
 
-    def wished(self, now: int, cls: int) -> None:
+    def session_requested(self, now: int, cls: int) -> None:
         """A viewer requested a session of class `cls`."""
 
-    def lasted(self, cls: int, ns: int) -> None:
+    def session_ended(self, cls: int, ns: int) -> None:
         """A session of class `cls` ended after playing for `ns`."""
 
-    def tried(self, now: int, server: int, broke: bool) -> None:
+    def setup_finished(self, now: int, server: int, failed: bool) -> None:
         """A set-up at a host failed, or succeeded."""
 
 
@@ -176,49 +176,49 @@
     outcomes: dict[str, int] = field(default_factory=dict)
 
 
-class Plays:
+class SessionTable:
     """All session requests of one front. Every method takes the loop's clock in ns; I/O actions are appended to the
     list that is passed in.
     """
 
     def __init__(
-        self, rules: FrontRules, seed: int, name: str, orders: list[IoAction], controller: Controller | None = None
+        self, rules: FrontRules, seed: int, name: str, io_actions: list[IoAction], controller: Controller | None = None
     ) -> None:
         s = rules.settings
-        self.rules, self.name, self.orders = rules, name, orders
+        self.rules, self.name, self.io_actions = rules, name, io_actions
         self.controller = controller if controller is not None else Controller(s, seed)
         self.hosts = HostBook()
         # How long an attempt that is ready to leave waits for the rest of a server list update that has begun to
         # arrive. A set-up that left later than the drain grace after the update began would violate the grace.
-        self.news_wait = s.drain_grace
+        self.list_update_wait = s.drain_grace
         self.host_restarted: Callable[[int, int, str, int | None], bool] = lambda now, server, boot, age: False
-        self.budget = RetryBudget(s.ratio_span, s.free_resends, s.further_ratio)
+        self.budget = RetryBudget(s.retry_window, s.free_retries, s.retry_ratio)
         self.codes = Redemptions(rules.bounds.codes)
         self.journal: Journal = NullJournal()
-        self.watcher = Watcher()
-        self.settler = Settler()
+        self.observer = SessionObserver()
+        self.unresolved_codes = UnresolvedCodes()
         self.host_name: Callable[[int], str] = str
         self.host_address: Callable[[str], str | None] = lambda name: None
         self._awaiting_journal: dict[int, Attempt] = {}  # attempts that wait for the journal, by ref
         self.timers = Timers()
-        self.plays: dict[int, RequestState] = {}
-        self.waiting = 0  # number of requests that do not play yet
+        self.requests: dict[int, RequestState] = {}
+        self.unanswered = 0  # number of requests that do not play yet
         self.counts = Counts()
         self._note_limiter = NoteRateLimiter()
         self._next_ref = 1
         self._probe_sent: dict[int, int] = {}
-        self._notify_controller = Feed(
+        self._notify_controller = ControllerDriver(
             lambda: self.controller,
             {
                 Send: self._send,
-                Rate: self._rate,
+                SetRung: self._rate,
                 Refuse: self._refuse,
                 Fail: self._fail,
                 Cancel: self._cancel,
                 Move: self._move,
                 Probe: self._probe,
                 SetTimer: self._set_timer,
-                Watch: self._watch,
+                Subscribe: self._watch,
                 Log: self._log,
             },
         )
@@ -227,11 +227,11 @@
 
     def _log(self, now: int, action: Action) -> None:
         assert isinstance(action, Log)
-        self.orders.append(Line("module", (("text", action.text),)))
+        self.io_actions.append(LogLine("module", (("text", action.text),)))
 
     def _watch(self, now: int, action: Action) -> None:
-        assert isinstance(action, Watch)
-        self.orders.append(Follow(action.on))
+        assert isinstance(action, Subscribe)
+        self.io_actions.append(FollowList(action.on))
 
     def _set_timer(self, now: int, action: Action) -> None:
         assert isinstance(action, SetTimer)
@@ -241,31 +241,31 @@
         assert isinstance(action, Probe)
         address = self.hosts.address(action.server)
         if address is None:
-            self._notify_controller(now, Probed(action.server, Code.MOOT, 0))
+            self._notify_controller(now, ProbeResult(action.server, OutcomeCode.MOOT, 0))
         else:
             self._probe_sent[action.server] = now
-            self.orders.append(Ask(action.server, address))
+            self.io_actions.append(ProbeHost(action.server, address))
 
     def _rate(self, now: int, action: Action) -> None:
-        assert isinstance(action, Rate)
-        state = self.plays.get(action.ref)
+        assert isinstance(action, SetRung)
+        state = self.requests.get(action.ref)
         if state is None:
             return
         state.rung = action.rung
         if state.attempt is not None and state.attempt.stage is Stage.OPEN:
             state.attempt.set_rung(action.rung)
-            self.orders.append(Flush(state.attempt))
+            self.io_actions.append(FlushAttempt(state.attempt))
 
     def _send(self, now: int, action: Action) -> None:
         assert isinstance(action, Send)
-        state = self.plays.get(action.ref)
+        state = self.requests.get(action.ref)
         if state is None:
             return
         number, state.attempts = state.attempts, state.attempts + 1
         address = self.hosts.address(action.server)
         if state.attempt is not None or address is None or not self.hosts.may_start(action.server):
             # another attempt is still out, or the host is not known as ready: nothing is sent
-            self._report_outcome(now, state, number, action.server, Code.MOOT, 0, None)
+            self._report_outcome(now, state, number, action.server, OutcomeCode.MOOT, 0, None)
             return
         request = state.request
         receipt = self.codes.receipt(request.code) if request.code is not None and not state.code_is_fresh else ""
@@ -285,44 +285,47 @@
             receipt,
             request.start_s,
         )
-        state.attempt = Attempt(plan, self.rules.hosts, request.splices, now, min(action.not_past, state.deadline))
+        state.attempt = Attempt(plan, self.rules.hosts, request.splices, now, min(action.deadline, state.deadline))
         if plan.code is not None:
             # The journal write runs while the connection is made; the set-up waits for both.
-            fact = Carried(
-                self.journal.at(now), digest(plan.code), f"{self.name}/{plan.ref}", self.host_name(plan.server)
+            fact = CodeSent(
+                self.journal.service_time(now),
+                digest(plan.code),
+                f"{self.name}/{plan.ref}",
+                self.host_name(plan.server),
             )
-            state.attempt.intent, state.attempt.hold = self.journal.write(now, fact), True
+            state.attempt.intent_sequence, state.attempt.hold_play = self.journal.write(now, fact), True
         self.counts.attempts += 1
-        self.orders.append(Start(state.attempt))
+        self.io_actions.append(StartAttempt(state.attempt))
 
     def _cancel(self, now: int, action: Action) -> None:
         assert isinstance(action, Cancel)
-        state = self.plays.get(action.ref)
+        state = self.requests.get(action.ref)
         if (
             state is not None
             and state.attempt is not None
             and not state.playing
             and state.attempt.plan.number == action.attempt
         ):
-            self._end_attempt(state.attempt, Code.CANCELLED)
+            self._end_attempt(state.attempt, OutcomeCode.CANCELLED)
 
     def _move(self, now: int, action: Action) -> None:
         assert isinstance(action, Move)
-        state = self.plays.get(action.ref)
+        state = self.requests.get(action.ref)
         if state is not None and state.attempt is not None and state.playing:
-            if state.customer is not None:
-                state.customer.redirected(now)
-            self._end_attempt(state.attempt, Code.CANCELLED)
+            if state.owner is not None:
+                state.owner.redirected(now)
+            self._end_attempt(state.attempt, OutcomeCode.CANCELLED)
 
     def _refuse(self, now: int, action: Action) -> None:
         assert isinstance(action, Refuse)
-        state = self.plays.get(action.ref)
+        state = self.requests.get(action.ref)
         if state is not None:
             self._answer(now, state, "refused", lambda c: c.refused(now, action.retry_after))
 
     def _fail(self, now: int, action: Action) -> None:
         assert isinstance(action, Fail)
-        state = self.plays.get(action.ref)
+        state = self.requests.get(action.ref)
         if state is not None:
             self._answer(now, state, "failed", lambda c: c.failed(now, state.last_outcome))
 
@@ -337,33 +340,33 @@
         kind = self.rules.settings.classes[request.cls]
         ref, self._next_ref = self._next_ref, self._next_ref + 1
         self.counts.taken += 1
-        if self.waiting >= self.rules.bounds.open_requests:
+        if self.unanswered >= self.rules.bounds.open_requests:
             self.counts.failed += 1
             owner.denied(now, 503, "too many requests wait for their answer")
             return None
         fresh = True
         if request.code is not None:
             verdict = self.codes.claim(request.code, ref)
-            if verdict is Verdict.UNCLEAR:
-                self.settler.query_soon(now, digest(request.code))
+            if verdict is ClaimResult.UNCLEAR:
+                self.unresolved_codes.query_soon(now, digest(request.code))
                 self.schedule_code_queries(now)
-            elif verdict is Verdict.REDEEM and not self.journal.well:
+            elif verdict is ClaimResult.REDEEM and not self.journal.healthy:
                 # Without a working journal a redemption would be lost if the process were killed, so none is started.
                 # Free sessions and sessions whose code is already redeemed are not affected.
                 self.codes.release(request.code, ref)
                 self.counts.denied += 1
                 owner.denied(now, 503, "codes cannot be taken just now")
                 return None
-            fresh = verdict is Verdict.REDEEM
+            fresh = verdict is ClaimResult.REDEEM
             if verdict in _CODE_DENIALS:
                 self.counts.denied += 1
                 owner.denied(now, *_CODE_DENIALS[verdict])
                 return None
         state = RequestState(ref, request, owner, now + kind.deadline, fresh)
-        self.plays[ref] = state
-        self.waiting += 1
-        self.budget.taken(now)
-        self.watcher.wished(now, request.cls)
+        self.requests[ref] = state
+        self.unanswered += 1
+        self.budget.count_request(now)
+        self.observer.session_requested(now, request.cls)
         self.timers.set(("overdue", ref), state.deadline)
         length = request.title.length
         hint = max(0, length - int(request.start_s * SECOND)) if length is not None else None
@@ -384,50 +387,50 @@
         )
         return ref
 
-    def leave(self, now: int, ref: int) -> None:
+    def viewer_left(self, now: int, ref: int) -> None:
         """End a request because the viewer left or sent TEARDOWN."""
-        state = self.plays.get(ref)
-        if state is None or state.customer is None:
+        state = self.requests.get(ref)
+        if state is None or state.owner is None:
             return
-        state.customer = None
+        state.owner = None
         attempt = state.attempt
         if not state.answered:
             self.counts.left += 1
         if attempt is None:
-            self._notify_controller(now, Left(ref))
+            self._notify_controller(now, ViewerLeft(ref))
             self._remove(now, state)
         elif state.playing:
-            self._end_attempt(attempt, Code.OK)
+            self._end_attempt(attempt, OutcomeCode.OK)
         else:
-            self._notify_controller(now, Left(ref))
+            self._notify_controller(now, ViewerLeft(ref))
             if not (attempt.sent and attempt.plan.code is not None):
-                self._end_attempt(attempt, Code.CANCELLED)
+                self._end_attempt(attempt, OutcomeCode.CANCELLED)
             # Otherwise the code may be redeemed at this moment. The attempt continues to its deadline, so that the
             # viewer's next request finds the receipt instead of an unclear code.
 
     def received_by_viewer(self, ref: int, track: int, blocks: tuple[Block, ...]) -> None:
         """Forward a viewer's RTCP reception blocks to the host. `track` is the index among the request's tracks."""
-        state = self.plays.get(ref)
+        state = self.requests.get(ref)
         if state is not None and state.attempt is not None and state.attempt.forward_receiver_report(track, blocks):
-            self.orders.append(Flush(state.attempt))
+            self.io_actions.append(FlushAttempt(state.attempt))
 
     def pause(self, now: int, ref: int) -> None:
         """Forward a viewer's PAUSE. `forwarded_reply` or `ended` follows within the class's deadline."""
-        state = self.plays[ref]
+        state = self.requests[ref]
         if state.attempt is not None:
             state.attempt.pause()
             self._await_forwarded_reply(now, state)
 
     def resume(self, now: int, ref: int, start: str | None) -> None:
         """Forward a viewer's PLAY after a pause, from `start` (a Range value) or from the paused position."""
-        state = self.plays[ref]
+        state = self.requests[ref]
         if state.attempt is not None:
             state.attempt.resume(start)
             self._await_forwarded_reply(now, state)
 
     def _await_forwarded_reply(self, now: int, state: RequestState) -> None:
         assert state.attempt is not None
-        self.orders.append(Flush(state.attempt))
+        self.io_actions.append(FlushAttempt(state.attempt))
         self.timers.set(("asked", state.ref), now + self.rules.settings.classes[state.request.cls].deadline)
 
     # ---- attempts: called by the I/O
@@ -440,16 +443,16 @@
         is used up by now, still stops the set-up.
         """
         attempt.last_exchange_ns = now - attempt.decided_at
-        if self.rules.settings.turn is None or self.hosts.sure(now, attempt.plan.server):
-            return self._leave(now, attempt)
+        if self.rules.settings.rank_and_offset is None or self.hosts.heard_recently(now, attempt.plan.server):
+            return self._start_setup(now, attempt)
         # A host that restarted since it was last heard is cold, and the server list may report that later. It is
         # checked before the set-up is sent.
-        if attempt.verdict is None and self._is_stale(now, attempt):
-            attempt.verdict = Code.MOOT
-        if attempt.verdict is None:
+        if attempt.outcome is None and self._is_stale(now, attempt):
+            attempt.outcome = OutcomeCode.MOOT
+        if attempt.outcome is None:
             self.timers.set(("ask", attempt.plan.ref), now + self.rules.settings.connect_timeout)
             attempt.send_host_check(now)
-        return attempt.verdict is None
+        return attempt.outcome is None
 
     def _is_stale(self, now: int, attempt: Attempt) -> bool:
         """Return whether the decision behind an attempt may be outdated: the host has become unavailable or
@@ -458,51 +461,51 @@
         """
         # The answer takes at least as long as the last exchange. A set-up that is sent later than that is closed
         # while its first byte is still on its way, and the next attempt overtakes it (seed 3091).
-        max_age = 2 * self.rules.settings.connect_timeout + (STORE_WAIT if attempt.intent else 0)
+        max_age = 2 * self.rules.settings.connect_timeout + (JOURNAL_TIMEOUT_NS if attempt.intent_sequence else 0)
         return (
-            now + attempt.last_exchange_ns >= attempt.limit
+            now + attempt.last_exchange_ns >= attempt.deadline
             or now - attempt.decided_at > max_age
             or not self.hosts.may_start(attempt.plan.server, attempt.decided_at)
         )
 
-    def _leave(self, now: int, attempt: Attempt) -> bool:
+    def _start_setup(self, now: int, attempt: Attempt) -> bool:
         """Send the set-up unless the attempt is outdated or over budget. Returns whether the attempt continues."""
         plan = attempt.plan
-        if attempt.verdict is None and self._is_stale(now, attempt):
-            attempt.verdict = Code.MOOT
-        if attempt.verdict is None and not self.journal.durable(attempt.intent):
+        if attempt.outcome is None and self._is_stale(now, attempt):
+            attempt.outcome = OutcomeCode.MOOT
+        if attempt.outcome is None and not self.journal.durable(attempt.intent_sequence):
             # The intent must be durable first: from here on the code may be redeemed, and that must survive a crash.
             self._awaiting_journal[plan.ref] = attempt
-            self.timers.set(("store", plan.ref), now + STORE_WAIT)
+            self.timers.set(("store", plan.ref), now + JOURNAL_TIMEOUT_NS)
             return True
-        if attempt.verdict is None and plan.number > 0 and not self.budget.spend(now):
-            attempt.verdict = Code.MOOT
-        if attempt.verdict is not None:
+        if attempt.outcome is None and plan.number > 0 and not self.budget.try_spend(now):
+            attempt.outcome = OutcomeCode.MOOT
+        if attempt.outcome is not None:
             return False
         if plan.code is not None:
             self.codes.mark_sent(plan.code)
         attempt.start_setup(now)
         return True
 
-    def stored(self, now: int) -> None:
+    def journal_advanced(self, now: int) -> None:
         """More of the journal is durable, or the disk failed. Continues or ends the attempts that waited for it."""
         for ref, attempt in list(self._awaiting_journal.items()):
-            if attempt.stage in (Stage.CONNECT, Stage.ASK):
-                if self.journal.durable(attempt.intent):
+            if attempt.stage in (Stage.CONNECT, Stage.CHECK):
+                if self.journal.durable(attempt.intent_sequence):
                     self._stop_journal_wait(ref)
-                    if self._leave(now, attempt):
-                        self.orders.append(Flush(attempt))
+                    if self._start_setup(now, attempt):
+                        self.io_actions.append(FlushAttempt(attempt))
                     else:
                         attempt.tear_down()
-                        self.orders.append(Stop(attempt))
+                        self.io_actions.append(StopAttempt(attempt))
             elif self.journal.durable(attempt.receipt_sequence):
                 self._stop_journal_wait(ref)
                 attempt.release_play()
-                self.orders.append(Flush(attempt))
+                self.io_actions.append(FlushAttempt(attempt))
 
     def _stop_journal_wait(self, ref: int) -> None:
         self._awaiting_journal.pop(ref, None)
-        self.timers.drop(("store", ref))
+        self.timers.cancel(("store", ref))
 
     def _journal_late(self, now: int, ref: int) -> None:
         """End an attempt's wait for the journal.
@@ -513,44 +516,44 @@
         attempt = self._awaiting_journal.pop(ref, None)
         if attempt is None:
             return
-        self.orders.append(Line("journal late", (("ref", ref),)))
+        self.io_actions.append(LogLine("journal late", (("ref", ref),)))
         if attempt.sent:
             attempt.release_play()
-            self.orders.append(Flush(attempt))
+            self.io_actions.append(FlushAttempt(attempt))
         else:
-            self._end_attempt(attempt, Code.MOOT)
+            self._end_attempt(attempt, OutcomeCode.MOOT)
 
     # ---- unclear codes
 
     def schedule_code_queries(self, now: int) -> None:
         """Set the timer for the next query about an unclear code."""
-        due = self.settler.next_due()
+        due = self.unresolved_codes.next_due()
         if due is not None:
             self.timers.set(("settle", 0), max(now, due))
 
     def _query_unclear_codes(self, now: int) -> None:
-        for unclear in self.settler.start_due_queries(now, lambda name: self.host_address(name) is not None):
+        for unclear in self.unresolved_codes.start_due_queries(now, lambda name: self.host_address(name) is not None):
             address = self.host_address(unclear.host)
             assert address is not None
-            self.orders.append(Settle(address, unclear.request, unclear.code))
+            self.io_actions.append(QueryCode(address, unclear.request, unclear.code))
         self.schedule_code_queries(now)
 
-    def settled(self, now: int, code: bytes, text: str | None) -> None:
+    def code_query_answered(self, now: int, code: bytes, text: str | None) -> None:
         """Take a host's answer about an unclear code, None if it gave none."""
         answer, receipt = parse_settled(text)
-        if self.settler.record_answer(now, code, answer):
-            self.resolve_code(now, code, receipt if answer is Answer.REDEEMED else None)
+        if self.unresolved_codes.record_answer(now, code, answer):
+            self.resolve_code(now, code, receipt if answer is SetupFate.REDEEMED else None)
         self.schedule_code_queries(now)
 
-    def expire(self, now: int) -> int:
+    def expire_codes(self, now: int) -> int:
         """Forget codes that have expired at the redemption service, a bounded number per run. Returns the time of the
         next run. Runs as a background job.
         """
-        before = self.journal.at(now) - self.rules.bounds.code_life
+        before = self.journal.service_time(now) - self.rules.bounds.code_life
         found = self.journal.state.expire(before, MAX_CODES_EXPIRED)
         self.codes.forget(found)
         for code in found:
-            self.settler.drop(code)
+            self.unresolved_codes.drop(code)
         return now if len(found) == MAX_CODES_EXPIRED else now + CODE_EXPIRY_INTERVAL_NS
 
     def restore(self, now: int) -> None:
@@ -558,128 +561,141 @@
         state = self.journal.state
         self.codes.restore(state.codes)
         for code, kept in state.unclear().items():
-            self.settler.add(now, code, kept.request, kept.host)
+            self.unresolved_codes.add(now, code, kept.request, kept.host)
         self.schedule_code_queries(now)
 
     def resolve_code(self, now: int, code: bytes, receipt: str | None) -> None:
         """Record what became of an unclear code: redeemed with `receipt`, or never redeemed if it is None."""
         if self.codes.resolve(code, receipt):
-            at = self.journal.at(now)
-            self.journal.write(now, Cleared(at, code) if receipt is None else CodeRedeemed(at, code, receipt))
-            self.orders.append(Line("code settled", (("redeemed", "no" if receipt is None else "yes"),)))
+            at = self.journal.service_time(now)
+            self.journal.write(now, CodeCleared(at, code) if receipt is None else CodeRedeemed(at, code, receipt))
+            self.io_actions.append(LogLine("code settled", (("redeemed", "no" if receipt is None else "yes"),)))
 
     def _host_checked(self, now: int, attempt: Attempt, check: HostChecked) -> None:
         """The host answered the check before the set-up. If it has restarted, the controller decides again."""
         plan = attempt.plan
-        self.timers.drop(("ask", plan.ref))
+        self.timers.cancel(("ask", plan.ref))
         attempt.last_exchange_ns = now - attempt.check_sent_at
         if check.up is not None and self.host_restarted(now, plan.server, *check.up):
-            self._end_attempt(attempt, Code.MOOT)
-        elif not self._leave(now, attempt):
+            self._end_attempt(attempt, OutcomeCode.MOOT)
+        elif not self._start_setup(now, attempt):
             attempt.tear_down()
-            self.orders.append(Stop(attempt))
+            self.io_actions.append(StopAttempt(attempt))
 
     def received(self, now: int, attempt: Attempt, data: bytes) -> None:
         """Process bytes from a host."""
-        state = self.plays.get(attempt.plan.ref)
-        if state is None or state.attempt is not attempt or attempt.verdict is not None:
+        state = self.requests.get(attempt.plan.ref)
+        if state is None or state.attempt is not attempt or attempt.outcome is not None:
             return
         self.hosts.heard(now, attempt.plan.server)
         for result in attempt.receive(now, data):
-            if attempt.verdict is not None:
+            if attempt.outcome is not None:
                 break
             self._handle_result(now, state, attempt, result)
-        if attempt.out and attempt.verdict is None:
-            self.orders.append(Flush(attempt))
+        if attempt.out and attempt.outcome is None:
+            self.io_actions.append(FlushAttempt(attempt))
 
     def expired(self, now: int, attempt: Attempt) -> None:
         """The attempt's deadline passed; the I/O has closed the connection or is about to."""
-        if attempt.verdict is None and attempt.stage is not Stage.OPEN:
-            attempt.verdict = Code.TIMEOUT if attempt.sent else Code.CONNECT_FAILED
+        if attempt.outcome is None and attempt.stage is not Stage.OPEN:
+            attempt.outcome = OutcomeCode.TIMEOUT if attempt.sent else OutcomeCode.CONNECT_FAILED
 
     def closed(self, now: int, attempt: Attempt) -> None:
         """The connection to the host is closed. This is the only place where an attempt ends."""
-        state = self.plays.get(attempt.plan.ref)
+        state = self.requests.get(attempt.plan.ref)
         if state is None or state.attempt is not attempt:
             return
-        code = attempt.verdict if attempt.verdict is not None else attempt.connection_lost_code()
-        attempt.verdict, attempt.stage = code, Stage.DONE
+        code = attempt.outcome if attempt.outcome is not None else attempt.connection_lost_code()
+        attempt.outcome, attempt.stage = code, Stage.DONE
         state.attempt = None
         plan = attempt.plan
         self._stop_journal_wait(plan.ref)
         if plan.code is not None and (code in NOT_RUN_OUTCOMES or not attempt.sent):
             self._record_never_ran(now, plan.code)
-        if state.playing and state.customer is not None:
-            state.customer.ended(now, code)
+        if state.playing and state.owner is not None:
+            state.owner.ended(now, code)
         self._report_outcome(now, state, plan.number, plan.server, code, now - attempt.decided_at, attempt.report)
 
     def _record_never_ran(self, now: int, code: str) -> None:
         if self.codes.mark_never_ran(code):
-            self.journal.write(now, Cleared(self.journal.at(now), digest(code)))
+            self.journal.write(now, CodeCleared(self.journal.service_time(now), digest(code)))
 
     def _report_outcome(
-        self, now: int, state: RequestState, number: int, server: int, code: Code, duration: int, report: Report | None
+        self,
+        now: int,
+        state: RequestState,
+        number: int,
+        server: int,
+        code: OutcomeCode,
+        duration: int,
+        report: Report | None,
     ) -> None:
-        over = state.playing or state.answered or state.customer is None
+        over = state.playing or state.answered or state.owner is None
         if state.playing:
-            self.watcher.lasted(state.request.cls, max(0, now - state.playing_since))
+            self.observer.session_ended(state.request.cls, max(0, now - state.playing_since))
         else:
-            self.watcher.tried(now, server, code in (Code.TIMEOUT, Code.CONNECT_FAILED, Code.RESET, Code.ERROR))
+            self.observer.setup_finished(
+                now,
+                server,
+                code in (OutcomeCode.TIMEOUT, OutcomeCode.CONNECT_FAILED, OutcomeCode.RESET, OutcomeCode.ERROR),
+            )
         state.last_outcome = code
         self.counts.outcomes[code.name] = self.counts.outcomes.get(code.name, 0) + 1
-        if code is not Code.OK:
+        if code is not OutcomeCode.OK:
             self._log_line("attempt ended", state, ("attempt", number), ("server", server), ("outcome", code.name))
         if over:
             self._remove(now, state)
         self._notify_controller(now, Outcome(state.ref, number, server, code, duration, over, report))
 
-    def _end_attempt(self, attempt: Attempt, code: Code) -> None:
+    def _end_attempt(self, attempt: Attempt, code: OutcomeCode) -> None:
         """Start to end an attempt. Its outcome is reported once the connection is closed."""
-        if attempt.verdict is None:
-            attempt.verdict = code
+        if attempt.outcome is None:
+            attempt.outcome = code
             attempt.tear_down()
-            self.orders.append(Stop(attempt))
+            self.io_actions.append(StopAttempt(attempt))
 
     def _handle_result(self, now: int, state: RequestState, attempt: Attempt, result: AttemptResult) -> None:
         plan = attempt.plan
         if isinstance(result, MediaData):
-            if state.customer is not None:
-                state.customer.media(now, result)
+            if state.owner is not None:
+                state.owner.media(now, result)
         elif isinstance(result, PlaybackStarted):
             self._playback_started(now, state, attempt, result)
         elif isinstance(result, HostNote):
             if self._note_limiter.allows(now, plan.server, result.kind):
-                self._notify_controller(now, Note(plan.ref, plan.number, plan.server, result.kind, result.value))
+                self._notify_controller(
+                    now, SessionNotice(plan.ref, plan.number, plan.server, result.kind, result.value)
+                )
         elif isinstance(result, LoadReported):
-            self._notify_controller(now, Probed(plan.server, Code.OK, 0, result.report))
+            self._notify_controller(now, ProbeResult(plan.server, OutcomeCode.OK, 0, result.report))
         elif isinstance(result, HostChecked):
             self._host_checked(now, attempt, result)
         elif isinstance(result, ReceiptReceived):
             if state.request.code is not None:
                 self.codes.mark_redeemed(state.request.code, result.receipt)
-                if attempt.hold:
+                if attempt.hold_play:
                     self._record_receipt(now, attempt, state.request.code, result.receipt)
         elif isinstance(result, RungAnswered):
             if not result.ok:
-                self.orders.append(Line("rung not followed", (("ref", plan.ref), ("rung", result.rung))))
+                self.io_actions.append(LogLine("rung not followed", (("ref", plan.ref), ("rung", result.rung))))
                 self._notify_controller(
-                    now, Note(plan.ref, plan.number, plan.server, NoteKind.RUNG, float(result.rung))
+                    now, SessionNotice(plan.ref, plan.number, plan.server, NoticeKind.RUNG, float(result.rung))
                 )
         elif isinstance(result, ForwardedReply):
-            self.timers.drop(("asked", plan.ref))
-            if state.customer is not None:
-                state.customer.forwarded_reply(now, result)
+            self.timers.cancel(("asked", plan.ref))
+            if state.owner is not None:
+                state.owner.forwarded_reply(now, result)
         else:
             self._attempt_ended(now, state, attempt, result)
 
     def _record_receipt(self, now: int, attempt: Attempt, code: str, receipt: str) -> None:
-        fact = CodeRedeemed(self.journal.at(now), digest(code), receipt)
+        fact = CodeRedeemed(self.journal.service_time(now), digest(code), receipt)
         attempt.receipt_sequence = self.journal.write(now, fact)
         if self.journal.durable(attempt.receipt_sequence):
             attempt.release_play()
         else:
             self._awaiting_journal[attempt.plan.ref] = attempt
-            self.timers.set(("store", attempt.plan.ref), now + STORE_WAIT)
+            self.timers.set(("store", attempt.plan.ref), now + JOURNAL_TIMEOUT_NS)
 
     def _attempt_ended(self, now: int, state: RequestState, attempt: Attempt, ended: AttemptEnded) -> None:
         if ended.status == 403 and attempt.plan.code is not None and not state.playing:
@@ -687,23 +703,23 @@
             # the host.
             self._record_never_ran(now, attempt.plan.code)
             self._answer(now, state, "denied", lambda c: c.denied(now, 403, "the code is not valid"))
-            self._end_attempt(attempt, Code.CANCELLED)
+            self._end_attempt(attempt, OutcomeCode.CANCELLED)
         else:
             self._end_attempt(attempt, ended.code)
 
     def _playback_started(self, now: int, state: RequestState, attempt: Attempt, started: PlaybackStarted) -> None:
-        if state.customer is None or state.answered:
-            self._end_attempt(attempt, Code.CANCELLED)
+        if state.owner is None or state.answered:
+            self._end_attempt(attempt, OutcomeCode.CANCELLED)
         elif now > state.deadline:
-            self._end_attempt(attempt, Code.TIMEOUT)  # too late to count as an answer
+            self._end_attempt(attempt, OutcomeCode.TIMEOUT)  # too late to count as an answer
         else:
             state.playing, state.last_keep_alive, state.playing_since = True, now, now
-            self.watcher.tried(now, attempt.plan.server, False)
-            self.waiting -= 1
+            self.observer.setup_finished(now, attempt.plan.server, False)
+            self.unanswered -= 1
             self._answer(now, state, "played", lambda c: c.played(now, started.infos))
             self.timers.set(("alive", state.ref), now + self.rules.bounds.silence)
             plan = attempt.plan
-            self._notify_controller(now, Opened(plan.ref, plan.number, plan.server, now - attempt.decided_at))
+            self._notify_controller(now, SessionOpened(plan.ref, plan.number, plan.server, now - attempt.decided_at))
 
     # ---- answers
 
@@ -714,9 +730,9 @@
         state.answered = True
         if kind != "played":
             self._log_line(kind, state, ("attempts", state.attempts))
-        self.timers.drop(("overdue", state.ref))
+        self.timers.cancel(("overdue", state.ref))
         setattr(self.counts, kind, getattr(self.counts, kind) + 1)
-        owner = state.customer
+        owner = state.owner
         if owner is not None:
             tell(owner)
         if state.attempt is None:
@@ -725,35 +741,35 @@
     def _log_line(self, event: str, state: RequestState, *fields: tuple[str, str | int]) -> None:
         """Log an event of a session request. All lines of a session share its ref; successful steps are not logged."""
         cls = self.rules.settings.classes[state.request.cls].name
-        self.orders.append(
-            Line(event, (("ref", state.ref), ("class", cls), ("title", state.request.title.path), *fields))
+        self.io_actions.append(
+            LogLine(event, (("ref", state.ref), ("class", cls), ("title", state.request.title.path), *fields))
         )
 
     def _remove(self, now: int, state: RequestState) -> None:
         """Remove a finished request and release its code."""
-        if self.plays.pop(state.ref, None) is not None and not state.playing:
-            self.waiting -= 1
+        if self.requests.pop(state.ref, None) is not None and not state.playing:
+            self.unanswered -= 1
         for kind in ("overdue", "alive", "asked", "ask"):
-            self.timers.drop((kind, state.ref))
+            self.timers.cancel((kind, state.ref))
         if state.request.code is not None and self.codes.release(state.request.code, state.ref) is CodeState.UNCLEAR:
             key = digest(state.request.code)
-            self.settler.add(now, key, f"{self.name}/{state.ref}", state.host)
+            self.unresolved_codes.add(now, key, f"{self.name}/{state.ref}", state.host)
             self.schedule_code_queries(now)
 
     # ---- updates and timers
 
-    def agreed(self, now: int, ways: Ways) -> None:
+    def set_zone_allocation(self, now: int, ways: ZoneAllocation) -> None:
         """Pass on the ways between zones that the gateways agreed on."""
         self._notify_controller(now, ways)
 
-    def listed(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
+    def list_updated(self, now: int, update: ServerList, addresses: dict[int, str]) -> None:
         """Take an update of the server list."""
         self.hosts.update(now, update, addresses)
         self._notify_controller(now, update)
 
-    def probed(self, now: int, server: int, code: Code, report: Report | None) -> None:
+    def probed(self, now: int, server: int, code: OutcomeCode, report: Report | None) -> None:
         """Take the result of a probe."""
-        self._notify_controller(now, Probed(server, code, now - self._probe_sent.pop(server, now), report))
+        self._notify_controller(now, ProbeResult(server, code, now - self._probe_sent.pop(server, now), report))
 
     def timer_due(self, now: int, key: object) -> None:
         """Handle a timer of this table. The kinds are: module (the controller's timers), settle (queries about
@@ -763,13 +779,13 @@
         assert isinstance(key, tuple)
         kind, number = key
         if kind == "module":
-            self._notify_controller(now, Wake(number))
+            self._notify_controller(now, TimerDue(number))
             return
         if kind == "settle":
             return self._query_unclear_codes(now)
         if kind == "store":
             return self._journal_late(now, number)
-        state = self.plays.get(number)
+        state = self.requests.get(number)
         if state is None:
             return
         if kind == "overdue":
@@ -777,47 +793,47 @@
         elif kind == "alive":
             self._check_host_silence(now, state)
         elif kind == "ask":
-            if state.attempt is not None and state.attempt.stage is Stage.ASK:
+            if state.attempt is not None and state.attempt.stage is Stage.CHECK:
                 self._end_attempt(
-                    state.attempt, Code.CONNECT_FAILED
+                    state.attempt, OutcomeCode.CONNECT_FAILED
                 )  # accepts connections but does not answer: nothing ran
         elif kind == "asked" and state.attempt is not None:
-            self._end_attempt(state.attempt, Code.TIMEOUT)  # the host did not answer a PAUSE or PLAY
+            self._end_attempt(state.attempt, OutcomeCode.TIMEOUT)  # the host did not answer a PAUSE or PLAY
 
     def _deadline_passed(self, now: int, state: RequestState) -> None:
         """The request's deadline passed without an answer: this process was stalled, or the host's bytes were late. A
         late failure is still an answer.
         """
-        self._notify_controller(now, Left(state.ref))
+        self._notify_controller(now, ViewerLeft(state.ref))
         attempt = state.attempt
-        self._answer(now, state, "failed", lambda c: c.failed(now, Code.TIMEOUT))
+        self._answer(now, state, "failed", lambda c: c.failed(now, OutcomeCode.TIMEOUT))
         if attempt is not None:
-            self._end_attempt(attempt, Code.TIMEOUT)
+            self._end_attempt(attempt, OutcomeCode.TIMEOUT)
 
     def _check_host_silence(self, now: int, state: RequestState) -> None:
         """Check that the host of a playing session still sends. A host that vanishes without a reset sends nothing,
         not even an end of stream.
         """
         attempt = state.attempt
-        if attempt is None or attempt.verdict is not None:
+        if attempt is None or attempt.outcome is not None:
             return
         bounds, plan = self.rules.bounds, attempt.plan
-        silent_for = 0 if state.customer is not None and state.customer.blocked() else now - attempt.last_heard
+        silent_for = 0 if state.owner is not None and state.owner.blocked() else now - attempt.last_heard
         if silent_for >= bounds.dead:
-            self._end_attempt(attempt, Code.TIMEOUT)
+            self._end_attempt(attempt, OutcomeCode.TIMEOUT)
             return
-        if silent_for >= bounds.silence and self._note_limiter.allows(now, plan.server, NoteKind.SHARE):
-            self._notify_controller(now, Note(plan.ref, plan.number, plan.server, NoteKind.SHARE, 0.0))
+        if silent_for >= bounds.silence and self._note_limiter.allows(now, plan.server, NoticeKind.SHARE):
+            self._notify_controller(now, SessionNotice(plan.ref, plan.number, plan.server, NoticeKind.SHARE, 0.0))
         if silent_for >= bounds.silence or now - state.last_keep_alive >= bounds.idle // 3:
             state.last_keep_alive = now
             attempt.keep_alive()
-            self.orders.append(Flush(attempt))
+            self.io_actions.append(FlushAttempt(attempt))
         self.timers.set(("alive", state.ref), now + bounds.silence)
 
 
 _CODE_DENIALS = {
-    Verdict.BUSY: (403, "the code is in use"),
+    ClaimResult.BUSY: (403, "the code is in use"),
     # a refusal would promise that a retry is safe, which is not known for an unclear code
-    Verdict.UNCLEAR: (500, "whether the code was redeemed is not known"),
-    Verdict.TABLE_FULL: (503, "too many codes are in use"),
+    ClaimResult.UNCLEAR: (500, "whether the code was redeemed is not known"),
+    ClaimResult.TABLE_FULL: (503, "too many codes are in use"),
 }
--- a/copperyard/control/timers.py
+++ b/copperyard/control/timers.py
@@ -31,7 +31,7 @@
     def __contains__(self, key: Hashable) -> bool:
         return key in self._pending
 
-    def drop(self, key: Hashable) -> None:
+    def cancel(self, key: Hashable) -> None:
         """Remove the timer of a key if there is one."""
         self._pending.pop(key, None)
 
@@ -41,7 +41,7 @@
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
-    def due(self, now: int) -> list[Hashable]:
+    def pop_due(self, now: int) -> list[Hashable]:
         """Remove and return the keys that are due, earliest first; equal times in the order they were set."""
         found: list[Hashable] = []
         while (at := self.next()) is not None and at <= now:
--- a/copperyard/control/settling.py
+++ b/copperyard/control/unresolved_codes.py
@@ -19,7 +19,7 @@
 MAX_SETTLED_CHARS = 512
 
 
-class Answer(Enum):
+class SetupFate(Enum):
     """What a host says became of a set-up; NONE if it gave no valid answer."""
 
     REDEEMED = "redeemed"
@@ -41,24 +41,24 @@
     querying: bool = False
 
 
-def parse_settled(text: str | None) -> tuple[Answer, str]:
+def parse_settled(text: str | None) -> tuple[SetupFate, str]:
     """Parse a host's answer and the receipt with it. Returns NONE for an invalid one."""
     if text is None or len(text) > MAX_SETTLED_CHARS:
-        return Answer.NONE, ""
+        return SetupFate.NONE, ""
     word, _, rest = text.partition(";")
-    answer = next((a for a in Answer if a.value == word.strip()), Answer.NONE)
+    answer = next((a for a in SetupFate if a.value == word.strip()), SetupFate.NONE)
     receipt = rest.strip().removeprefix("receipt=") if rest.strip().startswith("receipt=") else ""
-    if answer is Answer.REDEEMED and not receipt:
-        return Answer.NONE, ""  # without the receipt the viewer could not resume the paid session
+    if answer is SetupFate.REDEEMED and not receipt:
+        return SetupFate.NONE, ""  # without the receipt the viewer could not resume the paid session
     return answer, receipt
 
 
-class Settler:
+class UnresolvedCodes:
     """All unclear codes of a front."""
 
     def __init__(self) -> None:
         self._codes: dict[bytes, UnclearCode] = {}
-        self._out = 0
+        self._queries_out = 0
 
     def __len__(self) -> int:
         return len(self._codes)
@@ -75,7 +75,7 @@
         """Remove a code that need not be settled any more."""
         unclear = self._codes.pop(code, None)
         if unclear is not None and unclear.querying:
-            self._out -= 1
+            self._queries_out -= 1
 
     def query_soon(self, now: int, code: bytes) -> None:
         """Query soon, because a viewer returned with the code, unless it was queried just before."""
@@ -96,26 +96,26 @@
         )
         found: list[UnclearCode] = []
         for unclear in ready:
-            if self._out >= MAX_QUERIES:
+            if self._queries_out >= MAX_QUERIES:
                 break
             unclear.last_query_at = now
             if not is_listed(unclear.host):
                 self._schedule_retry(now, unclear)
                 continue
             unclear.querying = True
-            self._out += 1
+            self._queries_out += 1
             found.append(unclear)
         return found
 
-    def record_answer(self, now: int, code: bytes, answer: Answer) -> bool:
+    def record_answer(self, now: int, code: bytes, answer: SetupFate) -> bool:
         """Take a host's answer. Returns whether it settles the code; otherwise the query is repeated later."""
         unclear = self._codes.get(code)
         if unclear is None:
             return False
         if unclear.querying:
             unclear.querying = False
-            self._out -= 1
-        if answer in (Answer.REDEEMED, Answer.NEVER):
+            self._queries_out -= 1
+        if answer in (SetupFate.REDEEMED, SetupFate.NEVER):
             del self._codes[code]
             return True
         self._schedule_retry(now, unclear)
@@ -127,6 +127,6 @@
 
     def next_due(self) -> int | None:
         """Return the time of the next query, None if nothing is due or the maximum number of queries is out."""
-        if self._out >= MAX_QUERIES:
+        if self._queries_out >= MAX_QUERIES:
             return None
         return min((c.next_query_at for c in self._codes.values() if not c.querying), default=None)
--- a/copperyard/control/zones/check.py
+++ b/copperyard/control/zones/check.py
@@ -7,7 +7,7 @@
 
 import math
 
-from .plan import Plan, Standing, Terms
+from .plan import Plan, Terms, ZoneStatus
 
 TOLERANCE = 1e-6
 
@@ -26,7 +26,7 @@
     if plan.epoch < 1 or plan.holds <= 0 or plan.holds > 10 * terms.holds or len(plan.zones) != n:
         return "number of zones, epoch or validity does not fit this site's shape"
     for h, zone in enumerate(plan.zones):
-        numbers = (zone.room, zone.own, zone.reserve, zone.part, *zone.caps, *zone.outstanding)
+        numbers = (zone.room, zone.own, zone.reserve, zone.usable_ratio, *zone.caps, *zone.outstanding)
         if (
             len(zone.caps) != n
             or len(zone.outstanding) != n
@@ -44,12 +44,12 @@
             for z, part in shares:
                 if part > TOLERANCE and z != h and terms.prices[h][z] < 0:
                     return f"zone {h}: no way to zone {z}"
-                if part > TOLERANCE and plan.zones[z].standing is Standing.CLOSED:
+                if part > TOLERANCE and plan.zones[z].status is ZoneStatus.CLOSED:
                     return f"zone {h}: a share of {part:.2f} for zone {z}, which is closed"
         if zone.caps[h]:
             return f"zone {h}: a cap for its own hosts"
     for z, zone in enumerate(plan.zones):
-        free = max(0.0, zone.room * zone.part - zone.own - zone.reserve)
+        free = max(0.0, zone.room * zone.usable_ratio - zone.own - zone.reserve)
         caps = [plan.zones[h].caps[z] for h in range(n) if h != z]
         if sum(caps) > free + TOLERANCE * max(1.0, zone.room):
             return f"zone {z}: {sum(caps):.0f} kB/s for strangers, {free:.0f} are free"
--- a/copperyard/control/zones/facts.py
+++ b/copperyard/control/zones/facts.py
@@ -5,9 +5,9 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from ...decide import BAD, Controller
-from ..plays import Watcher
-from .plan import HostsOf, Summary, Terms
+from ...decide import UNHEALTHY_THRESHOLD, Controller
+from ..session_table import SessionObserver
+from .plan import FrontSummary, Terms, ZoneHosts
 
 SECOND = 1_000_000_000
 MEASURE_WINDOW_NS = 10 * SECOND  # ns over which a front counts session requests and set-ups
@@ -70,10 +70,10 @@
         """Return the load of this front's sessions at the plan's rung, kB/s by class, including sessions that wait."""
         found = [0.0] * len(self.lengths)
         for session in controller.sessions.values():
-            found[session.r.cls] += self.terms.loads[session.r.cls]
+            found[session.request.cls] += self.terms.loads[session.request.cls]
         return found
 
-    def summary(self, now: int, controller: Controller, epoch: int) -> Summary:
+    def summary(self, now: int, controller: Controller, epoch: int) -> FrontSummary:
         """Build the current report. Reads the controller's view of hosts without changing it."""
         while self._setups and self._setups[0][0] <= now - MEASURE_WINDOW_NS:
             self._setups.popleft()
@@ -88,41 +88,41 @@
             if server.gone or not 0 <= zone < self._zones:
                 continue
             hosts[zone] += 1
-            if server.bad > BAD:
+            if server.failure_rate > UNHEALTHY_THRESHOLD:
                 unhealthy[zone] += 1
             else:
-                rooms[zone] += server.link.cap
-                used[zone] += server.link.cap * min(1.0, server.link.load(now))
+                rooms[zone] += server.link.capacity_kb
+                used[zone] += server.link.capacity_kb * min(1.0, server.link.load(now))
         self._number += 1
-        return Summary(
+        return FrontSummary(
             self.name,
             self.life,
             self._number,
             epoch,
             self.demand(now, self.playing(controller)),
-            tuple(HostsOf(*one) for one in zip(rooms, used, hosts, unhealthy, setups, failed_setups, strict=True)),
+            tuple(ZoneHosts(*one) for one in zip(rooms, used, hosts, unhealthy, setups, failed_setups, strict=True)),
         )
 
 
-class FrontGauge(Watcher):
+class FrontGauge(SessionObserver):
     """Feeds a gauge from the events of one front; maps each host to its zone."""
 
     def __init__(self, gauge: Gauge, controller: Callable[[], Controller]) -> None:
         self.gauge, self.controller = gauge, controller
 
-    def wished(self, now: int, cls: int) -> None:
+    def session_requested(self, now: int, cls: int) -> None:
         """Count a session request."""
         self.gauge.session_requested(now, cls)
 
-    def lasted(self, cls: int, ns: int) -> None:
+    def session_ended(self, cls: int, ns: int) -> None:
         """Record the length of a session that has ended."""
         self.gauge.session_ended(cls, ns)
 
-    def tried(self, now: int, server: int, broke: bool) -> None:
+    def setup_finished(self, now: int, server: int, failed: bool) -> None:
         """Count a set-up for the zone of its host, if the host is known."""
         known = self.controller().servers.get(server)
         if known is not None and 0 <= known.entry.zone < len(self.gauge.terms.fronts):
-            self.gauge.setup_finished(now, known.entry.zone, broke)
+            self.gauge.setup_finished(now, known.entry.zone, failed)
 
 
 def weighted_median(points: Iterable[tuple[float, int]]) -> float:
@@ -141,12 +141,12 @@
     return 1.0 - failed / setups if setups >= MIN_PATH_SETUPS else 1.0
 
 
-def knowing_hosts(summaries: Iterable[Summary]) -> list[Summary]:
+def knowing_hosts(summaries: Iterable[FrontSummary]) -> list[FrontSummary]:
     """Return the summaries that know any host: a front without hosts has not received a server list yet."""
     return [s for s in summaries if any(hosts.hosts for hosts in s.zones)]
 
 
-def _plausible(summary: Summary) -> bool:
+def _plausible(summary: FrontSummary) -> bool:
     """Whether the figures are in range: one absurd report would corrupt the sums of a whole cell."""
     return (
         0 <= summary.life < MAX_COUNT
@@ -162,9 +162,9 @@
 
     def __init__(self, zone_of: Mapping[str, int], terms: Terms) -> None:
         self.zone_of, self.terms = dict(zone_of), terms
-        self.known: dict[str, tuple[int, Summary]] = {}
+        self.known: dict[str, tuple[int, FrontSummary]] = {}
 
-    def update(self, now: int, summary: Summary) -> bool:
+    def update(self, now: int, summary: FrontSummary) -> bool:
         """Store a summary; return whether it is valid and newer than the stored one."""
         if (
             summary.name not in self.zone_of
@@ -179,12 +179,12 @@
         self.known[summary.name] = (now, summary)
         return True
 
-    def update_all(self, now: int, others: Iterable[Summary]) -> None:
+    def update_all(self, now: int, others: Iterable[FrontSummary]) -> None:
         """Store several summaries."""
         for one in others:
             self.update(now, one)
 
-    def fresh(self, now: int, age: int | None = None) -> list[Summary]:
+    def fresh(self, now: int, age: int | None = None) -> list[FrontSummary]:
         """Return the summaries of at most that age (ns), ordered by name."""
         limit = age if age is not None else self.terms.silent
         return [self.known[name][1] for name in sorted(self.known) if now - self.known[name][0] <= limit]
--- a/copperyard/control/zones/follow.py
+++ b/copperyard/control/zones/follow.py
@@ -8,15 +8,15 @@
 
 from __future__ import annotations
 
-from ...interface import Ways
+from ...interface import ZoneAllocation
 from .plan import Plan, Terms
 
 EXPIRY_STEPS = 8  # steps in which the caps of an expired plan shrink to zero
 
 
-def own_zone_only(terms: Terms, zone: int) -> Ways:
+def own_zone_only(terms: Terms, zone: int) -> ZoneAllocation:
     """Return the ways of a front without a plan: all requests to its own zone, without a cap there."""
-    return Ways(
+    return ZoneAllocation(
         tuple(((zone, 1.0),) for _ in terms.loads), tuple(None if z == zone else 0.0 for z in range(terms.zones))
     )
 
@@ -64,7 +64,7 @@
         done = late * EXPIRY_STEPS // validity + 1 if late > 0 else 0
         return self.proposed_at + validity + max(1, done * validity // EXPIRY_STEPS)
 
-    def ways(self, now: int) -> Ways:
+    def allocation(self, now: int) -> ZoneAllocation:
         """Return the shares and caps of this front now."""
         strength = self.strength(now)
         if self.plan is None or strength <= 0:
@@ -73,7 +73,7 @@
         fronts = max(1, self.terms.fronts[self.zone])
         caps = tuple(None if z == self.zone else cap / fronts * strength for z, cap in enumerate(mine.caps))
         if strength >= 1:
-            return Ways(mine.shares, caps)
+            return ZoneAllocation(mine.shares, caps)
         # the part that may no longer go to other zones stays in the own zone
         shares = []
         for row in mine.shares:
@@ -81,4 +81,4 @@
             home = sum(part for z, part in kept if z == self.zone)
             removed = sum(part for _, part in row) - sum(part for _, part in kept)
             shares.append(tuple([(z, part) for z, part in kept if z != self.zone] + [(self.zone, home + removed)]))
-        return Ways(tuple(shares), caps)
+        return ZoneAllocation(tuple(shares), caps)
--- a/copperyard/control/zones/plan.py
+++ b/copperyard/control/zones/plan.py
@@ -6,10 +6,10 @@
 from enum import IntEnum
 
 SAME_REGION, OTHER_REGION = 1.0, 3.0  # default distances of two zones
-LIVE = 600 * 1_000_000_000  # ns that a live session is assumed to last until one has ended
+LIVE_SESSION_NS = 600 * 1_000_000_000  # ns that a live session is assumed to last until one has ended
 
 
-class Standing(IntEnum):
+class ZoneStatus(IntEnum):
     """What a zone offers to new sessions."""
 
     OPEN = 0
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostsOf:
+class ZoneHosts:
     """What one front knows about the hosts of one zone: their room, the room in use, the number of hosts, how many of
     them it considers unhealthy, the recent set-ups sent there and how many of those failed.
     """
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Summary:
+class FrontSummary:
     """Report of one front. `demand`: load that its viewers ask for, by class, at the rung that the plan assumes;
     `epoch`: the newest plan that it follows. A newer (life, number) replaces an older one, so duplicate or late
     reports change nothing.
@@ -44,7 +44,7 @@
     number: int
     epoch: int
     demand: tuple[float, ...]
-    zones: tuple[HostsOf, ...]
+    zones: tuple[ZoneHosts, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class CellReportBatch:
     """Cell reports that a voter forwards to the leader, each with the ns that the voter held it."""
 
     reports: tuple[tuple[CellReport, int], ...]
@@ -109,11 +109,11 @@
     while it returns, from 0 to 1.
     """
 
-    standing: Standing
+    status: ZoneStatus
     room: float
     own: float
     reserve: float
-    part: float
+    usable_ratio: float
     shares: tuple[tuple[tuple[int, float], ...], ...]
     caps: tuple[float, ...]
     outstanding: tuple[float, ...]
--- a/copperyard/control/zones/planner.py
+++ b/copperyard/control/zones/planner.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .plan import Plan, Standing, Terms, ZonePlan
+from .plan import Plan, Terms, ZonePlan, ZoneStatus
 
 SECOND = 1_000_000_000
 MIN_PATH_HEALTH = 0.5  # a path on which fewer set-ups succeed gets no new sessions
@@ -49,7 +49,7 @@
     unreachable: Sequence[bool]
 
 
-def fill(
+def allocate(
     terms: Terms,
     demand: Sequence[Sequence[float]],
     rooms: Sequence[float],
@@ -145,42 +145,44 @@
 
     # ---- lost and returning zones
 
-    def _zone_statuses(self, now: int, previous: Plan | None, view: PlannerInput) -> list[tuple[Standing, float]]:
+    def _zone_statuses(self, now: int, previous: Plan | None, view: PlannerInput) -> list[tuple[ZoneStatus, float]]:
         found = []
         for z in range(self.terms.zones):
-            was = previous.zones[z].standing if previous is not None else Standing.OPEN
+            was = previous.zones[z].status if previous is not None else ZoneStatus.OPEN
             lost = view.unreachable[z] or view.rooms[z] <= 0
             if view.unreachable[z]:
                 self.returns[z].unreachable = True
-            found.append(self._zone_status(now, z, was, lost, previous.zones[z].part if previous is not None else 1.0))
+            found.append(
+                self._zone_status(now, z, was, lost, previous.zones[z].usable_ratio if previous is not None else 1.0)
+            )
         return found
 
-    def _zone_status(self, now: int, z: int, was: Standing, lost: bool, part: float) -> tuple[Standing, float]:
+    def _zone_status(self, now: int, z: int, was: ZoneStatus, lost: bool, part: float) -> tuple[ZoneStatus, float]:
         back, terms = self.returns[z], self.terms
         if lost:
-            if was is not Standing.CLOSED:
+            if was is not ZoneStatus.CLOSED:
                 again = now - back.lost_at < terms.memory
                 back.losses = back.losses + 1 if again else 1
                 back.lost_at = now
             back.step, back.healthy_since = -1, None
-            return Standing.CLOSED, 0.0
-        if was is Standing.CLOSED:
+            return ZoneStatus.CLOSED, 0.0
+        if was is ZoneStatus.CLOSED:
             # a flapping zone would shift the traffic of all zones: it has to be healthy for a while first
             back.healthy_since = now if back.healthy_since is None else back.healthy_since
             if now - back.healthy_since < self._dwell(back):
-                return Standing.CLOSED, 0.0
+                return ZoneStatus.CLOSED, 0.0
             back.step, back.step_started_at, back.unreachable = 0, now, False
-            return Standing.RETURNING, terms.steps[0]
-        if was is Standing.RETURNING:
+            return ZoneStatus.RETURNING, terms.steps[0]
+        if was is ZoneStatus.RETURNING:
             if back.step < 0:  # an earlier leader began its return
                 back.step = min((n for n, s in enumerate(terms.steps) if s >= part - 1e-9), default=0)
                 back.step_started_at = now
             if now - back.step_started_at >= self._dwell(back):
                 back.step, back.step_started_at = back.step + 1, now
             if back.step < len(terms.steps):
-                return Standing.RETURNING, terms.steps[back.step]
+                return ZoneStatus.RETURNING, terms.steps[back.step]
             back.step = -1
-        return Standing.OPEN, 1.0
+        return ZoneStatus.OPEN, 1.0
 
     def _dwell(self, back: ZoneReturn) -> int:
         return min(self.terms.dwell_most, self.terms.dwell << max(0, back.losses - 1))
@@ -193,7 +195,7 @@
         previous: Plan | None,
         view: PlannerInput,
         epochs: Sequence[int],
-        statuses: list[tuple[Standing, float]],
+        statuses: list[tuple[ZoneStatus, float]],
     ) -> Plan:
         terms, n = self.terms, self.terms.zones
         rooms = [view.rooms[z] * terms.mark * statuses[z][1] for z in range(n)]
@@ -210,21 +212,21 @@
             [0.0 if h != z and (unreachable[h] or unreachable[z]) else view.path_health[h][z] for z in range(n)]
             for h in range(n)
         ]
-        allocation = fill(terms, view.demand, rooms, allowed, path_health)
+        allocation = allocate(terms, view.demand, rooms, allowed, path_health)
         caps = [
             [sum(allocation[h][c][z] for c in range(len(terms.loads))) if z != h else 0.0 for z in range(n)]
             for h in range(n)
         ]
         for z in range(n):
-            self._preallocate(previous, view, caps, z, allowed[z], unreachable, statuses[z][0] is Standing.CLOSED)
+            self._preallocate(previous, view, caps, z, allowed[z], unreachable, statuses[z][0] is ZoneStatus.CLOSED)
             self._fit_caps(previous, caps, outstanding, z, free[z])
-        closed = [statuses[z][0] is Standing.CLOSED for z in range(n)]
+        closed = [statuses[z][0] is ZoneStatus.CLOSED for z in range(n)]
         shares = [self._shares(previous, view, allocation, caps, h, closed) for h in range(n)]
         zones = []
         for h in range(n):
             status, part = statuses[h]
-            if status is Standing.OPEN and any(dict(row).get(h, 0.0) < 1 - self.terms.band for row in shares[h]):
-                status = Standing.SHEDDING
+            if status is ZoneStatus.OPEN and any(dict(row).get(h, 0.0) < 1 - self.terms.band for row in shares[h]):
+                status = ZoneStatus.SHEDDING
             zones.append(
                 ZonePlan(status, full[h], own[h], reserve[h], part, shares[h], tuple(caps[h]), tuple(outstanding[h]))
             )
@@ -364,14 +366,14 @@
         """
         found = 0
         for h, (old, new) in enumerate(zip(previous.zones, plan.zones, strict=True)):
-            closed = Standing.CLOSED in (old.standing, new.standing) and old.standing is not new.standing
-            if closed or old.part != new.part or old.shares != new.shares:
+            closed = ZoneStatus.CLOSED in (old.status, new.status) and old.status is not new.status
+            if closed or old.usable_ratio != new.usable_ratio or old.shares != new.shares:
                 return 2
-            free = max(0.0, new.room * new.part - new.own - new.reserve)
+            free = max(0.0, new.room * new.usable_ratio - new.own - new.reserve)
             granted = sum(previous.zones[k].caps[h] for k in range(self.terms.zones) if k != h)
             if granted > free + new.reserve + 1e-6:
                 return 2
-            if granted > free * (1 + self.terms.band) + 1e-6 or old.standing is not new.standing:
+            if granted > free * (1 + self.terms.band) + 1e-6 or old.status is not new.status:
                 found = 1
             for z in range(self.terms.zones):
                 if z != h and abs(old.caps[z] - new.caps[z]) > 2 * self.terms.band * max(1.0, plan.zones[z].room):
--- a/copperyard/control/zones/rollup.py
+++ b/copperyard/control/zones/rollup.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 from .facts import MAX_COUNT, MAX_LOAD_KB, MAX_TALLY, SECOND, SummaryTable, knowing_hosts, path_health, weighted_median
-from .plan import CellReport, Gathered, Summary, Terms, ZoneAggregate
+from .plan import CellReport, CellReportBatch, FrontSummary, Terms, ZoneAggregate
 
 MAX_SKETCH_POINTS = 9  # with 24 fronts that all report a different room the rank of the median errs by 1
 MAX_CELL_MEMBERS = 62  # its bit masks have to fit into an integer of a frame
@@ -78,7 +78,7 @@
         self.summaries = SummaryTable(dict.fromkeys(self.names, zone), terms)
         self._number = 0
 
-    def update(self, now: int, summary: Summary) -> bool:
+    def update(self, now: int, summary: FrontSummary) -> bool:
         """Store a member's summary; return whether it was new. False for a gateway of another cell, another shape, or
         figures out of range.
         """
@@ -202,9 +202,9 @@
 
     # ---- forwarding
 
-    def take_new(self, now: int) -> list[Gathered]:
+    def take_new(self, now: int) -> list[CellReportBatch]:
         """Return the reports that arrived since the last call, in batches that each fit into a frame."""
-        found: list[Gathered] = []
+        found: list[CellReportBatch] = []
         batch: list[tuple[CellReport, int]] = []
         size = 0
         for zone, cell, by in sorted(self._unforwarded):
@@ -214,12 +214,12 @@
                 continue
             more = _max_bytes(stored.report)
             if batch and size + more > MAX_BATCH_BYTES:
-                found.append(Gathered(tuple(batch)))
+                found.append(CellReportBatch(tuple(batch)))
                 batch, size = [], 0
             batch.append((stored.report, held))
             size += more
         self._unforwarded.clear()
-        return [*found, Gathered(tuple(batch))] if batch else found
+        return [*found, CellReportBatch(tuple(batch))] if batch else found
 
     # ---- evaluation
 
