--- a/copperyard/decide.py
+++ b/copperyard/decide.py
@@ -19,22 +19,22 @@
 
 from .interface import (
     Action,
-    Carried,
+    CarriedSession,
     ClassSettings,
-    Code,
+    OutcomeCode,
     Effect,
     Event,
     Fail,
-    Left,
+    ViewerLeft,
     ListKind,
     Log,
-    Note,
-    NoteKind,
-    Opened,
+    SessionNotice,
+    NoticeKind,
+    SessionOpened,
     Outcome,
     Probe,
-    Probed,
-    Rate,
+    ProbeResult,
+    SetRung,
     Refuse,
     Report,
     Request,
@@ -44,9 +44,9 @@
     ServerState,
     SetTimer,
     Settings,
-    Wake,
-    Watch,
-    Ways,
+    TimerDue,
+    Subscribe,
+    ZoneAllocation,
 )
 
 MS = 1_000_000
@@ -81,7 +81,7 @@
 MAX_ATTEMPT_TIME_RATIO = 0.6  # largest part of the remaining time that one attempt may use, so that another still fits
 
 # Server health.
-BAD = 0.2  # recent failure rate above which a server gets single trials only
+UNHEALTHY_THRESHOLD = 0.2  # recent failure rate above which a server gets single trials only
 FAILURE_WEIGHT = 0.3  # weight of the newest attempt in the failure rate
 # Weight of a set-up that timed out or was reset: a single one may be a lost answer rather than a lost server.
 UNCLEAR_FAILURE_WEIGHT = 0.18
@@ -104,8 +104,12 @@
 RAISED_CAP_RATIO = 0.5  # part of an agreed cap open to rungs above the floor; the rest is kept for newcomers
 MIN_CROSSING_GAIN = 2.0  # worth that a crossing between zones must gain, as a multiple of its price
 SETUP_TIME_WEIGHT = 0.1  # weight of the newest set-up in the average set-up time
-NOT_RUN_CODES = (Code.FULL, Code.CONNECT_FAILED, Code.MOOT)  # outcomes that prove that nothing ran
-FAILURE_CODES = (Code.TIMEOUT, Code.CONNECT_FAILED, Code.RESET)  # outcomes that count against a server's health
+NOT_RUN_CODES = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.MOOT)  # outcomes that prove that nothing ran
+FAILURE_CODES = (
+    OutcomeCode.TIMEOUT,
+    OutcomeCode.CONNECT_FAILED,
+    OutcomeCode.RESET,
+)  # outcomes that count against a server's health
 NEVER = -(1 << 62)  # earlier than any time
 
 
@@ -143,44 +147,44 @@
     traffic rarely hears of a given server, and its few sessions do not tell how many the others have there.
     """
 
-    cap: float
+    capacity_kb: float
     mean: FleetMean
-    own: float = 0.0
-    seen: float = 0.0
-    seen_at: int = NEVER
+    own_kb: float = 0.0
+    others_load: float = 0.0
+    others_at: int = NEVER
     own_history: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=16))
 
     def add(self, now: int, kb: float) -> None:
         """Add a rate of this front's own sessions, in kB a second; a negative one takes it away."""
-        self.own = max(0.0, self.own + kb)
-        self.own_history.append((now, self.own))
+        self.own_kb = max(0.0, self.own_kb + kb)
+        self.own_history.append((now, self.own_kb))
 
-    def learn(self, now: int, value: float, at: int, in_mean: bool = True) -> None:
+    def observe(self, now: int, value: float, at: int, in_mean: bool = True) -> None:
         """Take the total load at the time `at`; evidence older than the latest is dropped. `in_mean` is false for
         evidence that only full links give, which would bias the mean.
         """
-        if at < self.seen_at or not value >= 0:
+        if at < self.others_at or not value >= 0:
             return
-        own = self.own_history[0][1] if self.own_history else self.own
+        own = self.own_history[0][1] if self.own_history else self.own_kb
         while self.own_history and self.own_history[0][0] <= at:
             own = self.own_history.popleft()[1]
         self.own_history.appendleft((at, own))
-        self.seen, self.seen_at = max(0.0, min(value, MAX_LOAD) - own / self.cap), at
+        self.others_load, self.others_at = max(0.0, min(value, MAX_LOAD) - own / self.capacity_kb), at
         if in_mean:
-            self.mean.add(now, self.seen)
+            self.mean.add(now, self.others_load)
 
     def load(self, now: int) -> float:
         """The estimated load, as a fraction of the capacity."""
-        keep = 0.5 ** ((now - self.seen_at) / EVIDENCE_HALF_LIFE) if self.seen_at > NEVER else 0.0
-        return self.mean.value + (self.seen - self.mean.value) * keep + self.own / self.cap
+        keep = 0.5 ** ((now - self.others_at) / EVIDENCE_HALF_LIFE) if self.others_at > NEVER else 0.0
+        return self.mean.value + (self.others_load - self.mean.value) * keep + self.own_kb / self.capacity_kb
 
 
 @dataclass(slots=True)
 class Session:
     """A request and its state. `deadline` is the last time at which it can be answered."""
 
-    r: Request
-    kind: ClassSettings
+    request: Request
+    session_class: ClassSettings
     top: int
     arrived_at: int
     deadline: int
@@ -219,7 +223,7 @@
     slot_turns: int = 0
     failed_at: int = NEVER
     next_trial_at: int = NEVER
-    bad: float = 0.0
+    failure_rate: float = 0.0
     gone: bool = False
 
     def load(self, now: int) -> float:
@@ -228,14 +232,14 @@
 
     def room(self, now: int, mark: float) -> float:
         """The kB a second that are free under the mark, on both link and uplink."""
-        return min(m.cap * (mark - m.load(now)) for m in (self.link, self.rack))
+        return min(m.capacity_kb * (mark - m.load(now)) for m in (self.link, self.rack))
 
 
 class Controller:
     """The decisions of one front. handle() takes an event and returns the actions to perform, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.set = settings
+        self.settings = settings
         self.rng = random.Random(seed)
         self.servers: dict[int, Server] = {}
         self.cells: dict[int, list[Server]] = {}
@@ -248,11 +252,11 @@
         self.request_times: deque[int] = deque()
         self.retry_times: deque[int] = deque()
         self.started_at = -1
-        self.carried = False
+        self.has_carried = False
         self.retry_timer_set = False
         self.setup_time = 100.0 * MS
         self.best_worth_per_kb = max(
-            settings.rung_worth[k.floor] / settings.rung_kb[k.floor] * k.worth / k.scale for k in settings.classes
+            settings.rung_worth[k.floor] / settings.rung_kb[k.floor] * k.worth / k.rate_scale for k in settings.classes
         )
         price = settings.price_probe
         self.probes_per_request = (
@@ -261,20 +265,20 @@
         self.probe_credit = MAX_PROBES_PER_REQUEST  # a front without evidence can probe its first pair
         self.no_room_at = NEVER
         self.played_titles: dict[int, None] = {}
-        self.allocation: Ways | None = None
-        self.abroad: dict[int, float] = {}
+        self.allocation: ZoneAllocation | None = None
+        self.kb_by_zone: dict[int, float] = {}
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[int, Any], None]] = {
             Request: self._on_request,
             Outcome: self._on_outcome,
-            Note: self._on_notice,
-            Opened: self._on_opened,
-            Wake: self._on_timer,
+            SessionNotice: self._on_notice,
+            SessionOpened: self._on_opened,
+            TimerDue: self._on_timer,
             ServerList: self._on_server_list,
-            Probed: self._on_probe_result,
-            Left: self._on_left,
-            Carried: self._on_carried,
-            Ways: self._on_allocation,
+            ProbeResult: self._on_probe_result,
+            ViewerLeft: self._on_left,
+            CarriedSession: self._on_carried,
+            ZoneAllocation: self._on_allocation,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -282,15 +286,15 @@
         self.actions = []
         if self.started_at < 0:
             self.started_at = now
-            if self.set.subscribe:
-                self.actions.append(Watch(True))
+            if self.settings.subscribe:
+                self.actions.append(Subscribe(True))
         self.handlers[type(event)](now, event)
         return self.actions
 
     # ---- server list
 
     def _on_server_list(self, now: int, event: ServerList) -> None:
-        if event.kind == ListKind.FAILED and self.set.subscribe:
+        if event.kind == ListKind.FAILED and self.settings.subscribe:
             self.actions.append(SetTimer(now + SECOND, 1))
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
@@ -300,22 +304,22 @@
             self._update_entry(now, entry)
 
     def _update_entry(self, now: int, entry: ServerEntry) -> None:
-        s = self.set
+        s = self.settings
         server = self.servers.get(entry.server)
         rack = self.racks.setdefault(entry.cell % s.racks, LinkLedger(s.uplink_kb or 1e12, self.uplink_mean))
-        link_kb = (entry.weight if 0 < entry.weight < 1e6 else 1.0) * s.weight_kb
+        link_kb = (entry.weight if 0 < entry.weight < 1e6 else 1.0) * s.kb_per_weight
         if server is None:
             server = Server(entry, 0, LinkLedger(link_kb, self.link_mean), rack)
         elif entry.started and entry.started != server.entry.started:
             # restarted: the evidence on its link and health is from before the restart
-            server.link.learn(now, 0.0, now, False)
-            server.bad, server.next_trial_at = 0.0, NEVER
+            server.link.observe(now, 0.0, now, False)
+            server.failure_rate, server.next_trial_at = 0.0, NEVER
         self._unlist(server)
         if rack is not server.rack:
-            server.rack.add(now, -server.link.own)
-            rack.add(now, server.link.own)
+            server.rack.add(now, -server.link.own_kb)
+            rack.add(now, server.link.own_kb)
         server.places = s.places_by_kind[entry.kind] if entry.kind < len(s.places_by_kind) else min(s.places_by_kind)
-        server.entry, server.rack, server.link.cap = entry, rack, link_kb
+        server.entry, server.rack, server.link.capacity_kb = entry, rack, link_kb
         if entry.state != ServerState.GONE:
             self.servers[entry.server] = server
         if entry.state == ServerState.READY:
@@ -325,44 +329,44 @@
     def _unlist(self, server: Server) -> None:
         """Take a server that drains or is gone out of the choice; its sessions refer to it until they end."""
         if not server.gone and server.places:
-            self.cells[server.entry.cell % self.set.cells].remove(server)
+            self.cells[server.entry.cell % self.settings.cells].remove(server)
         server.gone = True
         self.servers.pop(server.entry.server, None)
 
     # ---- requests
 
     def _new_session(self, now: int, request: Request) -> Session:
-        session_class = self.set.classes[request.cls]
-        top = min(request.top, session_class.top, len(self.set.rung_kb) - 1)
+        session_class = self.settings.classes[request.cls]
+        top = min(request.top, session_class.top, len(self.settings.rung_kb) - 1)
         # a refusal, too, must reach the viewer in time
-        answer_time = max(self.set.tick, int(ANSWER_TIME_RATIO * self.set.connect_timeout))
+        answer_time = max(self.settings.tick, int(ANSWER_TIME_RATIO * self.settings.connect_timeout))
         deadline = min(request.deadline, now + session_class.deadline) - answer_time
         return self.sessions.setdefault(
             request.ref, Session(request, session_class, top, now, deadline, session_class.floor)
         )
 
     def _on_request(self, now: int, request: Request) -> None:
-        if request.ref in self.sessions or request.cls >= len(self.set.classes):
+        if request.ref in self.sessions or request.cls >= len(self.settings.classes):
             return
         self.request_times.append(now)
-        while self.request_times[0] <= now - max(self.set.ratio_span, self.set.fall):
+        while self.request_times[0] <= now - max(self.settings.retry_window, self.settings.cold_window):
             self.request_times.popleft()
         self.probe_credit = min(self.probe_credit + self.probes_per_request, MAX_HELD_SCAN)
         session = self._new_session(now, request)
-        if session.top < session.kind.floor:
+        if session.top < session.session_class.floor:
             self._refuse(session)  # no rung is both allowed and usable, so waiting cannot help
         elif self._draw_zone(session) and not self._place(now, session):
             self._hold(now, session)
-        if self.sessions and not self.set.reports_in_answers and self.probe_credit > MAX_PROBES_PER_REQUEST:
+        if self.sessions and not self.settings.reports_in_answers and self.probe_credit > MAX_PROBES_PER_REQUEST:
             # spare probe credit renews the evidence on the servers of this front's sessions, in rotation
             oldest = self.sessions.pop(next(iter(self.sessions)))
-            self.sessions[oldest.r.ref] = oldest
+            self.sessions[oldest.request.ref] = oldest
             if oldest.server is not None:
                 self._probe_if_stale(now, oldest.server)
 
     # ---- shares and caps agreed between zones
 
-    def _on_allocation(self, now: int, event: Ways) -> None:
+    def _on_allocation(self, now: int, event: ZoneAllocation) -> None:
         """Apply the allocation to later sessions. Where a cap shrank below what plays in a zone, sessions there are
         lowered, to their floor at most, and go on playing.
         """
@@ -379,12 +383,12 @@
         if self.allocation is None:
             return True
         draw = self.rng.random()
-        for zone, share in self.allocation.shares[session.r.cls]:
+        for zone, share in self.allocation.shares[session.request.cls]:
             session.drawn_zone, draw = zone, draw - share
             if draw < 0:
                 return True
-        wait = self.set.max_retry_after if self.set.retry_after else 0
-        self.actions.append(Refuse(session.r.ref, int(wait * (1 + self.rng.random()) / 2)))
+        wait = self.settings.max_retry_after if self.settings.retry_after else 0
+        self.actions.append(Refuse(session.request.ref, int(wait * (1 + self.rng.random()) / 2)))
         self._forget(session)
         return False
 
@@ -393,24 +397,24 @@
         return (
             self.allocation is None
             or zone == session.drawn_zone
-            or zone == self.set.zone
-            and any(z == zone and share > 0 for z, share in self.allocation.shares[session.r.cls])
+            or zone == self.settings.zone
+            and any(z == zone and share > 0 for z, share in self.allocation.shares[session.request.cls])
         )
 
     def _zone_cap_left(self, server: Server, ratio: float = 1.0) -> float:
         """The kB a second left to this front's sessions in the server's zone, under `ratio` of the agreed cap."""
         zone = server.entry.zone
-        if self.allocation is None or zone == self.set.zone:
+        if self.allocation is None or zone == self.settings.zone:
             return math.inf
         cap = self.allocation.caps[zone] if 0 <= zone < len(self.allocation.caps) else 0.0
-        return math.inf if cap is None else cap * ratio - self.abroad.get(zone, 0.0)
+        return math.inf if cap is None else cap * ratio - self.kb_by_zone.get(zone, 0.0)
 
-    def _on_carried(self, now: int, event: Carried) -> None:
+    def _on_carried(self, now: int, event: CarriedSession) -> None:
         request = event.request
         server = self.servers.get(event.server)
-        if server is None or request.ref in self.sessions or request.cls >= len(self.set.classes):
+        if server is None or request.ref in self.sessions or request.cls >= len(self.settings.classes):
             return
-        self.carried = True
+        self.has_carried = True
         session = self._new_session(now, request)
         session.attempts = 1
         self._reserve(now, session, server, session.rung)
@@ -419,19 +423,21 @@
 
     def _hold(self, now: int, session: Session) -> None:
         session.state = SessionState.HELD
-        self.held[session.r.ref] = session
-        self.actions.append(SetTimer(max(now, session.deadline), session.r.ref + 2))
+        self.held[session.request.ref] = session
+        self.actions.append(SetTimer(max(now, session.deadline), session.request.ref + 2))
         if not self.retry_timer_set:
             self.retry_timer_set = True
             self.actions.append(SetTimer(now + HOLD_RETRY_INTERVAL, 0))
 
     def _refuse(self, session: Session) -> None:
-        self.actions.append(Refuse(session.r.ref, self.set.max_retry_after if self.set.retry_after else 0))
+        self.actions.append(
+            Refuse(session.request.ref, self.settings.max_retry_after if self.settings.retry_after else 0)
+        )
         self._forget(session)
 
     def _forget(self, session: Session) -> None:
-        self.held.pop(session.r.ref, None)
-        self.sessions.pop(session.r.ref, None)
+        self.held.pop(session.request.ref, None)
+        self.sessions.pop(session.request.ref, None)
 
     # ---- choice of a server
 
@@ -443,13 +449,13 @@
             return False
         fits: list[tuple[Server, int]] = []
         tight: list[Server] = []
-        if any(x.probe_pending and now - x.probed_at < self.set.connect_timeout for x in session.probed_pair):
+        if any(x.probe_pending and now - x.probed_at < self.settings.connect_timeout for x in session.probed_pair):
             return False  # a probe result is still expected
         other_zone: list[tuple[Server, int]] = []
         self._sort_holders(now, session, session.probed_pair, fits, tight, other_zone)
         session.probed_pair = ()
         if not fits:
-            self._sort_holders(now, session, self._drawn(session), fits, tight, other_zone)
+            self._sort_holders(now, session, self._draw_holders(session), fits, tight, other_zone)
             pair = tuple([server for server, _ in fits] or tight[-2:])
             if [server for server in pair if self._probe_if_stale(now, server)]:
                 session.probed_pair = pair  # choose between these two once they have answered
@@ -460,17 +466,17 @@
             return self._send(now, session, *(first if first_wins else second))
         self.no_room_at = now if tight else self.no_room_at
         if tight and self._make_room(now, session, tight[0]):
-            return self._send(now, session, tight[0], session.kind.floor)
+            return self._send(now, session, tight[0], session.session_class.floor)
         return bool(other_zone) and self._send(now, session, *other_zone[0])
 
-    def _drawn(self, session: Session) -> Iterator[Server]:
+    def _draw_holders(self, session: Session) -> Iterator[Server]:
         """Listed holders of the title in random order, from MAX_DRAWS cells at most unless zones have agreed."""
-        n = max(0, min(session.r.holders, self.set.cells))
-        if session.kind.live:  # joining a running stream adds the least load
+        n = max(0, min(session.request.holders, self.settings.cells))
+        if session.session_class.live:  # joining a running stream adds the least load
             own = islice(self._seated(session).values(), MAX_DRAWS)
             yield from [x.server for x in own if x.server is not None]
         for step in self.rng.sample(range(n), min(n, MAX_DRAWS if self.allocation is None else n)):
-            yield from self.cells.get((session.r.home + step) % self.set.cells, ())
+            yield from self.cells.get((session.request.home + step) % self.settings.cells, ())
 
     def _sort_holders(
         self,
@@ -485,21 +491,29 @@
         another zone fits if the crossing gains MIN_CROSSING_GAIN times its price; under an allocation, servers that
         fit outside the session's own zones go to `other_zone`.
         """
-        price, worth = MIN_CROSSING_GAIN * self.set.price_cross_zone, self.set.rung_worth
+        price, worth = MIN_CROSSING_GAIN * self.settings.price_cross_zone, self.settings.rung_worth
         crossing: list[tuple[Server, int]] = []
         last_resort: list[tuple[Server, int]] = []
         for server in drawn:
-            if not self._may_send(now, session, server) or server.bad > BAD and now < server.next_trial_at:
+            if (
+                not self._may_send(now, session, server)
+                or server.failure_rate > UNHEALTHY_THRESHOLD
+                and now < server.next_trial_at
+            ):
                 continue
             rung = self._highest_fitting_rung(now, session, server)
             if not self._is_own_zone(session, server.entry.zone):
-                if rung >= 0 and server is not session.failed_server and server.entry.zone != self.set.zone:
+                if rung >= 0 and server is not session.failed_server and server.entry.zone != self.settings.zone:
                     other_zone.append((server, rung))
             elif rung < 0:
                 tight.append(server)
-            elif server.bad > BAD and session.kind.effect != Effect.SAFE or server is session.failed_server:
+            elif (
+                server.failure_rate > UNHEALTHY_THRESHOLD
+                and session.session_class.effect != Effect.SAFE
+                or server is session.failed_server
+            ):
                 last_resort.append((server, rung))
-            elif price and server.entry.zone != self.set.zone and self.allocation is None:
+            elif price and server.entry.zone != self.settings.zone and self.allocation is None:
                 crossing.append((server, rung))
             else:
                 fits.append((server, rung))
@@ -514,9 +528,11 @@
         """Probe a server before the send if its evidence is old, as a Tiger cub asks the next one. Each request
         earns a number of probes, so that their cost stays bounded. True if a probe was sent.
         """
-        s = self.set
-        max_age = max(FRESH_PERIOD, s.told_every + s.told_late) if s.reports_in_answers else PROBE_EVIDENCE_PERIOD
-        known_at = max(server.link.seen_at + REPORT_DELAY, server.probed_at)
+        s = self.settings
+        max_age = (
+            max(FRESH_PERIOD, s.notice_interval + s.notice_delay) if s.reports_in_answers else PROBE_EVIDENCE_PERIOD
+        )
+        known_at = max(server.link.others_at + REPORT_DELAY, server.probed_at)
         if not s.probes or self.probe_credit < 1 or now - known_at < max_age:
             return False
         self.probe_credit -= 1
@@ -524,23 +540,23 @@
         self.actions.append(Probe(server.entry.server))
         return True
 
-    def _rate(self, session_class: ClassSettings, rung: int) -> float:
-        return self.set.rung_kb[rung] * session_class.scale
+    def _rung_kb(self, session_class: ClassSettings, rung: int) -> float:
+        return self.settings.rung_kb[rung] * session_class.rate_scale
 
     def _added_kb(self, session: Session, server: Server, rung: int) -> float:
         """The kB a second that the session adds at a server: a further viewer of a live stream adds only a part."""
-        return self._rate(session.kind, rung) * self._added_ratio(session, server, rung)
+        return self._rung_kb(session.session_class, rung) * self._added_ratio(session, server, rung)
 
     def _added_ratio(self, session: Session, server: Server, rung: int) -> float:
-        key = (session.r.cls, rung, session.r.title)
-        return self.set.join_adds if session.kind.live and key in server.buckets else 1.0
+        key = (session.request.cls, rung, session.request.title)
+        return self.settings.join_ratio if session.session_class.live and key in server.buckets else 1.0
 
     def _highest_fitting_rung(self, now: int, session: Session, server: Server) -> int:
         """The highest rung that fits under the mark on link and uplink, or -1."""
-        for rung in range(session.top, session.kind.floor - 1, -1):
-            mark = self._mark(now, session.kind, rung, self._added_ratio(session, server, rung), server)
+        for rung in range(session.top, session.session_class.floor - 1, -1):
+            mark = self._mark(now, session.session_class, rung, self._added_ratio(session, server, rung), server)
             kb = self._added_kb(session, server, rung)
-            cap_ratio = 1.0 if rung == session.kind.floor else RAISED_CAP_RATIO
+            cap_ratio = 1.0 if rung == session.session_class.floor else RAISED_CAP_RATIO
             if kb <= server.room(now, mark) and kb <= self._zone_cap_left(server, cap_ratio):
                 return rung
         return -1
@@ -552,10 +568,10 @@
         """
         if rung <= session_class.floor:
             return ADMISSION_MARK
-        kb, worth = self.set.rung_kb, self.set.rung_worth
+        kb, worth = self.settings.rung_kb, self.settings.rung_worth
         worth_per_kb = (worth[rung] - worth[rung - 1]) / (kb[rung] - kb[rung - 1]) / added_ratio
         return ADMISSION_MARK - self._spread(now, server) * max(
-            0.0, 1 - worth_per_kb * session_class.worth / session_class.scale / self.best_worth_per_kb
+            0.0, 1 - worth_per_kb * session_class.worth / session_class.rate_scale / self.best_worth_per_kb
         )
 
     def _spread(self, now: int, server: Server) -> float:
@@ -563,12 +579,12 @@
         is. It shrinks only where a probe precedes each choice (_probe_if_stale), and as far as the evidence is
         fresh: a high mark on old evidence fills links beyond their capacity.
         """
-        if not self.set.probes or self.set.reports_in_answers:
+        if not self.settings.probes or self.settings.reports_in_answers:
             return MARK_SPREAD
         reserve: float = 0.5 ** ((now - self.no_room_at) / EVIDENCE_HALF_LIFE) if self.no_room_at > NEVER else 0.0
         # with few probes the evidence on any one server is old; then the number of samples in the mean counts.
         # With one or none, nothing is known of uplinks, where no FULL answer shows that a mark was too high
-        staleness = 1.0 - 0.5 ** ((now - server.link.seen_at) / PROBE_EVIDENCE_PERIOD)
+        staleness = 1.0 - 0.5 ** ((now - server.link.others_at) / PROBE_EVIDENCE_PERIOD)
         uncertainty = 1.0 / max(1.0, self.uplink_mean.samples(now))
         reserve = max(
             reserve, uncertainty + (staleness - uncertainty) * self.probes_per_request / MAX_PROBES_PER_REQUEST
@@ -578,11 +594,11 @@
     # ---- guards
 
     def _is_holder(self, session: Session, server: Server) -> bool:
-        return (server.entry.cell - session.r.home) % self.set.cells < session.r.holders
+        return (server.entry.cell - session.request.home) % self.settings.cells < session.request.holders
 
     def _may_send(self, now: int, session: Session, server: Server) -> bool:
         """Whether a send is allowed. The only place that checks this; every send passes it."""
-        s = self.set
+        s = self.settings
         if server.gone or not self._is_holder(session, server):
             return False  # a draining server gets no new sessions, even within its grace
         if session.attempts >= s.max_attempts or session.state != SessionState.HELD:
@@ -591,48 +607,50 @@
             self._added_ratio(session, server, rung) == 1 for rung in range(session.top + 1)
         ):
             return False  # a further viewer of a running stream takes no place
-        if session.kind.seats and len(self._seated(session)) >= session.kind.seats:
+        if session.session_class.seats and len(self._seated(session)) >= session.session_class.seats:
             return False
-        if session.attempts and s.free_resends is not None:
-            taken = sum(1 for t in self.request_times if t > now - s.ratio_span)
-            while self.retry_times and self.retry_times[0] <= now - s.ratio_span:
+        if session.attempts and s.free_retries is not None:
+            taken = sum(1 for t in self.request_times if t > now - s.retry_window)
+            while self.retry_times and self.retry_times[0] <= now - s.retry_window:
                 self.retry_times.popleft()
-            if len(self.retry_times) + 1 > s.free_resends + s.further_ratio * taken:
+            if len(self.retry_times) + 1 > s.free_retries + s.retry_ratio * taken:
                 return False
         # cold since its listed start, a failure seen here, or the start of this front, whichever is latest
         since = max(
             server.entry.started or NEVER,
             server.failed_at,
-            NEVER if self.carried or s.turn is not None else self.started_at,
+            NEVER if self.has_carried or s.rank_and_offset is not None else self.started_at,
         )
-        return now >= since + s.warm_within or self._turn(now, server, since)
+        return now >= since + s.warm_up_time or self._may_send_cold(now, server, since)
 
     def _cold_interval(self, server: Server) -> int:
         """Least time (ns) between two set-ups of this front at a cold server."""
-        s = self.set
-        budget = s.fall_multiple * server.places * s.cold_from * COLD_BUDGET_RATIO
-        interval = s.warm_within / budget if budget > 0 else s.warm_within
-        return int(min(s.fronts * interval, max(s.fall, interval)))
+        s = self.settings
+        budget = s.cold_budget_multiple * server.places * s.cold_ratio * COLD_BUDGET_RATIO
+        interval = s.warm_up_time / budget if budget > 0 else s.warm_up_time
+        return int(min(s.fronts * interval, max(s.cold_window, interval)))
 
-    def _turn(self, now: int, server: Server, since: int) -> bool:
+    def _may_send_cold(self, now: int, server: Server, since: int) -> bool:
         """Whether this front may send a set-up to a cold server. Each window in which set-ups are counted is a slot,
         and a seeded draw decides whether the slot is this front's, so that all fronts together keep to the budget.
         The lower the demand (assumed equal at the other fronts), the likelier the slot is its own; otherwise most
         slots would go to fronts with nothing to send.
         """
-        s = self.set
-        if s.turn is not None:
-            return self._has_turn_in_slot(now, server, *s.turn)
-        budget = s.fall_multiple * server.places * s.cold_from * COLD_BUDGET_RATIO
+        s = self.settings
+        if s.rank_and_offset is not None:
+            return self._has_turn_in_slot(now, server, *s.rank_and_offset)
+        budget = s.cold_budget_multiple * server.places * s.cold_ratio * COLD_BUDGET_RATIO
         if now < server.next_cold_at:
             return False
-        slot = (since, (now - since) // max(1, s.fall))
+        slot = (since, (now - since) // max(1, s.cold_window))
         if slot != server.slot:
             server.slot = slot
-            recent = sum(1 for t in self.request_times if t > now - s.fall)
+            recent = sum(1 for t in self.request_times if t > now - s.cold_window)
             crowd = any(self._is_holder(x, server) for x in self.held.values())  # the other fronts may hold some, too
             demand = 1.0 if crowd else min(1.0, 2 * recent / s.cells)
-            server.slot_is_own = self.rng.random() * s.fronts * demand <= budget * s.fall / max(1, s.warm_within)
+            server.slot_is_own = self.rng.random() * s.fronts * demand <= budget * s.cold_window / max(
+                1, s.warm_up_time
+            )
         return server.slot_is_own
 
     def _has_turn_in_slot(self, now: int, server: Server, rank: int, offset: int) -> bool:
@@ -641,10 +659,10 @@
         window meets two slots at most, or one if the cold budget is a single set-up, as every other slot then stays
         empty. Nothing is drawn, so chance cannot exceed the budget.
         """
-        s = self.set
-        budget = s.fall_multiple * server.places * s.cold_from * s.fall / max(1, s.warm_within)
+        s = self.settings
+        budget = s.cold_budget_multiple * server.places * s.cold_ratio * s.cold_window / max(1, s.warm_up_time)
         max_setups = 1 + int(budget)
-        slot, into = divmod(now + offset, max(1, s.fall + 3 * s.connect_timeout))
+        slot, into = divmod(now + offset, max(1, s.cold_window + 3 * s.connect_timeout))
         if now - into < self.started_at or max_setups == 1 and slot % 2:
             return False  # this front may have used its turn in this slot before it restarted
         slot = slot // 2 if max_setups == 1 else slot
@@ -669,16 +687,16 @@
             + interval
         )
         server.slot_turns -= 1
-        if server.bad > BAD:
+        if server.failure_rate > UNHEALTHY_THRESHOLD:
             # a trial: no other before its outcome or this time
-            server.next_trial_at = now + int(TRIAL_INTERVAL * server.bad)
-        self.held.pop(session.r.ref, None)
+            server.next_trial_at = now + int(TRIAL_INTERVAL * server.failure_rate)
+        self.held.pop(session.request.ref, None)
         session.state, session.probed_pair = SessionState.PENDING, ()
         session.attempts += 1
         self._reserve(now, session, server, rung)
         deadline = session.deadline
-        if session.kind.effect == Effect.SAFE:
-            target = session.arrived_at + session.kind.aim
+        if session.session_class.effect == Effect.SAFE:
+            target = session.arrived_at + session.session_class.answer_target
             until = target if target > now + MIN_ATTEMPT_TIMEOUT else session.deadline
             deadline = (
                 max(
@@ -687,21 +705,21 @@
                 )
                 + now
             )
-        self.actions.append(Rate(session.r.ref, rung))
+        self.actions.append(SetRung(session.request.ref, rung))
         session.attempt_deadline = min(deadline, session.deadline)
-        self.actions.append(Send(session.r.ref, server.entry.server, session.attempt_deadline))
+        self.actions.append(Send(session.request.ref, server.entry.server, session.attempt_deadline))
         return True
 
     def _reserve(self, now: int, session: Session, server: Server, rung: int) -> None:
         session.server, session.rung = server, rung
         self._book(now, session, server, 1)
-        server.buckets.setdefault(self._key(session), {})[session.r.ref] = session
+        server.buckets.setdefault(self._key(session), {})[session.request.ref] = session
 
     def _release(self, now: int, session: Session) -> None:
         server, session.server = session.server, None
         if server is not None:
             bucket = server.buckets[self._key(session)]
-            del bucket[session.r.ref]
+            del bucket[session.request.ref]
             if not bucket:
                 del server.buckets[self._key(session)]
             self._book(now, session, server, -1)
@@ -710,23 +728,23 @@
         kb = self._added_kb(session, server, session.rung)
         server.link.add(now, sign * kb)
         server.rack.add(now, sign * kb)
-        if server.entry.zone != self.set.zone:
-            self.abroad[server.entry.zone] = self.abroad.get(server.entry.zone, 0.0) + sign * kb
+        if server.entry.zone != self.settings.zone:
+            self.kb_by_zone[server.entry.zone] = self.kb_by_zone.get(server.entry.zone, 0.0) + sign * kb
         if self._added_ratio(session, server, session.rung) == 1:
             server.streams += sign
-        seated = self.seats.setdefault((session.r.cls, session.r.title), {})
+        seated = self.seats.setdefault((session.request.cls, session.request.title), {})
         if sign > 0:
-            seated[session.r.ref] = session
+            seated[session.request.ref] = session
         else:
-            del seated[session.r.ref]
+            del seated[session.request.ref]
         if not seated:
-            del self.seats[session.r.cls, session.r.title]
+            del self.seats[session.request.cls, session.request.title]
 
     def _seated(self, session: Session) -> dict[int, Session]:
-        return self.seats.get((session.r.cls, session.r.title), {})
+        return self.seats.get((session.request.cls, session.request.title), {})
 
     def _key(self, session: Session) -> tuple[int, int, int]:
-        return session.r.cls, session.rung, session.r.title if session.kind.live else 0
+        return session.request.cls, session.rung, session.request.title if session.session_class.live else 0
 
     # ---- rungs of playing sessions
 
@@ -737,11 +755,11 @@
         self._release(now, session)
         self._reserve(now, session, server, rung)
         session.stepped_at = now
-        self.actions.append(Rate(session.r.ref, rung))
+        self.actions.append(SetRung(session.request.ref, rung))
 
     def _steps(self, now: int, server: Server, direction: int) -> list[tuple[float, float, list[Session]]]:
         """What can go up a rung (`direction` 1) or down (-1): (worth per kB, kB, the sessions), best first."""
-        s = self.set
+        s = self.settings
         steps: list[tuple[float, float, list[Session]]] = []
         for (cls, rung, _), bucket in server.buckets.items():
             session_class, new_rung = s.classes[cls], rung + direction
@@ -753,26 +771,26 @@
             if session_class.live:
                 groups = [movable] if movable and (direction > 0 or len(movable) == len(bucket)) else []
             for group in groups:
-                n, join = len(group), s.join_adds if session_class.live else 1.0
+                n, join = len(group), s.join_ratio if session_class.live else 1.0
                 joins = self._added_ratio(group[0], server, new_rung) < 1
                 stays = session_class.live and n < len(bucket)
-                kb = self._rate(session_class, new_rung) * (join * n if joins else 1 + join * (n - 1)) - self._rate(
-                    session_class, rung
-                ) * (join * n if stays else 1 + join * (n - 1))
+                kb = self._rung_kb(session_class, new_rung) * (
+                    join * n if joins else 1 + join * (n - 1)
+                ) - self._rung_kb(session_class, rung) * (join * n if stays else 1 + join * (n - 1))
                 if kb * direction > 0:
                     steps.append((worth * session_class.worth * n / abs(kb), abs(kb), group))
-        steps.sort(key=lambda one: (-direction * one[0], -one[1], one[2][0].r.ref))
+        steps.sort(key=lambda one: (-direction * one[0], -one[1], one[2][0].request.ref))
         return steps
 
     def _may_step(self, now: int, session: Session, direction: int, worth: float) -> bool:
         """Whether a session may step now: once in STEP_INTERVAL, and up only if the time left earns the price."""
         if session.state != SessionState.PLAYING or direction < 0:
             return session.state == SessionState.PLAYING and now - session.lowered_at >= STEP_INTERVAL
-        earned = worth * (session.ends_at - now if session.r.hint else STEP_INTERVAL) / SECOND
+        earned = worth * (session.ends_at - now if session.request.hint else STEP_INTERVAL) / SECOND
         return (
             session.top > session.rung
             and now - session.stepped_at >= STEP_INTERVAL
-            and earned > MIN_SWITCH_GAIN * self.set.switch_s
+            and earned > MIN_SWITCH_GAIN * self.settings.switch_cost_s
         )
 
     def _lower(self, now: int, server: Server, kb: float, max_worth_per_kb: float, all_or_nothing: bool) -> bool:
@@ -795,10 +813,10 @@
 
     def _make_room(self, now: int, session: Session, server: Server) -> bool:
         """Lower playing sessions for a held one, if they lose less worth per kB than it brings."""
-        kb = self._added_kb(session, server, session.kind.floor)
+        kb = self._added_kb(session, server, session.session_class.floor)
         if kb > self._zone_cap_left(server):
             return False
-        gain = self.set.rung_worth[session.kind.floor] * session.kind.worth / kb
+        gain = self.settings.rung_worth[session.session_class.floor] * session.session_class.worth / kb
         return self._lower(now, server, kb - server.room(now, ADMISSION_MARK), gain, True)
 
     def _adjust(self, now: int, server: Server, at: int) -> None:
@@ -810,8 +828,10 @@
             return
         if load >= OVERLOAD_THRESHOLD:
             server.stepped_at = now
-            self._lower(now, server, server.link.own * (1 - OVERLOAD_TARGET / load), math.inf, False)
-        elif load < self._raise_mark(now, server) and not (self.held or server.gone or server.bad > BAD):
+            self._lower(now, server, server.link.own_kb * (1 - OVERLOAD_TARGET / load), math.inf, False)
+        elif load < self._raise_mark(now, server) and not (
+            self.held or server.gone or server.failure_rate > UNHEALTHY_THRESHOLD
+        ):
             self._raise(now, server)
 
     def _raise_mark(self, now: int, server: Server) -> float:
@@ -823,7 +843,7 @@
         """
         mark = self._raise_mark(now, server)
         room = min(
-            m.cap * (mark - m.load(now)) * min(1.0, m.own / m.cap / max(m.load(now), 1e-9))
+            m.capacity_kb * (mark - m.load(now)) * min(1.0, m.own_kb / m.capacity_kb / max(m.load(now), 1e-9))
             for m in (server.link, server.rack)
         )
         for _, kb, group in self._steps(now, server, 1):
@@ -836,7 +856,7 @@
 
     # ---- outcomes of attempts
 
-    def _on_opened(self, now: int, event: Opened) -> None:
+    def _on_opened(self, now: int, event: SessionOpened) -> None:
         session = self.sessions.get(event.ref)
         server = session.server if session is not None and not session.left else None
         if (
@@ -846,9 +866,9 @@
             or event.attempt != session.attempts - 1
         ):
             return
-        self.setup_time += SETUP_TIME_WEIGHT * (min(event.took, SECOND) - self.setup_time)
-        session.state, session.ends_at = SessionState.PLAYING, now + (session.r.hint or 0)
-        self._remember_title(session.r.title)
+        self.setup_time += SETUP_TIME_WEIGHT * (min(event.elapsed, SECOND) - self.setup_time)
+        session.state, session.ends_at = SessionState.PLAYING, now + (session.request.hint or 0)
+        self._remember_title(session.request.title)
         self._record_success(now, server)
 
     def _remember_title(self, title: int) -> None:
@@ -869,31 +889,31 @@
         code = event.code
         if server is not None:
             # a timeout noticed late means that this front stalled, not that the server failed
-            stalled = code == Code.TIMEOUT and now > session.attempt_deadline + MIN_ATTEMPT_TIMEOUT
+            stalled = code == OutcomeCode.TIMEOUT and now > session.attempt_deadline + MIN_ATTEMPT_TIMEOUT
             # possibly no server has such a title, in which case each answers with an error
-            unknown_title = session.r.title not in self.played_titles
-            if code in FAILURE_CODES and not stalled or code == Code.ERROR and not (playing or unknown_title):
-                unclear = not playing and code in (Code.TIMEOUT, Code.RESET)
+            unknown_title = session.request.title not in self.played_titles
+            if code in FAILURE_CODES and not stalled or code == OutcomeCode.ERROR and not (playing or unknown_title):
+                unclear = not playing and code in (OutcomeCode.TIMEOUT, OutcomeCode.RESET)
                 self._record_failure(now, server, code, UNCLEAR_FAILURE_WEIGHT if unclear else FAILURE_WEIGHT)
-            elif code == Code.FULL and server.link.load(now) < 1:
-                server.link.learn(now, 1.0, now, False)  # full, until other evidence arrives
-        if event.over or session.left or playing:
+            elif code == OutcomeCode.FULL and server.link.load(now) < 1:
+                server.link.observe(now, 1.0, now, False)  # full, until other evidence arrives
+        if event.answered or session.left or playing:
             self._forget(session)
         else:
             session.state, session.failed_server = SessionState.HELD, server
-            if code == Code.MOOT and self.retry_times and session.attempts > 1:
+            if code == OutcomeCode.MOOT and self.retry_times and session.attempts > 1:
                 self.retry_times.pop()
-            if session.kind.effect != Effect.SAFE and code not in NOT_RUN_CODES:
-                self.actions.append(Fail(session.r.ref))
+            if session.session_class.effect != Effect.SAFE and code not in NOT_RUN_CODES:
+                self.actions.append(Fail(session.request.ref))
                 self._forget(session)
-            elif now >= session.deadline or session.attempts >= self.set.max_attempts:
+            elif now >= session.deadline or session.attempts >= self.settings.max_attempts:
                 self._refuse(session)
-            elif code == Code.FULL or not self._place(now, session):
+            elif code == OutcomeCode.FULL or not self._place(now, session):
                 self._hold(now, session)
-        if server is not None and (playing or event.over):
+        if server is not None and (playing or event.answered):
             self._retry_held(now, server)
 
-    def _on_left(self, now: int, event: Left) -> None:
+    def _on_left(self, now: int, event: ViewerLeft) -> None:
         session = self.sessions.get(event.ref)
         if session is not None and session.state == SessionState.HELD:
             self._forget(session)
@@ -909,7 +929,7 @@
             if self._is_holder(session, server):
                 self._place(now, session)
 
-    def _on_timer(self, now: int, event: Wake) -> None:
+    def _on_timer(self, now: int, event: TimerDue) -> None:
         if event.token == 0:
             self.retry_timer_set = bool(self.held)
             if self.retry_timer_set:
@@ -917,7 +937,7 @@
             for session in list(self.held.values()):
                 self._place(now, session)
         elif event.token == 1:
-            self.actions.append(Watch(True))
+            self.actions.append(Subscribe(True))
         else:
             held = self.held.get(event.token - 2)
             if held is not None and now >= held.deadline:
@@ -929,63 +949,63 @@
         at = now - REPORT_DELAY
         for meter, value in ((server.link, report.link), (server.rack, report.uplink)):
             if value is not None:
-                meter.learn(now, value, at)
+                meter.observe(now, value, at)
         self._adjust(now, server, at)
 
-    def _on_notice(self, now: int, event: Note) -> None:
+    def _on_notice(self, now: int, event: SessionNotice) -> None:
         session = self.sessions.get(event.ref)
         server = self.servers.get(event.server)
         value = event.value
         if not math.isfinite(value) or value < 0:
             return
-        if event.kind == NoteKind.RUNG:
+        if event.kind == NoticeKind.RUNG:
             placed = session.server if session is not None else None
-            if session is not None and placed is not None and value < len(self.set.rung_kb):
+            if session is not None and placed is not None and value < len(self.settings.rung_kb):
                 self._release(now, session)
                 self._reserve(now, session, placed, int(value))
             return
         if server is None:
             return
-        at = now - self.set.told_late
-        if event.kind in (NoteKind.LINK, NoteKind.UPLINK):
+        at = now - self.settings.notice_delay
+        if event.kind in (NoticeKind.LINK, NoticeKind.UPLINK):
             if session is not None and now - session.arrived_at < SECOND:
                 at = now  # at set-up, the figure is current
-            meter = server.link if event.kind == NoteKind.LINK else server.rack
-            meter.learn(now, value, at)
+            meter = server.link if event.kind == NoticeKind.LINK else server.rack
+            meter.observe(now, value, at)
             self._adjust(now, server, at)
-        elif event.kind == NoteKind.SHARE:
+        elif event.kind == NoticeKind.SHARE:
             if value < SILENT_THRESHOLD:  # nothing is delivered: a stopped server rather than a full link
-                return self._record_failure(now, server, Code.ERROR)
+                return self._record_failure(now, server, OutcomeCode.ERROR)
             meter = server.rack if server.rack.load(now) > server.link.load(now) else server.link
             if value < OVERLOAD_THRESHOLD:
                 if meter.load(now) < 1 / value:
-                    meter.learn(now, 1 / value, at, False)
+                    meter.observe(now, 1 / value, at, False)
                 self._adjust(now, server, at)
-            elif server.link.seen > 1:
-                server.link.learn(now, 1.0, at, False)
+            elif server.link.others_load > 1:
+                server.link.observe(now, 1.0, at, False)
 
     # ---- health
 
     def _record_success(self, now: int, server: Server) -> None:
-        if server.bad > BAD >= server.bad * (1 - FAILURE_WEIGHT):
+        if server.failure_rate > UNHEALTHY_THRESHOLD >= server.failure_rate * (1 - FAILURE_WEIGHT):
             self.actions.append(Log(f"server {server.entry.server} trusted again"))
-        if server.failed_at > NEVER and server.bad > BAD:
+        if server.failed_at > NEVER and server.failure_rate > UNHEALTHY_THRESHOLD:
             server.failed_at = now  # it answers again after losing its sessions: cold from now at the latest
-        server.bad *= 1 - FAILURE_WEIGHT
+        server.failure_rate *= 1 - FAILURE_WEIGHT
         server.next_trial_at = now
 
     def _record_failure(self, now: int, server: Server, code: int, weight: float = FAILURE_WEIGHT) -> None:
-        if server.bad <= BAD < server.bad + weight * (1 - server.bad):
+        if server.failure_rate <= UNHEALTHY_THRESHOLD < server.failure_rate + weight * (1 - server.failure_rate):
             self.actions.append(Log(f"server {server.entry.server} on trial: outcome {code}"))
-        if code != Code.ERROR:
+        if code != OutcomeCode.ERROR:
             server.failed_at = now
-        server.bad += weight * (1 - server.bad)
-        server.next_trial_at = now + int(TRIAL_INTERVAL * server.bad)
+        server.failure_rate += weight * (1 - server.failure_rate)
+        server.next_trial_at = now + int(TRIAL_INTERVAL * server.failure_rate)
 
-    def _on_probe_result(self, now: int, event: Probed) -> None:
+    def _on_probe_result(self, now: int, event: ProbeResult) -> None:
         server = self.servers.get(event.server)
         if server is not None:
             server.probe_pending = False
-            if event.code == Code.OK and event.report is not None:
+            if event.code == OutcomeCode.OK and event.report is not None:
                 self._apply_report(now, server, event.report)
             self._retry_held(now, server)
--- a/copperyard/gateway/background.py
+++ b/copperyard/gateway/background.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from ..control.scheduler import Piece, Priority, Scheduler
-from .net import Signal, at, now
+from ..control.scheduler import JobStep, Priority, Scheduler
+from .net import AutoResetEvent, now, trio_deadline
 
 
 class Background:
@@ -13,9 +13,9 @@
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self._wake = Signal()
+        self._wake = AutoResetEvent()
 
-    def add(self, name: str, priority: Priority, step: Piece, due: int | None = None) -> None:
+    def add(self, name: str, priority: Priority, step: JobStep, due: int | None = None) -> None:
         """Add a job to the scheduler; `due` in ns, None for now."""
         self.scheduler.add(now(), name, priority, step, due)
         self._wake.set()
@@ -26,7 +26,7 @@
         while True:
             due = scheduler.next(now())
             if due is None or due > now():
-                with trio.CancelScope(deadline=at(due) if due is not None else float("inf")):
+                with trio.CancelScope(deadline=trio_deadline(due) if due is not None else float("inf")):
                     await self._wake.wait()
             else:
                 await trio.lowlevel.checkpoint()  # session tasks run between any two steps
@@ -36,4 +36,4 @@
                 try:
                     scheduler.run(started_at, job)
                 finally:
-                    scheduler.took(now(), job, now() - started_at)
+                    scheduler.record_run(now(), job, now() - started_at)
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -10,25 +10,35 @@
 import trio
 from trio import TaskStatus
 
-from ..control.attempt import Attempt, load_told
+from ..control.attempt import Attempt, probe_result
 from ..control.catalogue import Catalogue
-from ..control.core import Core
-from ..control.memory import STORE_WAIT
-from ..control.orders import Ask, Flush, Follow, Hangup, Line, Settle, Start, Stop, Wrote
+from ..control.core import FrontCore
+from ..control.io_actions import (
+    CloseViewer,
+    FlushAttempt,
+    FlushViewer,
+    FollowList,
+    LogLine,
+    ProbeHost,
+    QueryCode,
+    StartAttempt,
+    StopAttempt,
+)
+from ..control.journal import JOURNAL_TIMEOUT_NS
+from ..control.rtsp_server import ViewerConnection
 from ..control.rules import FrontRules
 from ..control.scheduler import Priority, Scheduler
-from ..control.settling import SETTLE_HEADER, SETTLED_HEADER
-from ..control.visits import Visitor
+from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER
 from ..control.zones.facts import FrontGauge, Gauge
-from ..interface import Code, Ways
-from ..state.book import Book
+from ..interface import OutcomeCode, ZoneAllocation
+from ..state.journal_writer import JournalWriter
 from ..state.recovery import recover
 from .background import Background
 from .disk import Disk
+from .journal_runner import JournalRunner
 from .listing import Follower, ListEndpoint
-from .net import Listener, Network, Signal, Stream, at, now
-from .peers.neighbours import Neighbourhood, Neighbours
-from .store import Store
+from .net import AutoResetEvent, Listener, Network, Stream, now, trio_deadline
+from .peers.service import PeerService, PeerSettings
 from .upstream import AttemptTask, query_host
 
 Logger = Callable[[str, Mapping[str, str | int]], None]
@@ -47,7 +57,7 @@
     disk: Disk | None = None
     generation: str = ""
     accept_loss: bool = False
-    hood: Neighbourhood | None = None
+    hood: PeerSettings | None = None
     lengths: tuple[int, ...] = ()
     unix_ms: int = 0
 
@@ -62,8 +72,8 @@
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
         self.writer_idle = False  # the writer task waits for data, so that others may write to the stream directly
-        self.wake = Signal()
-        self.room_available = Signal()
+        self.wake = AutoResetEvent()
+        self.room_available = AutoResetEvent()
         self.closing = False
         self.attempt_tasks: dict[AttemptTask, None] = {}
 
@@ -77,20 +87,20 @@
 
     def __init__(self, config: Station, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
         self.station, self.network, self.log = config, network, log
-        self.core = Core(config.rules, config.catalogue, config.zones, seed, rng, config.name)
+        self.core = FrontCore(config.rules, config.catalogue, config.zones, seed, rng, config.name)
         self.address = ""
         self._links: dict[Attempt, AttemptTask] = {}
-        self._viewers: dict[Visitor, ViewerSocket] = {}
+        self._viewers: dict[ViewerConnection, ViewerSocket] = {}
         self._list_scope: trio.CancelScope | None = None
         self._list_follower: Follower | None = None
-        self._store: Store | None = None
-        self.neighbours: Neighbours | None = None
+        self._store: JournalRunner | None = None
+        self.neighbours: PeerService | None = None
         if config.hood is not None:
             self._create_peer_service(config.hood, rng)
         self.background = Background(Scheduler())
         self._seen_sequence = -1
         self._journal_failure = ""
-        self._timer = Signal()
+        self._timer = AutoResetEvent()
         self._wake_at: int | None = None
         self._nursery: trio.Nursery | None = None
         self._listener: Listener | None = None
@@ -121,9 +131,9 @@
             listener.close()
             self._release_disk()
 
-    def _create_peer_service(self, peer_settings: Neighbourhood, rng: random.Random) -> None:
+    def _create_peer_service(self, peer_settings: PeerSettings, rng: random.Random) -> None:
         """Create the service that coordinates this gateway with the others of the site."""
-        config, session_table = self.station, self.core.plays
+        config, session_table = self.station, self.core.session_table
         gauge = Gauge(
             peer_settings.place.name,
             config.unix_ms,
@@ -132,8 +142,8 @@
             peer_settings.place.terms,
             now(),
         )
-        session_table.watcher = FrontGauge(gauge, lambda: session_table.controller)
-        self.neighbours = Neighbours(
+        session_table.observer = FrontGauge(gauge, lambda: session_table.controller)
+        self.neighbours = PeerService(
             peer_settings,
             gauge,
             lambda: session_table.controller,
@@ -144,9 +154,9 @@
             config.unix_ms,
         )
 
-    def _allocation_changed(self, allocation: Ways) -> None:
+    def _allocation_changed(self, allocation: ZoneAllocation) -> None:
         """Pass a new allocation, agreed on by the gateways, to the core."""
-        self.core.plays.agreed(now(), allocation)
+        self.core.session_table.set_zone_allocation(now(), allocation)
         self._run_io_actions()
 
     def _recover(self) -> None:
@@ -157,7 +167,7 @@
         disk, core = self.station.disk, self.core
         if disk is None:
             return
-        disk.lock(core.label)
+        disk.lock(core.instance_name)
         try:
             last_write = disk.touched()
             recovery = recover(disk.names(), disk.read)
@@ -191,14 +201,14 @@
             },
         )
         downtime = disk.wall() - last_write if last_write is not None else 0
-        journal_writer = Book(recovery, core.label, self.station.generation, now(), downtime)
-        core.remember(now(), journal_writer, spent_retries)
-        self._store = Store(journal_writer, disk, self.background, self._journal_advanced)
-        self.background.add("expiry", Priority.IDLE, core.plays.expire, now())
+        journal_writer = JournalWriter(recovery, core.instance_name, self.station.generation, now(), downtime)
+        core.restore(now(), journal_writer, spent_retries)
+        self._store = JournalRunner(journal_writer, disk, self.background, self._journal_advanced)
+        self.background.add("expiry", Priority.LOW, core.session_table.expire_codes, now())
 
     def _save_list(self, time: int) -> None:
         """Background job: write the server list to the journal."""
-        self.core.keep_list(time)
+        self.core.save_list(time)
         self._run_io_actions()
 
     def _release_disk(self) -> None:
@@ -213,24 +223,24 @@
         """
         await self._catch_up()
         journal = self._store
-        if journal is not None and journal.book.ailing != self._journal_failure:
-            self._journal_failure = journal.book.ailing
+        if journal is not None and journal.book.degraded != self._journal_failure:
+            self._journal_failure = journal.book.degraded
             self.log(
                 "journal failed" if self._journal_failure else "journal well again",
                 {"front": self.station.name, "text": self._journal_failure},
             )
-        self.core.plays.stored(now())
+        self.core.session_table.journal_advanced(now())
         self._run_io_actions()
 
     async def drain(self, timeout_s: float) -> None:
         """Accept nothing new, let sessions play to their end for at most `timeout_s` seconds, then stop."""
-        self.core.visits.draining = True
+        self.core.rtsp_server.draining = True
         if self.neighbours is not None:
             self.neighbours.leave()
         if self._listener is not None:
             self._listener.close()
         with trio.move_on_after(timeout_s):
-            while self.core.plays.plays:  # noqa: ASYNC110 - polling during a drain costs the sessions nothing
+            while self.core.session_table.requests:  # noqa: ASYNC110 - polling during a drain costs the sessions nothing
                 await trio.sleep(0.05)
         await self._close_journal()
         if self._nursery is not None:
@@ -241,9 +251,9 @@
         journal = self._store
         if journal is None:
             return
-        last_sequence = journal.book.close(now(), self.core.plays.budget.ages(now()))
-        journal.look()
-        with trio.move_on_after(STORE_WAIT / 1e9):
+        last_sequence = journal.book.close(now(), self.core.session_table.budget.spent_ages(now()))
+        journal.notify()
+        with trio.move_on_after(JOURNAL_TIMEOUT_NS / 1e9):
             while not journal.book.durable(last_sequence):  # noqa: ASYNC110 - polled once, at the end of the process
                 await trio.sleep(0.01)
 
@@ -254,43 +264,43 @@
         nursery = self._nursery
         if nursery is None:
             return
-        for action in self.core.take():
-            if isinstance(action, Wrote):
-                self._flush_viewer(action.visitor)
-            elif isinstance(action, Flush):
+        for action in self.core.take_io_actions():
+            if isinstance(action, FlushViewer):
+                self._flush_viewer(action.connection)
+            elif isinstance(action, FlushAttempt):
                 if action.attempt in self._links:
                     self._links[action.attempt].wake.set()
-            elif isinstance(action, Start):
+            elif isinstance(action, StartAttempt):
                 nursery.start_soon(self._run_guarded, "attempt", self._run_attempt, action.attempt)
-            elif isinstance(action, Stop):
+            elif isinstance(action, StopAttempt):
                 if action.attempt in self._links:
                     self._links[action.attempt].stop()
-            elif isinstance(action, Hangup):
-                viewer = self._viewers.get(action.visitor)
+            elif isinstance(action, CloseViewer):
+                viewer = self._viewers.get(action.connection)
                 if viewer is not None:
                     viewer.closing = True
                     viewer.wake.set()
-            elif isinstance(action, Ask):
+            elif isinstance(action, ProbeHost):
                 nursery.start_soon(self._run_guarded, "probe", self._probe, action.server, action.address)
-            elif isinstance(action, Settle):
+            elif isinstance(action, QueryCode):
                 nursery.start_soon(self._run_guarded, "settle", self._query_code, action)
-            elif isinstance(action, Follow):
+            elif isinstance(action, FollowList):
                 self._set_list_following(nursery, action.on)
             else:
-                assert isinstance(action, Line)
+                assert isinstance(action, LogLine)
                 self.log(action.event, {"front": self.station.name, **dict(action.fields)})
         if self._store is not None and self.core.list_changed:
             self.core.list_changed = False
-            self.background.add("list", Priority.USUAL, self._save_list)
+            self.background.add("list", Priority.NORMAL, self._save_list)
         if self._store is not None and self._store.book.sequence != self._seen_sequence:
             self._seen_sequence = self._store.book.sequence
-            self._store.look()
+            self._store.notify()
         wake = self.core.next_wake()
         if wake != self._wake_at:
             self._wake_at = wake
             self._timer.set()
 
-    def _flush_viewer(self, connection: Visitor) -> None:
+    def _flush_viewer(self, connection: ViewerConnection) -> None:
         """Write what the socket accepts at once; the writer task handles the rest and all errors."""
         viewer = self._viewers.get(connection)
         if viewer is None:
@@ -299,7 +309,7 @@
             try:
                 while data := connection.outbox.peek():
                     sent = viewer.stream.send_now(data)
-                    connection.outbox.took(sent)
+                    connection.outbox.consume(sent)
                     if sent < len(data):
                         break
                 else:
@@ -331,7 +341,7 @@
         """Wake the core whenever its next timer is due."""
         while True:
             wake = self._wake_at
-            with trio.CancelScope(deadline=at(wake) if wake is not None else float("inf")) as waiting:
+            with trio.CancelScope(deadline=trio_deadline(wake) if wake is not None else float("inf")) as waiting:
                 await self._timer.wait()
             if wake is not None and (waiting.cancelled_caught or now() >= wake):
                 # the deadline is a float and may expire a nanosecond before the time it stands for; without max() a
@@ -357,34 +367,34 @@
     async def _catch_up(self) -> None:
         """Read what has arrived of the server list, before anything new is sent to a host."""
         if self._list_follower is not None:
-            await self._list_follower.catch_up(self.core.plays.news_wait / 1e9)
+            await self._list_follower.catch_up(self.core.session_table.list_update_wait / 1e9)
 
     async def _probe(self, server: int, address: str) -> None:
         """Probe a host and pass the result to the core."""
-        code, report = load_told(await query_host(self.network, self.core, address))
-        self.core.plays.probed(now(), server, code, report)
+        code, report = probe_result(await query_host(self.network, self.core, address))
+        self.core.session_table.probed(now(), server, code, report)
         self._run_io_actions()
 
-    async def _query_code(self, query: Settle) -> None:
+    async def _query_code(self, query: QueryCode) -> None:
         """Ask a host what became of a set-up with a code."""
         answer = await query_host(self.network, self.core, query.address, ((SETTLE_HEADER, query.request),))
-        fate = answer.header(SETTLED_HEADER) if not isinstance(answer, Code) else None
-        self.core.plays.settled(now(), query.code, fate)
+        fate = answer.header(SETTLED_HEADER) if not isinstance(answer, OutcomeCode) else None
+        self.core.session_table.code_query_answered(now(), query.code, fate)
         self._run_io_actions()
 
     async def _run_attempt(self, attempt: Attempt) -> None:
         """Run an attempt, linked to its viewer so that each can hold up or release the other."""
         task = AttemptTask(self.core, self.network, attempt, self._run_io_actions, self._catch_up)
-        request = self.core.plays.plays.get(attempt.plan.ref)
-        owner = request.customer if request is not None else None
-        connection = getattr(owner, "visitor", None)
+        request = self.core.session_table.requests.get(attempt.plan.ref)
+        owner = request.owner if request is not None else None
+        connection = getattr(owner, "connection", None)
         viewer = self._viewers.get(connection) if connection is not None else None
         self._links[attempt] = task
         if owner is not None and viewer is not None:
             task.is_blocked = lambda: connection in self._viewers and owner.blocked()
             viewer.attempt_tasks[task] = None
         try:
-            if attempt.verdict is not None:
+            if attempt.outcome is not None:
                 task.stop()
             await task.run()
         finally:
@@ -400,14 +410,14 @@
             try:
                 stream = await listener.accept()
             except (OSError, trio.ClosedResourceError):
-                if self.core.visits.draining:
+                if self.core.rtsp_server.draining:
                     return
                 raise
             self._nursery.start_soon(self._run_guarded, "viewer", self._serve_viewer, stream)
 
     async def _serve_viewer(self, stream: Stream) -> None:
         """Read and write one viewer connection until it closes."""
-        connection = self.core.visits.opened(now(), stream.peer)
+        connection = self.core.rtsp_server.opened(now(), stream.peer)
         if connection is None:
             stream.close()
             return
@@ -421,12 +431,12 @@
         finally:
             stream.close()
             del self._viewers[connection]
-            self.core.visits.closed(now(), connection)
+            self.core.rtsp_server.closed(now(), connection)
             for task in viewer.attempt_tasks:
                 task.room_available.set()
             self._run_io_actions()
 
-    async def _read_viewer(self, stream: Stream, connection: Visitor, viewer: ViewerSocket) -> None:
+    async def _read_viewer(self, stream: Stream, connection: ViewerConnection, viewer: ViewerSocket) -> None:
         while not connection.closing:
             try:
                 data = await stream.receive_some(16384)
@@ -434,14 +444,14 @@
                 return
             if not data:
                 return
-            self.core.visits.received(now(), connection, data)
+            self.core.rtsp_server.received(now(), connection, data)
             self._run_io_actions()
             while connection.outbox.full:
                 # back-pressure: a viewer that does not read its responses gets no more requests read
                 await viewer.room_available.wait()
 
     async def _write_viewer(
-        self, stream: Stream, connection: Visitor, viewer: ViewerSocket, scope: trio.CancelScope
+        self, stream: Stream, connection: ViewerConnection, viewer: ViewerSocket, scope: trio.CancelScope
     ) -> None:
         outbox = connection.outbox
         while True:
@@ -458,15 +468,15 @@
             try:
                 sent = stream.send_now(data)
                 if not sent:
-                    with trio.move_on_after(outbox.stall / 1e9):
+                    with trio.move_on_after(outbox.stall_ns / 1e9):
                         sent = await stream.send_some(data)
             except OSError:
                 break
             if not sent:
-                self.core.visits.stalled(now(), connection)
+                self.core.rtsp_server.stalled(now(), connection)
                 break
-            outbox.took(sent)
-            if outbox.roomy:
+            outbox.consume(sent)
+            if outbox.has_room:
                 viewer.room_available.set()
                 for task in viewer.attempt_tasks:
                     task.room_available.set()
--- a/copperyard/gateway/disk.py
+++ b/copperyard/gateway/disk.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ..state.book import Append, Create, Remove, Rename, Step
+from ..state.journal_writer import Append, Create, Remove, Rename, Step
 
 
 class Disk(Protocol):
--- a/copperyard/gateway/store.py
+++ b/copperyard/gateway/journal_runner.py
@@ -7,22 +7,24 @@
 import trio
 
 from ..control.scheduler import Priority
-from ..state.book import Book, Step
+from ..state.journal_writer import JournalWriter, Step
 from .background import Background
 from .disk import Disk
-from .net import Signal, now
+from .net import AutoResetEvent, now
 
 
-class Store:
+class JournalRunner:
     """The tasks of one gateway's journal. `stored` is called when more facts are durable and when a step failed."""
 
-    def __init__(self, book: Book, disk: Disk, background: Background, stored: Callable[[], Awaitable[None]]) -> None:
+    def __init__(
+        self, book: JournalWriter, disk: Disk, background: Background, stored: Callable[[], Awaitable[None]]
+    ) -> None:
         self.book, self.disk, self.background, self.stored = book, disk, background, stored
         self._made_steps: list[Step | None] = []
-        self._step_made = Signal()
-        self._wake = {"commit": Signal(), "chore": Signal()}
+        self._step_made = AutoResetEvent()
+        self._wake = {"commit": AutoResetEvent(), "chore": AutoResetEvent()}
 
-    def look(self) -> None:
+    def notify(self) -> None:
         """Wake both tasks; call it after facts were written."""
         for signal in self._wake.values():
             signal.set()
@@ -43,10 +45,10 @@
             return None
 
         def make_step(when: int) -> None:
-            self._made_steps.append(self.book.chore(when))
+            self._made_steps.append(self.book.background_step(when))
             self._step_made.set()
 
-        self.background.add("snapshot", Priority.SOON if self.book.ailing else Priority.USUAL, make_step)
+        self.background.add("snapshot", Priority.HIGH if self.book.degraded else Priority.NORMAL, make_step)
         while not self._made_steps:
             await self._step_made.wait()
         return self._made_steps.pop()
@@ -54,7 +56,7 @@
     async def _run_queue(self, queue: str) -> None:
         writer = self.book
         while True:
-            step = writer.commit(now()) if queue == "commit" else await self._background_step()
+            step = writer.commit_step(now()) if queue == "commit" else await self._background_step()
             if step is None:
                 with trio.move_on_after(max(0.001, (writer.wake_at(now()) - now()) / 1e9)):
                     await self._wake[queue].wait()
--- a/copperyard/gateway/listing.py
+++ b/copperyard/gateway/listing.py
@@ -9,8 +9,8 @@
 import h11
 import trio
 
-from ..control.core import Core
-from .net import Network, Signal, Stream, now
+from ..control.core import FrontCore
+from .net import AutoResetEvent, Network, Stream, now
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 READ_BYTES = 65536
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, network: Network, core: Core, endpoint: ListEndpoint, run_io_actions: Callable[[], None]
+        self, network: Network, core: FrontCore, endpoint: ListEndpoint, run_io_actions: Callable[[], None]
     ) -> None:
         self.network, self.core, self.endpoint, self.run_io_actions = network, core, endpoint, run_io_actions
         self._stream: Stream | None = None
@@ -53,7 +53,7 @@
         self._response_begun = self._response_complete = self._read_by_other = False
         self._error: OSError | None = None
         self._read_scope: trio.CancelScope | None = None
-        self._response_done = Signal()
+        self._response_done = AutoResetEvent()
 
     async def run(self) -> None:
         """Poll until something fails; the core is told once and decides when to poll again."""
@@ -79,7 +79,7 @@
     async def _poll(self, stream: Stream) -> None:
         generation, endpoint = self.core.roster.generation, self.endpoint
         query = f"?after={generation}&wait_ms={endpoint.poll_wait // 1_000_000}" if generation is not None else ""
-        headers = [("Host", endpoint.address), ("User-Agent", self.core.label)]
+        headers = [("Host", endpoint.address), ("User-Agent", self.core.instance_name)]
         self._status, self._response_complete = 0, False
         self._body.clear()
         with trio.move_on_after(endpoint.poll_timeout / 1e9) as send_scope:
@@ -158,7 +158,7 @@
     def _response_ended(self) -> None:
         self._response_complete, self._response_begun = True, False
         self._response_done.set()
-        if self._status == 200 and not self.core.list_body(now(), bytes(self._body)):
+        if self._status == 200 and not self.core.list_received(now(), bytes(self._body)):
             self._error = OSError("the response body is not a valid list")
         elif self._status not in (200, 204):
             self._error = OSError(f"the service answered with status {self._status}")
--- a/copperyard/gateway/net.py
+++ b/copperyard/gateway/net.py
@@ -10,7 +10,7 @@
 
 # errors of a system out of descriptors or memory: temporary, so they must not end a listener
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-CLOSED = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 class Stream(Protocol):
@@ -220,7 +220,7 @@
     return round(trio.current_time() * 1e9)
 
 
-def at(ns: int) -> float:
+def trio_deadline(ns: int) -> float:
     """A time of that clock in seconds, as trio's deadlines take it."""
     return ns / 1e9
 
@@ -281,7 +281,7 @@
             self._sock.close()
 
 
-class Signal:
+class AutoResetEvent:
     """Event for one waiting task, which resets itself; a set without a waiting task is kept."""
 
     def __init__(self) -> None:
--- a/copperyard/gateway/node/daemon.py
+++ b/copperyard/gateway/node/daemon.py
@@ -16,7 +16,17 @@
 from ...control.node.links import Link, LinkState
 from ...control.node.sessions import Viewer
 from ...membership.fleet import Fleet
-from ..net import CLOSED, DatagramSocket, Listener, Network, Signal, Stream, UdpSocket, at, now
+from ..net import (
+    CONNECTION_ERRORS,
+    AutoResetEvent,
+    DatagramSocket,
+    Listener,
+    Network,
+    Stream,
+    UdpSocket,
+    now,
+    trio_deadline,
+)
 from .follow import NameServiceClient
 from .place import ConfigError, NodeConfig
 
@@ -56,7 +66,7 @@
         )
         self.on_drained = on_drained
         self.unsent = bytearray()
-        self.drained = Signal()
+        self.drained = AutoResetEvent()
 
     def write(self, data: bytes) -> None:
         """Write at once what fits and buffer the rest; never waits."""
@@ -81,7 +91,7 @@
                     del self.unsent[:sent]
                 if timeout.cancelled_caught:
                     return self.on_broken()
-        except CLOSED:
+        except CONNECTION_ERRORS:
             return self.on_broken()
         self.drained.set()
         self.on_drained()
@@ -112,9 +122,9 @@
         self._link_scopes: dict[Link, trio.CancelScope] = {}
         self.ended = trio.Event()
         self._read_scopes: dict[Viewer, trio.CancelScope] = {}
-        self._timer_changed = Signal()
+        self._timer_changed = AutoResetEvent()
         self._timer_at: int | None = None
-        self._shutdown_progress = Signal()
+        self._shutdown_progress = AutoResetEvent()
         self._write_retries: set[Link] = set()
         self._flooding: set[Viewer] = set()
         self._performing = self._shutting_down = False
@@ -437,7 +447,7 @@
     async def _run_timers(self) -> None:
         while True:
             self._timer_at = self.core.next_timer()
-            deadline = at(self._timer_at) if self._timer_at is not None else float("inf")
+            deadline = trio_deadline(self._timer_at) if self._timer_at is not None else float("inf")
             with trio.CancelScope(deadline=deadline):
                 await self._timer_changed.wait()
             if self._timer_at is not None and now() >= self._timer_at:
@@ -473,7 +483,7 @@
                 if viewer.closing:
                     with trio.move_on_after(bounds.LAST_ANSWER_TIMEOUT / 1e9):
                         await self._deliver_last_answer(writer)
-        except CLOSED:
+        except CONNECTION_ERRORS:
             pass
         finally:
             self._viewer_writers.pop(viewer, None)
@@ -549,7 +559,7 @@
         while link.state in (LinkState.UP, LinkState.HALF_CLOSED):
             try:
                 data = await stream.receive_some(bounds.HOST_READ_BYTES)
-            except CLOSED:
+            except CONNECTION_ERRORS:
                 return True
             if not data:
                 return False
--- a/copperyard/gateway/node/follow.py
+++ b/copperyard/gateway/node/follow.py
@@ -9,9 +9,9 @@
 
 from ...control.node import bounds
 from ...control.node.core import NodeCore
-from ...membership.asking import QueryPacer
+from ...membership.query_pacer import QueryPacer
 from ...protocol.node.fleet import HostListError, encode_query, parse_answer
-from ..net import DatagramSocket, at, now
+from ..net import DatagramSocket, now, trio_deadline
 
 
 class NameServiceClient:
@@ -72,7 +72,7 @@
 
     async def _send_queries(self, socket: DatagramSocket) -> None:
         while True:
-            await trio.sleep_until(at(self._pacer.due))
+            await trio.sleep_until(trio_deadline(self._pacer.due))
             if now() < self._pacer.due:
                 continue  # an answer came meanwhile and postponed the query
             query_id = self.rng.getrandbits(16)
--- a/copperyard/gateway/peers/links.py
+++ b/copperyard/gateway/peers/links.py
@@ -17,9 +17,9 @@
 import trio
 from trio import TaskStatus
 
-from ...control import neighbours as bounds
-from ...protocol.peers import BadFrame, Codec, Hello, Reader, hello, read_hello
-from ..net import CLOSED, Listener, Network, Signal, Stream, now
+from ...control import peer_limits as bounds
+from ...protocol.peers import Codec, FrameError, FrameReader, Hello, encode_hello, parse_hello
+from ..net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream, now
 
 READ_BYTES = 65536
 _ACK = struct.Struct(">I")
@@ -34,16 +34,16 @@
     def __init__(self) -> None:
         self.queue: deque[tuple[int, bytes]] = deque()
         self.size = 0
-        self.wake = Signal()
+        self.wake = AutoResetEvent()
         self.running = False
         self.dropped = 0
-        self.backoff = bounds.BACK_OFF[0]
+        self.backoff = bounds.REDIAL_BACKOFF_S[0]
 
     def put(self, now_ns: int, frame: bytes) -> bool:
-        while self.queue and now_ns - self.queue[0][0] > bounds.STALE:
+        while self.queue and now_ns - self.queue[0][0] > bounds.MAX_MESSAGE_AGE_NS:
             self.size -= len(self.queue.popleft()[1])
             self.dropped += 1
-        if self.size + len(frame) > bounds.QUEUE:
+        if self.size + len(frame) > bounds.MAX_QUEUE_BYTES:
             self.dropped += 1
             return False
         self.queue.append((now_ns, frame))
@@ -56,7 +56,7 @@
         while self.queue:
             at, frame = self.queue.popleft()
             self.size -= len(frame)
-            if now_ns - at <= bounds.STALE:
+            if now_ns - at <= bounds.MAX_MESSAGE_AGE_NS:
                 return frame
             self.dropped += 1
         return None
@@ -110,7 +110,7 @@
         self._outboxes = _Outboxes(name for name in addresses if name != me)
         # (life, number, scope) of the newest link, by sender
         self._incoming: dict[str, tuple[int, int, trio.CancelScope]] = {}
-        self.written = self.taken = 0  # frames, since the start
+        self.written = self.received = 0  # frames, since the start
         self._number = 0
         self._pending_hellos = 0
         self._nursery: trio.Nursery | None = None
@@ -157,25 +157,25 @@
             while outbox.queue:
                 stream: Stream | None = None
                 try:
-                    with trio.move_on_after(bounds.CONNECT):
+                    with trio.move_on_after(bounds.CONNECT_TIMEOUT_S):
                         stream = await self.network.connect(self.addresses[to])
                     if stream is None:
                         raise OSError("no connection in time")
                     await self._write_link(to, outbox, stream)
-                except CLOSED:
+                except CONNECTION_ERRORS:
                     pass  # waiting frames expire by themselves; links do not judge whether a peer is alive
                 finally:
                     if stream is not None:
                         stream.close()
                 if outbox.queue:
                     await trio.sleep(outbox.backoff * (0.5 + self.random.random()))
-                    outbox.backoff = min(bounds.BACK_OFF[1], 2 * outbox.backoff)
+                    outbox.backoff = min(bounds.REDIAL_BACKOFF_S[1], 2 * outbox.backoff)
         finally:
             outbox.running = False
 
     async def _write_link(self, to: str, outbox: _Outbox, stream: Stream) -> None:
         self._number += 1
-        first = hello(Hello(self.fleet, self.me, to, self.life, self._number))
+        first = encode_hello(Hello(self.fleet, self.me, to, self.life, self._number))
         unacked: deque[float] = deque()  # time of writing of each frame without an ack
         errors: list[BaseException] = []
         # cancelled when the oldest written frame got no ack in time. (A task that polled for it cost a gateway with
@@ -183,14 +183,14 @@
         silent = trio.CancelScope()
 
         def wait_for_count() -> None:
-            silent.deadline = unacked[0] + bounds.SILENT if unacked else math.inf
+            silent.deadline = unacked[0] + bounds.ACK_TIMEOUT_S if unacked else math.inf
 
         async def write() -> None:
             await send_all(stream, first)
             while True:
                 frame = outbox.next(now())
                 if frame is None:
-                    with trio.move_on_after(bounds.IDLE) as idle:
+                    with trio.move_on_after(bounds.IDLE_TIMEOUT_S) as idle:
                         await outbox.wake.wait()
                     if idle.cancelled_caught and not outbox.queue and not unacked:
                         return
@@ -204,7 +204,7 @@
             kept, counted = b"", 0
             with silent:
                 while data := await stream.receive_some(READ_BYTES):
-                    outbox.backoff = bounds.BACK_OFF[0]
+                    outbox.backoff = bounds.REDIAL_BACKOFF_S[0]
                     kept += data
                     while len(kept) >= _ACK.size:
                         total, kept = _ACK.unpack_from(kept)[0], kept[_ACK.size :]
@@ -220,7 +220,7 @@
         async def guarded(task: Callable[[], object], scope: trio.CancelScope) -> None:
             try:
                 await task()  # type: ignore[misc]
-            except CLOSED as error:
+            except CONNECTION_ERRORS as error:
                 errors.append(error)
             scope.cancel()
 
@@ -237,17 +237,17 @@
         assert nursery is not None
         while True:
             stream = await listener.accept()
-            if self._pending_hellos >= bounds.NEW:
+            if self._pending_hellos >= bounds.MAX_PENDING_HELLOS:
                 stream.close()
                 continue
             self._pending_hellos += 1
             nursery.start_soon(self._serve, stream)
 
     async def _serve(self, stream: Stream) -> None:
-        reader, bodies = Reader(), deque[bytes]()
+        reader, bodies = FrameReader(), deque[bytes]()
         accepted = False
         try:
-            with trio.move_on_after(bounds.HELLO):
+            with trio.move_on_after(bounds.HELLO_TIMEOUT_S):
                 while not bodies:
                     data = await stream.receive_some(READ_BYTES)
                     if not data:
@@ -255,15 +255,15 @@
                     bodies.extend(reader.receive(data))
             if not bodies:
                 return
-            one = self._check_hello(read_hello(bodies.popleft()))
+            one = self._check_hello(parse_hello(bodies.popleft()))
             self._pending_hellos -= 1
             accepted = True
             with trio.CancelScope() as scope:
                 self._incoming[one.sender] = (one.life, one.number, scope)
                 await self._read_link(one.sender, stream, reader, bodies)
-        except BadFrame as error:
+        except FrameError as error:
             self.log("link refused" if not accepted else "link broken", {"peer": stream.peer, "text": str(error)[:200]})
-        except CLOSED:
+        except CONNECTION_ERRORS:
             pass
         finally:
             self._pending_hellos -= not accepted
@@ -274,24 +274,24 @@
         older link must not arrive after those of a newer one.
         """
         if one.fleet != self.fleet:
-            raise BadFrame(f"a gateway of another fleet, or of other settings, as {one.sender!r}")
+            raise FrameError(f"a gateway of another fleet, or of other settings, as {one.sender!r}")
         if one.sender not in self._outboxes.names:
-            raise BadFrame(f"{one.sender!r} is none of the gateways that may connect to this one")
+            raise FrameError(f"{one.sender!r} is none of the gateways that may connect to this one")
         if one.to != self.me:
-            raise BadFrame(f"{one.sender!r} expects {one.to!r} here")
+            raise FrameError(f"{one.sender!r} expects {one.to!r} here")
         before = self._incoming.get(one.sender)
         if before is not None:
             if (one.life, one.number) <= before[:2]:
-                raise BadFrame(f"an older link of {one.sender!r}")
+                raise FrameError(f"an older link of {one.sender!r}")
             before[2].cancel()
         return one
 
-    async def _read_link(self, sender: str, stream: Stream, reader: Reader, bodies: deque[bytes]) -> None:
+    async def _read_link(self, sender: str, stream: Stream, reader: FrameReader, bodies: deque[bytes]) -> None:
         received, unsent = 0, b""
         while True:
             while bodies:
                 self.on_message(sender, self.codec.read(bodies.popleft()))
-                self.taken += 1
+                self.received += 1
                 received += 1
                 if not unsent:
                     unsent = _ACK.pack(received & 0xFFFFFFFF)
--- a/copperyard/gateway/peers/log_store.py
+++ b/copperyard/gateway/peers/log_store.py
@@ -10,8 +10,8 @@
 import trio
 import xxhash
 
-from ...state import frames
-from ...state.agreement.records import Damaged
+from ...state import file_format
+from ...state.agreement.log_store import DamagedStoreError
 from ..disk import FolderDisk
 
 LOG_NAME, NEW_LOG_NAME = "votes.log", "votes.next"
@@ -39,20 +39,23 @@
         if not data:
             return []
         try:
-            frames.read_head(data, frames.MAGIC_S)
-        except frames.BadFrame as error:
-            raise Damaged(f"{path}: {error}") from None
+            file_format.read_head(data, file_format.SEGMENT_MAGIC)
+        except file_format.FileFormatError as error:
+            raise DamagedStoreError(f"{path}: {error}") from None
         found: list[bytes] = []
-        size = frames.HEAD_SIZE
-        for one in frames.records(data):
+        size = file_format.HEAD_SIZE
+        for one in file_format.records(data):
             if isinstance(one, str):
-                if frames.whole_after(data, size, len(found)) is not None or data[-1:] == frames.END:
-                    raise Damaged(f"{path}: {one}")
+                if (
+                    file_format.find_intact_record(data, size, len(found)) is not None
+                    or data[-1:] == file_format.RECORD_END
+                ):
+                    raise DamagedStoreError(f"{path}: {one}")
                 break  # torn tail: the process or machine ended during the write
             if one.sequence != len(found) + 1:
-                raise Damaged(f"{path}: record {len(found) + 1} is numbered {one.sequence}")
+                raise DamagedStoreError(f"{path}: record {len(found) + 1} is numbered {one.sequence}")
             found.append(one.payload)
-            size = one.offset + frames.RECORD_SIZE + len(one.payload)
+            size = one.offset + file_format.RECORD_SIZE + len(one.payload)
         self._sequence, self._size = len(found), size
         self._handle = os.open(path, os.O_WRONLY | os.O_CLOEXEC)
         return found
@@ -65,14 +68,14 @@
             else:
                 await trio.to_thread.run_sync(self._append, list(records))
 
-    async def renew(self, records: Sequence[bytes]) -> None:
+    async def replace_all(self, records: Sequence[bytes]) -> None:
         """Replace all records atomically; durable when this returns."""
         async with self._busy:
             await trio.to_thread.run_sync(self._replace, list(records))
 
     def _append(self, records: list[bytes]) -> None:
         assert self._handle is not None
-        data = b"".join(frames.record(self._sequence + 1 + n, one) for n, one in enumerate(records))
+        data = b"".join(file_format.record(self._sequence + 1 + n, one) for n, one in enumerate(records))
         # drop bytes behind the last complete record that a failed write left
         os.ftruncate(self._handle, self._size)
         write_fully(self._handle, self._size, data)
@@ -81,7 +84,9 @@
         self._sequence += len(records)
 
     def _replace(self, records: list[bytes]) -> None:
-        data = frames.segment_head(1, 1) + b"".join(frames.record(1 + n, one) for n, one in enumerate(records))
+        data = file_format.segment_head(1, 1) + b"".join(
+            file_format.record(1 + n, one) for n, one in enumerate(records)
+        )
         path = self.folder / NEW_LOG_NAME
         handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
@@ -139,20 +144,20 @@
             self._database = self._connect(path)
             rows = self._database.execute("SELECT number, body, sum FROM records ORDER BY number").fetchall()
             if self._database.execute("PRAGMA integrity_check(1)").fetchone()[0] != "ok":
-                raise Damaged(f"{path}: its pages do not fit together")
+                raise DamagedStoreError(f"{path}: its pages do not fit together")
         except sqlite3.DatabaseError as error:
             if self._database is not None:
                 self._database.close()
             path.rename(self.folder / "votes.damaged")
             self._database = self._connect(path)
-            raise Damaged(f"{path}: {error}") from None
+            raise DamagedStoreError(f"{path}: {error}") from None
         for number, body, check in rows:
             if number != len(found) + 1 or check != self._checksum(number, body):
-                raise Damaged(f"{path}: record {len(found) + 1} does not hold its check")
+                raise DamagedStoreError(f"{path}: record {len(found) + 1} does not hold its check")
             found.append(body)
         count = self._database.execute("SELECT count FROM head WHERE one = 1").fetchone()
         if (count[0] if count is not None else 0) != len(found):
-            raise Damaged(f"{path}: {len(found)} records of {count[0] if count is not None else 0}")
+            raise DamagedStoreError(f"{path}: {len(found)} records of {count[0] if count is not None else 0}")
         return found
 
     def _connect(self, path: Path) -> sqlite3.Connection:
@@ -176,7 +181,7 @@
         async with self._busy:
             await trio.to_thread.run_sync(self._write, list(records), False)
 
-    async def renew(self, records: Sequence[bytes]) -> None:
+    async def replace_all(self, records: Sequence[bytes]) -> None:
         """Replace all records atomically; durable when this returns."""
         async with self._busy:
             await trio.to_thread.run_sync(self._write, list(records), True)
--- a/copperyard/gateway/peers/place.py
+++ b/copperyard/gateway/peers/place.py
@@ -6,10 +6,10 @@
 
 from ...config.common import CommonPlan
 from .log_store import FileLogStore, SqliteLogStore
-from .neighbours import Neighbourhood
+from .service import PeerSettings
 
 
-def neighbourhood(plan: CommonPlan, name: str, base: Path, trusted: bool) -> Neighbourhood:
+def peer_settings(plan: CommonPlan, name: str, base: Path, trusted: bool) -> PeerSettings:
     """Build the settings of the gateway of that name; log stores are in folders under `base`."""
     folder = base / plan.folder / name
     shelf = None
@@ -17,4 +17,4 @@
         shelf = SqliteLogStore(folder) if plan.store == "sqlite" else FileLogStore(folder)
     place = plan.place(name)
     reach = {other: plan.reach[other] for other in sorted(place.peers())}
-    return Neighbourhood(place, plan.listen[name], reach, plan.fleet, shelf, trusted)
+    return PeerSettings(place, plan.listen[name], reach, plan.fleet, shelf, trusted)
--- a/copperyard/gateway/peers/neighbours.py
+++ b/copperyard/gateway/peers/service.py
@@ -10,54 +10,64 @@
 import trio
 from trio import TaskStatus
 
-from ...control.common import MESSAGES, Act, Common, CommonPlace, Done, Immediate, Note, Send, Write
-from ...control.neighbours import AGAIN
+from ...control.coordinator import (
+    MESSAGE_CODEC,
+    ApplyZoneAllocation,
+    Coordinator,
+    CoordinatorConfig,
+    Immediate,
+    LogLine,
+    NotifyApplied,
+    Send,
+    Write,
+)
+from ...control.peer_limits import WRITE_RETRY_S
 from ...control.zones.facts import Gauge
 from ...control.zones.follow import own_zone_only
 from ...decide import Controller
-from ...interface import Ways
-from ...state.agreement.council import Kept
-from ...state.agreement.records import Damaged, Shelf, from_bytes, to_bytes
-from ..net import Network, Signal, at, now
+from ...interface import ZoneAllocation
+from ...state.agreement.log_store import DamagedStoreError, LogStore, from_bytes, to_bytes
+from ...state.agreement.replica import PersistentState
+from ..net import AutoResetEvent, Network, now, trio_deadline
 from .links import Links
 
 Logger = Callable[[str, Mapping[str, str | int]], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Neighbourhood:
+class PeerSettings:
     """What a gateway has to know at its start. `shelf`: log store of a voter, None for others; `fleet`: digest of the
     settings that all gateways have to agree on; `trusted`: an operator asserts that the log store is the newest.
     """
 
-    place: CommonPlace
+    place: CoordinatorConfig
     listen: str
     addresses: Mapping[str, str]
     fleet: bytes
-    shelf: Shelf | None
+    log_store: LogStore | None
     trusted: bool = False
 
 
-class Neighbours:
+class PeerService:
     """Runs the coordination of one gateway. `act` gets the ways of its front on each change; `unix_ms` is the date."""
 
     def __init__(
         self,
-        settings: Neighbourhood,
+        settings: PeerSettings,
         gauge: Gauge,
         controller: Callable[[], Controller],
         network: Network,
-        act: Callable[[Ways], None],
+        on_allocation: Callable[[ZoneAllocation], None],
         log: Logger,
         rng: random.Random,
         unix_ms: int,
     ) -> None:
-        self.settings, self.act, self.log = settings, act, log
-        self._timer_wake, self._durable_wake = Signal(), Signal()
+        self.settings, self.on_allocation, self.log = settings, on_allocation, log
+        self._timer_wake, self._durable_wake = AutoResetEvent(), AutoResetEvent()
         self._wake_at: int | None = None
         self._rewrite = False  # the content of the log store is unusable: replace it with the next write
-        kept = self._open() if settings.shelf is not None else None
-        self.common = Common(
+        kept = self._open() if settings.log_store is not None else None
+        self.coordinator = Coordinator(
             settings.place, gauge, controller, kept, rng.getrandbits(62), now(), unix_ms, settings.trusted
         )
         self.links = Links(
@@ -66,24 +76,24 @@
             settings.fleet,
             unix_ms,
             settings.addresses,
-            MESSAGES,
+            MESSAGE_CODEC,
             self._message_received,
             log,
             rng,
         )
 
-    def _open(self) -> Kept:
+    def _open(self) -> PersistentState:
         """Read the log store. A damaged one counts as empty: a voter without its log recovers from the others, but with
         a part of it the voter might not notice that it has to.
         """
-        shelf = self.settings.shelf
+        shelf = self.settings.log_store
         assert shelf is not None
         try:
             return from_bytes(shelf.open(self.settings.place.name))
-        except Damaged as error:
+        except DamagedStoreError as error:
             self.log("shelf damaged", {"text": str(error)[:200]})
             self._rewrite = True
-            return Kept()
+            return PersistentState()
 
     async def run(self, task_status: TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled; reports the address of the links.
@@ -114,81 +124,81 @@
                     "place": f"{place.name}:{place.lineno}",
                 },
             )
-            self.act(own_zone_only(self.settings.place.terms, self.common.zone))
+            self.on_allocation(own_zone_only(self.settings.place.terms, self.coordinator.zone))
         finally:
-            if self.settings.shelf is not None:
-                self.settings.shelf.close()
+            if self.settings.log_store is not None:
+                self.settings.log_store.close()
 
     def leave(self) -> None:
         """Announce a planned end to the others."""
-        self.common.leave(now())
+        self.coordinator.leave(now())
         self._run_actions()
 
     def _message_received(self, sender: str, message: object) -> None:
-        self.common.hear(now(), sender, message)
+        self.coordinator.hear(now(), sender, message)
         self._run_actions()
 
     def _run_actions(self) -> None:
-        for order in self.common.take():
+        for order in self.coordinator.take_actions():
             self._run_action(order)
         self._durable_wake.set()
-        wake = self.common.next_wake()
+        wake = self.coordinator.next_wake()
         if self._wake_at is None or wake < self._wake_at:
             self._timer_wake.set()
 
     def _run_action(self, order: Immediate) -> None:
         if isinstance(order, Send):
             self.links.send(order.to, order.message)
-        elif isinstance(order, Act):
-            self.act(order.ways)
+        elif isinstance(order, ApplyZoneAllocation):
+            self.on_allocation(order.allocation)
         else:
             self.log(order.event, dict(order.fields))
 
     async def _timer_loop(self) -> None:
         while True:
-            self._wake_at = self.common.next_wake()
-            with trio.move_on_at(at(self._wake_at)) as waiting:
+            self._wake_at = self.coordinator.next_wake()
+            with trio.move_on_at(trio_deadline(self._wake_at)) as waiting:
                 await self._timer_wake.wait()
             due, self._wake_at = self._wake_at, None
             if waiting.cancelled_caught or now() >= due:
                 # the deadline is a float and may fire a nanosecond before the exact time
-                self.common.wake(max(due, now()))
+                self.coordinator.wake(max(due, now()))
                 self._run_actions()
 
     async def _durable_loop(self) -> None:
         """Carry out durable actions in order: a message is sent after all earlier records are durable."""
         while True:
-            orders = self.common.take_durable()
+            orders = self.coordinator.take_durable_actions()
             if not orders:
                 await self._durable_wake.wait()
             for order in orders:
                 if isinstance(order, Write):
                     await self._write(order)
-                elif isinstance(order, Done):
-                    self.common.applied(now(), order.order)
+                elif isinstance(order, NotifyApplied):
+                    self.coordinator.applied(now(), order.order)
                     self._run_actions()
                 elif isinstance(order, Send):
                     self.links.send(order.to, order.message)
                 else:
-                    assert isinstance(order, Note)
+                    assert isinstance(order, LogLine)
                     self.log(order.event, dict(order.fields))
             if orders:
                 self._run_actions()  # a council that waited for the disk resumes its timers
 
     async def _write(self, order: Write) -> None:
         """Write until it succeeds: a voter whose disk fails sends nothing, and counts as dead until it works again."""
-        shelf = self.settings.shelf
+        shelf = self.settings.log_store
         assert shelf is not None
         records = to_bytes(order.records)
         failed = False
         while True:
             try:
-                await (shelf.renew(records) if order.anew or self._rewrite else shelf.append(records))
+                await (shelf.replace_all(records) if order.replace_all or self._rewrite else shelf.append(records))
             except OSError as error:
                 if not failed:
                     self.log("shelf failed", {"text": str(error)[:200]})
                 failed = True
-                await trio.sleep(AGAIN)
+                await trio.sleep(WRITE_RETRY_S)
                 continue
             self._rewrite = False
             if failed:
--- a/copperyard/gateway/upstream.py
+++ b/copperyard/gateway/upstream.py
@@ -6,12 +6,12 @@
 
 import trio
 
-from ..control.attempt import Attempt, Question, Stage
-from ..control.core import Core
-from ..interface import Code
+from ..control.attempt import Attempt, HostQuery, Stage
+from ..control.core import FrontCore
+from ..interface import OutcomeCode
 from ..protocol.rtsp import Response
 from ..protocol.rtsp.messages import Headers
-from .net import Network, Signal, Stream, at, now
+from .net import AutoResetEvent, Network, Stream, now, trio_deadline
 
 READ_BYTES = 65536
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: FrontCore,
         network: Network,
         attempt: Attempt,
         run_io_actions: Callable[[], None],
@@ -29,8 +29,8 @@
     ) -> None:
         self.core, self.network, self.attempt = core, network, attempt
         self.run_io_actions, self.catch_up = run_io_actions, catch_up
-        self.wake = Signal()
-        self.room_available = Signal()
+        self.wake = AutoResetEvent()
+        self.room_available = AutoResetEvent()
         self.scope = trio.CancelScope()
         self.is_blocked: Callable[[], bool] = lambda: False
 
@@ -41,7 +41,7 @@
     async def run(self) -> None:
         """Connect, exchange messages, close; the core hears of the end only after the close."""
         stream: Stream | None = None
-        self.scope.deadline = at(self.attempt.limit)
+        self.scope.deadline = trio_deadline(self.attempt.deadline)
         try:
             with self.scope:
                 with trio.move_on_after(self._connect_timeout_s):
@@ -52,19 +52,19 @@
                 if stream is not None and await self._connected():
                     await self._exchange(stream)
             if self.scope.cancelled_caught and stream is not None:
-                self.core.plays.expired(now(), self.attempt)
+                self.core.session_table.expired(now(), self.attempt)
             if stream is not None and self.attempt.out and self.attempt.sent:
                 await self._send_teardown(stream)
         finally:
             if stream is not None:
                 stream.close()
-            self.core.plays.closed(now(), self.attempt)
+            self.core.session_table.closed(now(), self.attempt)
             self.run_io_actions()
 
     async def _connected(self) -> bool:
         # a process that did not run for a while since the decision has not yet read which hosts ended meanwhile
         await self.catch_up()
-        return self.core.plays.connected(now(), self.attempt)
+        return self.core.session_table.connected(now(), self.attempt)
 
     def stop(self) -> None:
         """Cancel the task: the core ended the attempt."""
@@ -84,9 +84,9 @@
                 return
             if not data:
                 return
-            if self.attempt.stage is Stage.ASK:
+            if self.attempt.stage is Stage.CHECK:
                 await self.catch_up()  # what arrives permits the set-up to be sent
-            self.core.plays.received(now(), self.attempt, data)
+            self.core.session_table.received(now(), self.attempt, data)
             self.run_io_actions()
             if self.attempt.stage is Stage.OPEN:
                 self.scope.deadline = float("inf")
@@ -115,24 +115,24 @@
                 return
 
 
-async def query_host(network: Network, core: Core, address: str, headers: Headers = ()) -> Response | Code:
+async def query_host(network: Network, core: FrontCore, address: str, headers: Headers = ()) -> Response | OutcomeCode:
     """Send one request to a host, within the connect timeout; return its response, or why there is none."""
-    query = Question(address, core.rules.hosts, headers)
+    query = HostQuery(address, core.rules.hosts, headers)
     stream: Stream | None = None
-    code = Code.CONNECT_FAILED
+    code = OutcomeCode.CONNECT_FAILED
     try:
         with trio.move_on_after(core.rules.settings.connect_timeout / 1e9):
             stream = await network.connect(address)
-            code, out = Code.TIMEOUT, query.out
+            code, out = OutcomeCode.TIMEOUT, query.out
             while out:
                 out = out[await stream.send_some(out) :]
             while data := await stream.receive_some(READ_BYTES):
                 answer = query.receive(data)
                 if answer is not None:
                     return answer
-            code = Code.RESET
+            code = OutcomeCode.RESET
     except OSError:
-        code = code if code is Code.CONNECT_FAILED else Code.RESET
+        code = code if code is OutcomeCode.CONNECT_FAILED else OutcomeCode.RESET
     finally:
         if stream is not None:
             stream.close()  # also when the gateway is cancelled during a query
--- a/copperyard/interface.py
+++ b/copperyard/interface.py
@@ -19,7 +19,7 @@
     UNSAFE = 2
 
 
-class Code(IntEnum):
+class OutcomeCode(IntEnum):
     """How an attempt ended. Only FULL, CONNECT_FAILED and MOOT (dropped before it ran) prove that it never ran."""
 
     OK = 1
@@ -32,7 +32,7 @@
     MOOT = 8
 
 
-class NoteKind(IntEnum):
+class NoticeKind(IntEnum):
     """What a notice on a playing session reports: its delivered share, its rung, or the load of link or uplink."""
 
     SHARE = 1
@@ -62,18 +62,18 @@
 class ClassSettings:
     """One class of sessions.
 
-    `aim`: ns within which its answers should come; `scale`: factor on the rungs' rates; `seats`: most sessions of one
+    `answer_target`: ns within which its answers should come; `rate_scale`: factor on the rungs' rates; `seats`: most sessions of one
     title, 0 for no limit; `live`: viewers of a title share a stream.
     """
 
     name: str
-    aim: int
+    answer_target: int
     deadline: int
     worth: float
     effect: Effect
     floor: int
     top: int
-    scale: float
+    rate_scale: float
     seats: int
     live: bool
 
@@ -82,7 +82,7 @@
 class Settings:
     """What a front is given at its start. Optional rules are None where the deployment has none.
 
-    `turn` is this front's rank among `fronts` and the offset (ns) that, added to its clock, gives a clock
+    `rank_and_offset` is this front's rank among `fronts` and the offset (ns) that, added to its clock, gives a clock
     that all fronts share to within the connect timeout; None where there is none. Whoever sets it must also ask a
     server for its uptime before a set-up, unless it has just heard from it.
     """
@@ -96,14 +96,14 @@
     cells: int
     racks: int
     uplink_kb: float
-    weight_kb: float
+    kb_per_weight: float
     places_by_kind: tuple[int, ...]
-    full_from: float
-    join_adds: float
-    told_late: int
-    told_every: int
+    full_threshold: float
+    join_ratio: float
+    notice_delay: int
+    notice_interval: int
     shortfall_cost: float
-    switch_s: float
+    switch_cost_s: float
     max_attempts: int
     max_retry_after: int
     retry_after: bool
@@ -111,22 +111,22 @@
     cancelling: bool
     connect_timeout: int
     subscribe: bool
-    ask_every: int
-    cold_from: float
-    warm_within: int
+    list_poll_interval: int
+    cold_ratio: float
+    warm_up_time: int
     drain_grace: int
-    fall_multiple: float
-    fall: int
-    free_resends: float | None
-    further_ratio: float
-    ratio_span: int
+    cold_budget_multiple: float
+    cold_window: int
+    free_retries: float | None
+    retry_ratio: float
+    retry_window: int
     price_cross_zone: float
     price_late_fail: float
     price_move: float
     price_probe: float
     reports_in_answers: bool
     reports_uplink: bool
-    turn: tuple[int, int] | None = None
+    rank_and_offset: tuple[int, int] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class CarriedSession:
     """At the start only: a session that already plays at `server`, as attempt 0."""
 
     request: Request
@@ -184,17 +184,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A set-up succeeded and its session plays. `took`: ns."""
+class SessionOpened:
+    """A set-up succeeded and its session plays. `elapsed`: ns."""
 
     ref: int
     attempt: int
     server: int
-    took: int
+    elapsed: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class SessionNotice:
     """A notice on a playing session from its server."""
 
     ref: int
@@ -206,43 +206,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The end of an attempt; each attempt has exactly one. `over`: the request needs no further answer."""
+    """The end of an attempt; each attempt has exactly one. `answered`: the request needs no further answer."""
 
     ref: int
     attempt: int
     server: int
     code: int
-    took: int
-    over: bool
+    elapsed: int
+    answered: bool
     report: Report | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ViewerLeft:
     """The viewer left, or its answer is overdue: the request needs no answer any more."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class TimerDue:
     """A timer set by SetTimer is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeResult:
     """The end of one probe."""
 
     server: int
     code: int
-    took: int
+    elapsed: int
     report: Report | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class ZoneAllocation:
     """What zones agreed on for this front. `shares`: by class, (zone, share of its requests); the part missing to 1
     is refused at once. `caps`: by zone, the kB a second that its sessions may ask of servers there, None: no limit.
     """
@@ -251,20 +251,31 @@
     caps: tuple[float | None, ...]
 
 
-Event = ServerList | Request | Carried | Opened | Note | Outcome | Left | Wake | Probed | Ways
+Event = (
+    ServerList
+    | Request
+    | CarriedSession
+    | SessionOpened
+    | SessionNotice
+    | Outcome
+    | ViewerLeft
+    | TimerDue
+    | ProbeResult
+    | ZoneAllocation
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Set the session up at a server; the attempt times out at `not_past`."""
+    """Set the session up at a server; the attempt times out at `deadline`."""
 
     ref: int
     server: int
-    not_past: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rate:
+class SetRung:
     """Set the rung of a session, before it is sent or while it plays."""
 
     ref: int
@@ -317,7 +328,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class Subscribe:
     """Subscribe to the server list."""
 
     on: bool
@@ -330,4 +341,4 @@
     text: str
 
 
-Action = Send | Rate | Refuse | Fail | Cancel | Move | Probe | SetTimer | Watch | Log
+Action = Send | SetRung | Refuse | Fail | Cancel | Move | Probe | SetTimer | Subscribe | Log
--- a/copperyard/lab/audit.py
+++ b/copperyard/lab/audit.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..control.rules import FrontRules
-from ..control.settling import SETTLE_HEADER, SETTLED_HEADER, Answer
+from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER, SetupFate
 from ..interface import ClassSettings, Effect
 from ..protocol.rtsp import Connection, Event, Frame, Limits, Reply, Request, Response, Run, Unasked
 
@@ -188,7 +188,8 @@
         code = next((part[5:] for part in query.split("&") if part.startswith("code=")), "")
         path = "/" + path.split("/", 3)[-1]
         entry = next(
-            (e for e in self.rules.entries if path.startswith(e.prefix) and e.paid == bool(code)), self.rules.entries[0]
+            (e for e in self.rules.admission_rules if path.startswith(e.prefix) and e.paid == bool(code)),
+            self.rules.admission_rules[0],
         )
         return self.rules.settings.classes[entry.cls], code
 
@@ -370,17 +371,17 @@
         for (host, boot), (started, kind) in self.tap.host_starts.items():
             times = [t.time for t in self.attempts if t.connection.name == host and t.connection.boot == boot]
             for n, time in enumerate(times):
-                if not started or time - started >= s.warm_within:
+                if not started or time - started >= s.warm_up_time:
                     continue
-                recent = sum(1 for t in times[: n + 1] if t > time - s.fall)
-                warmth = s.cold_from + (1 - s.cold_from) * (time - started) / s.warm_within
-                capacity = s.fall_multiple * s.places_by_kind[kind] * warmth * s.fall / s.warm_within
+                recent = sum(1 for t in times[: n + 1] if t > time - s.cold_window)
+                warmth = s.cold_ratio + (1 - s.cold_ratio) * (time - started) / s.warm_up_time
+                capacity = s.cold_budget_multiple * s.places_by_kind[kind] * warmth * s.cold_window / s.warm_up_time
                 if recent > capacity + 1:
                     self._report(
                         4,
                         time,
                         "all",
-                        f"{host} got {recent} set-ups in {s.fall / 1e9:g} s, limit while cold: {capacity:.1f}",
+                        f"{host} got {recent} set-ups in {s.cold_window / 1e9:g} s, limit while cold: {capacity:.1f}",
                     )
 
     # ---- rule 5: floors and seats
@@ -409,7 +410,7 @@
 
     def _check_retry_budget(self) -> None:
         s = self.rules.settings
-        if s.free_resends is None:
+        if s.free_retries is None:
             return
         known_ids: set[str] = set()
         further: dict[str, list[int]] = defaultdict(list)
@@ -422,11 +423,11 @@
             taken[play_request.front].append(play_request.time)
         for front, times in further.items():
             for n, time in enumerate(times):
-                spent = sum(1 for t in times[: n + 1] if t > time - s.ratio_span + self.slack)
-                took = sum(1 for t in taken[front] if time - s.ratio_span - self.slack < t <= time + self.slack)
-                if spent > s.free_resends + s.further_ratio * took:
+                spent = sum(1 for t in times[: n + 1] if t > time - s.retry_window + self.slack)
+                took = sum(1 for t in taken[front] if time - s.retry_window - self.slack < t <= time + self.slack)
+                if spent > s.free_retries + s.retry_ratio * took:
                     self._report(
-                        6, time, front, f"{spent} further attempts in {s.ratio_span / 1e9:g} s for {took} requests"
+                        6, time, front, f"{spent} further attempts in {s.retry_window / 1e9:g} s for {took} requests"
                     )
 
 
@@ -436,7 +437,7 @@
     for time, outgoing, message in side.messages:
         if isinstance(message, Request) and not outgoing and message.header(SETTLE_HEADER):
             queried[message.header("CSeq") or ""] = message.header(SETTLE_HEADER) or ""
-        elif isinstance(message, Response) and outgoing and message.header(SETTLED_HEADER) == Answer.NEVER.value:
+        elif isinstance(message, Response) and outgoing and message.header(SETTLED_HEADER) == SetupFate.NEVER.value:
             yield time, queried.get(message.header("CSeq") or "", "")
 
 
--- a/copperyard/lab/baselines.py
+++ b/copperyard/lab/baselines.py
@@ -26,7 +26,7 @@
     def _place(self, now: int, session: Session) -> bool:
         if now >= session.deadline:
             return False
-        legal = [s for s in self._drawn(session) if self._may_send(now, session, s)]
+        legal = [s for s in self._draw_holders(session) if self._may_send(now, session, s)]
         chosen = self.choose(now, session, legal) if legal else None
         return self._send(now, session, *chosen) if chosen else False
 
@@ -38,7 +38,7 @@
     """A random holder, at the lowest permitted rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
-        return legal[0], session.kind.floor
+        return legal[0], session.session_class.floor
 
 
 class FewestOwnSessions(Baseline):
@@ -46,14 +46,14 @@
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
         one = min(legal[:2], key=lambda s: s.streams)
-        return one, max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
+        return one, max(session.session_class.floor, min(session.top, len(self.settings.rung_kb) // 2))
 
 
 class RandomMiddle(Baseline):
     """A random holder, at a middle rung."""
 
     def choose(self, now: int, session: Session, legal: list[Server]) -> tuple[Server, int] | None:
-        return legal[0], max(session.kind.floor, min(session.top, len(self.set.rung_kb) // 2))
+        return legal[0], max(session.session_class.floor, min(session.top, len(self.settings.rung_kb) // 2))
 
 
 class IgnoreColdHosts(RandomLowest):
@@ -83,12 +83,12 @@
         self.now = now
         return super().handle(now, event)
 
-    def _drawn(self, session: Session) -> Iterator[Server]:
-        for server in super()._drawn(session):
+    def _draw_holders(self, session: Session) -> Iterator[Server]:
+        for server in super()._draw_holders(session):
             seen = self.load_lookup(server.entry.server)
             if seen is not None:
-                server.link.learn(self.now, seen[0], self.now, False)
-                server.rack.learn(self.now, seen[1], self.now, False)
+                server.link.observe(self.now, seen[0], self.now, False)
+                server.rack.observe(self.now, seen[1], self.now, False)
                 yield server
 
 
@@ -119,9 +119,9 @@
         gateway = Gateway(station, network, seed, rng, self.fleet.log)
         kind = POLICIES[self.policy]
         if issubclass(kind, FullView):
-            gateway.core.plays.controller = kind(station.rules.settings, seed, self._load_lookup(gateway))
+            gateway.core.session_table.controller = kind(station.rules.settings, seed, self._load_lookup(gateway))
         else:
-            gateway.core.plays.controller = kind(station.rules.settings, seed)
+            gateway.core.session_table.controller = kind(station.rules.settings, seed)
         return gateway
 
     def _load_lookup(self, gateway: Gateway) -> LoadLookup:
--- a/copperyard/lab/emulator/model.py
+++ b/copperyard/lab/emulator/model.py
@@ -128,13 +128,13 @@
 
     def _add_demand(self, stream: Stream, sign: int) -> None:
         kind = self.settings.classes[stream.cls]
-        kb = self.true_kb[stream.rung] * kind.scale
+        kb = self.true_kb[stream.rung] * kind.rate_scale
         if kind.live:
             # viewers of the same live title, class and rung share a stream: each further one adds only a part
             key = (stream.cls, stream.title, stream.rung)
             n = self._live_viewers.get(key, 0) + (0 if sign > 0 else -1)
             self._live_viewers[key] = n + (1 if sign > 0 else 0)
-            kb *= 1.0 if n == 0 else self.settings.join_adds
+            kb *= 1.0 if n == 0 else self.settings.join_ratio
             if not self._live_viewers[key]:
                 del self._live_viewers[key]
         self._demand = max(0.0, self._demand + sign * kb)
@@ -146,7 +146,7 @@
         if not self.started:
             return 1.0
         s = self.settings
-        return min(1.0, s.cold_from + (1 - s.cold_from) * (now - self.started) / max(1, s.warm_within))
+        return min(1.0, s.cold_ratio + (1 - s.cold_ratio) * (now - self.started) / max(1, s.warm_up_time))
 
     def arrive(self, now: int) -> bool:
         """Record the arrival of a set-up. Return False if it makes the host fail.
@@ -156,10 +156,10 @@
         """
         s = self.settings
         self._arrivals.append(now)
-        while self._arrivals[0] <= now - s.fall:
+        while self._arrivals[0] <= now - s.cold_window:
             self._arrivals.popleft()
-        if self.started and now - self.started < s.warm_within:
-            capacity = s.fall_multiple * self.spec.places * self.warmth(now) * s.fall / s.warm_within
+        if self.started and now - self.started < s.warm_up_time:
+            capacity = s.cold_budget_multiple * self.spec.places * self.warmth(now) * s.cold_window / s.warm_up_time
             if len(self._arrivals) > capacity + 1:
                 self.fallen = True
                 return False
@@ -179,9 +179,9 @@
         return ticket
 
     def has_room(self) -> bool:
-        """Whether the host accepts another session: a place is free and the link's load is below `full_from`."""
+        """Whether the host accepts another session: a place is free and the link's load is below `full_threshold`."""
         s = self.settings
-        full = s.full_from > 0 and self.load() >= s.full_from
+        full = s.full_threshold > 0 and self.load() >= s.full_threshold
         return not full and len(self.streams) < self.spec.places
 
     # ---- sessions
@@ -208,7 +208,7 @@
         stream.rung = rung
         if stream.playing:
             stream.rungs.append(rung)
-            stream.worth_s -= self.settings.switch_s * self.settings.rung_worth[rung]
+            stream.worth_s -= self.settings.switch_cost_s * self.settings.rung_worth[rung]
             self._add_demand(stream, 1)
 
     def close(self, now: int, stream: Stream) -> None:
--- a/copperyard/lab/host.py
+++ b/copperyard/lab/host.py
@@ -9,12 +9,12 @@
 import trio
 from trio import TaskStatus
 
-from ..control.attempt import FEATURE
+from ..control.attempt import HOST_FEATURE
 from ..control.catalogue import Catalogue
-from ..control.evidence import REPORT_HEADER, UP_HEADER, encode_report, encode_up, note_app
-from ..control.settling import SETTLE_HEADER, SETTLED_HEADER, Answer
-from ..gateway.net import CLOSED, Listener, Network, Signal, Stream, now
-from ..interface import NoteKind, Report
+from ..control.host_reports import HOST_UP_HEADER, LOAD_REPORT_HEADER, encode_host_up, encode_note, encode_report
+from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER, SetupFate
+from ..gateway.net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream, now
+from ..interface import NoticeKind, Report
 from ..protocol.rtp import Bye, Packet, SenderReport, encode_compound, pack
 from ..protocol.rtsp import Connection, Limits, Request, Response
 from ..protocol.rtsp.headers import RtpInfo, parse_range, parse_session, parse_transport, parse_url
@@ -173,7 +173,7 @@
 
     async def _send_notes(self) -> None:
         """Once a second, send at most one note of each kind to each front, on one of its sessions."""
-        ticks, interval = 0, max(1, self.settings.told_every)
+        ticks, interval = 0, max(1, self.settings.notice_interval)
         while True:
             await trio.sleep(SAMPLE_INTERVAL / SECOND)
             time = now()
@@ -182,10 +182,10 @@
             if ticks % 10:
                 continue
             load_due = (
-                self.settings.told_every > 0
+                self.settings.notice_interval > 0
                 and (ticks * SAMPLE_INTERVAL) // interval != (ticks - 10) * SAMPLE_INTERVAL // interval
             )
-            share = self.model.reported_share(time, self.settings.told_late)
+            share = self.model.reported_share(time, self.settings.notice_delay)
             session_by_front: dict[str, HostSession] = {}
             for session in self.sessions.values():
                 self.model.account(time, session.stream)
@@ -195,16 +195,16 @@
             for front, session in session_by_front.items():
                 short = share < 0.98
                 if short or self._shortfall_reported.get(front):
-                    self._send_note(session, NoteKind.SHARE, share)
+                    self._send_note(session, NoticeKind.SHARE, share)
                 self._shortfall_reported[front] = short
                 if load_due:
-                    self._send_note(session, NoteKind.LINK, link)
-                    self._send_note(session, NoteKind.UPLINK, uplink)
+                    self._send_note(session, NoticeKind.LINK, link)
+                    self._send_note(session, NoticeKind.UPLINK, uplink)
 
-    def _send_note(self, session: HostSession, kind: NoteKind, value: float) -> None:
+    def _send_note(self, session: HostSession, kind: NoticeKind, value: float) -> None:
         writer = self.writers.get(session.id)
         if writer is not None and not self.faults.vanished and not self.model.paused:
-            app = note_app(session.ssrc[0], kind, value)
+            app = encode_note(session.ssrc[0], kind, value)
             writer.frame(session.channels[0] + 1, encode_compound([app], session.ssrc[0]))
 
     # ---- connections
@@ -216,7 +216,7 @@
         writer = _Writer(stream, tapped)
         own_sessions: dict[str, HostSession] = {}
         requests: deque[Request] = deque()
-        wake = Signal()
+        wake = AutoResetEvent()
         self._streams[stream] = None
         try:
             async with trio.open_nursery() as nursery:
@@ -238,7 +238,7 @@
                             requests.append(event)
                             wake.set()
                 nursery.cancel_scope.cancel()
-        except* CLOSED:
+        except* CONNECTION_ERRORS:
             pass
         finally:
             tapped.ended(now())
@@ -252,7 +252,7 @@
     async def _process_requests(
         self,
         requests: deque[Request],
-        wake: Signal,
+        wake: AutoResetEvent,
         writer: _Writer,
         own_sessions: dict[str, HostSession],
         nursery: trio.Nursery,
@@ -276,8 +276,8 @@
         if not lost:
             age = now() - self.model.started if self.model.started else None
             load: Headers = (
-                (REPORT_HEADER, encode_report(Report(*self.model.report(now())))),
-                (UP_HEADER, encode_up(str(self.boot), age)),
+                (LOAD_REPORT_HEADER, encode_report(Report(*self.model.report(now())))),
+                (HOST_UP_HEADER, encode_host_up(str(self.boot), age)),
             )
             writer.put(
                 Connection.answer(
@@ -330,17 +330,17 @@
     def _settle(self, request: str) -> str:
         """Return the outcome of a set-up. One that has not run here is cancelled, so that it never will."""
         if request in self.setups_in_progress:
-            return Answer.RUNNING.value
+            return SetupFate.RUNNING.value
         receipt = self.redemption.receipts_by_request.get(request)
         if receipt is not None:
-            return f"{Answer.REDEEMED.value}; receipt={receipt}"
+            return f"{SetupFate.REDEEMED.value}; receipt={receipt}"
         self.cancelled_requests.add(request)
-        return Answer.NEVER.value
+        return SetupFate.NEVER.value
 
     async def _set_up(
         self, request: Request, writer: _Writer, own_sessions: dict[str, HostSession]
     ) -> tuple[Response, bool]:
-        if request.header("Require") != FEATURE:
+        if request.header("Require") != HOST_FEATURE:
             return Response(551, (("Unsupported", request.header("Require") or ""),)), False
         s, faults, model = self.settings, self.faults, self.model
         title = self.catalogue.find(parse_url(request.uri).path)
@@ -433,7 +433,7 @@
         for n, track in enumerate(session.tracks):
             if track == 1:
                 kind = self.settings.classes[session.stream.cls]
-                kb = self.model.true_kb[session.stream.rung] * kind.scale
+                kb = self.model.true_kb[session.stream.rung] * kind.rate_scale
                 size = int(kb * 1000 * self.scale * FRAME_INTERVAL / SECOND)
                 parts = fragments(*picture(max(64, size), session.frame_index % 4))
                 for k, part in enumerate(parts):
@@ -462,7 +462,7 @@
     def __init__(self, stream: Stream, tapped: Side) -> None:
         self._stream, self._tapped = stream, tapped
         self._buffer = bytearray()
-        self._wake = Signal()
+        self._wake = AutoResetEvent()
 
     def put(self, data: bytes) -> None:
         """Queue bytes, whatever the buffer's size."""
--- a/copperyard/lab/listservice.py
+++ b/copperyard/lab/listservice.py
@@ -10,7 +10,7 @@
 import trio
 from trio import TaskStatus
 
-from ..gateway.net import CLOSED, Listener, Network, Stream, now
+from ..gateway.net import CONNECTION_ERRORS, Listener, Network, Stream, now
 from .audit import Tap
 from .host import StandIn
 
@@ -100,7 +100,7 @@
                     return
                 elif wire.our_state is h11.DONE and wire.their_state is h11.DONE:
                     wire.start_next_cycle()
-        except (*CLOSED, h11.RemoteProtocolError):
+        except (*CONNECTION_ERRORS, h11.RemoteProtocolError):
             return
         finally:
             self._streams.pop(stream, None)
--- a/copperyard/lab/memdisk.py
+++ b/copperyard/lab/memdisk.py
@@ -10,7 +10,7 @@
 
 from ..gateway.disk import LockedError
 from ..gateway.net import now
-from ..state.book import Append, Create, Remove, Rename, Step
+from ..state.journal_writer import Append, Create, Remove, Rename, Step
 
 
 @dataclass(slots=True)
--- a/copperyard/lab/memnet.py
+++ b/copperyard/lab/memnet.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from ..gateway.net import Signal
+from ..gateway.net import AutoResetEvent
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
         self.last_arrival = 0.0  # when the newest byte arrives; bytes stay in order
         self.ended = self.broken = False
         self.broken_by_network = False  # rather than by either end
-        self.readable, self.writable = Signal(), Signal()
+        self.readable, self.writable = AutoResetEvent(), AutoResetEvent()
 
     def room(self) -> int:
         """Return the free bytes of the window."""
@@ -172,7 +172,7 @@
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         self.address, self._network = address, network
         self._queue: deque[MemoryStream] = deque()
-        self._ready = Signal()
+        self._ready = AutoResetEvent()
         self._closed = False
 
     async def accept(self) -> MemoryStream:
--- a/copperyard/lab/run.py
+++ b/copperyard/lab/run.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..config import Site
-from ..control.rules import Entry
+from ..control.rules import AdmissionRule
 from ..gateway.net import Network
 from ..interface import ClassSettings
 from ..protocol.rtsp import Request
@@ -172,8 +172,8 @@
 
 def class_of(site: Site, visit: Visit) -> ClassSettings:
     """Return the class that a visit belongs to."""
-    matching: list[Entry] = [
-        e for e in site.rules.entries if visit.title.startswith(e.prefix) and e.paid == bool(visit.code)
+    matching: list[AdmissionRule] = [
+        e for e in site.rules.admission_rules if visit.title.startswith(e.prefix) and e.paid == bool(visit.code)
     ]
     return site.rules.settings.classes[matching[0].cls if matching else 0]
 
@@ -200,7 +200,7 @@
         if not counts_for_service(visit):
             continue
         visit.worth_asked = cls.worth
-        visit.in_time = visit.played_after is not None and visit.played_after <= cls.aim
+        visit.in_time = visit.played_after is not None and visit.played_after <= cls.answer_target
         played = sum(s.worth_s for s in streams) / max(0.2, visit.watch)
         visit.worth = cls.worth * max(0.0, min(1.0, played)) if visit.in_time else 0.0
 
--- a/copperyard/lab/sites/evening.py
+++ b/copperyard/lab/sites/evening.py
@@ -166,7 +166,7 @@
                 for stream in host.model.streams:
                     home = self.zone_of.get(stream.front.split(".")[0])
                     if home is not None and stream.playing:
-                        asked[home][host.zone] += rates[stream.rung] * classes[stream.cls].scale
+                        asked[home][host.zone] += rates[stream.rung] * classes[stream.cls].rate_scale
             self.samples.append(Sample(trio.current_time() - self.begin, asked))
             await trio.sleep(SAMPLE_INTERVAL)
 
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -29,15 +29,15 @@
 import trio
 
 from ...config import Site, load
-from ...control.common import Common
+from ...control.coordinator import Coordinator
 from ...control.zones.facts import Gauge
-from ...control.zones.plan import HostsOf, Summary, Terms
+from ...control.zones.plan import FrontSummary, Terms, ZoneHosts
 from ...decide import Controller
 from ...gateway.net import Listener, Network, Stream, TcpNetwork, now
-from ...gateway.peers.neighbours import Neighbours
-from ...gateway.peers.place import neighbourhood
-from ...interface import Ways
-from ...protocol.peers import BadFrame, Reader, read_hello
+from ...gateway.peers.place import peer_settings
+from ...gateway.peers.service import PeerService
+from ...interface import ZoneAllocation
+from ...protocol.peers import FrameError, FrameReader, parse_hello
 
 # s between lines of notes and counts, and between measurements of how late this process runs
 REPORT_INTERVAL, LAG_CHECK_INTERVAL = 1.0, 0.5
@@ -107,15 +107,15 @@
 
     def __init__(self, network: CountingNetwork, inner: Stream, name: str | None) -> None:
         self._network, self._inner, self.name, self.peer = network, inner, name, inner.peer
-        self._reader = Reader()
+        self._reader = FrameReader()
 
     def _identify(self, data: bytes) -> None:
         """Reads the peer's name from its hello. OSError if that peer is behind a cut."""
         try:
             for body in self._reader.receive(data):
-                self.name = read_hello(body).sender
+                self.name = parse_hello(body).sender
                 break
-        except BadFrame:
+        except FrameError:
             self.name = ""  # the links report what is wrong with it
         if self.name in self._network.refused:
             raise OSError("cut")
@@ -180,22 +180,22 @@
         super().__init__(name, life, terms.zones, lengths, terms, now())
         self.zone, self.zone_capacity, self.phase, self.lost_zones = zone, zone_capacity, phase, lost_zones
 
-    def summary(self, now: int, controller: Controller, epoch: int) -> Summary:
+    def summary(self, now: int, controller: Controller, epoch: int) -> FrontSummary:
         """The report at `now`. `controller` is not used."""
         self._number += 1
         wave = 1.0 + DEMAND_WAVE_RATIO * math.sin(2 * math.pi * (now / 1e9 / DEMAND_WAVE_PERIOD_S + self.phase))
         asked = DEMAND_RATIO * self.zone_capacity[self.zone][0] / max(1, self.terms.fronts[self.zone]) * wave
         parts = len(self.terms.loads)
-        return Summary(
+        return FrontSummary(
             self.name,
             self.life,
             self._number,
             epoch,
             (asked / parts,) * parts,
             tuple(
-                HostsOf(0.0, 0.0, 0, 0, 0, 0)
+                ZoneHosts(0.0, 0.0, 0, 0, 0, 0)
                 if z in self.lost_zones
-                else HostsOf(room, room * DEMAND_RATIO, hosts, 0, 0, 0)
+                else ZoneHosts(room, room * DEMAND_RATIO, hosts, 0, 0, 0)
                 for z, (room, hosts) in enumerate(self.zone_capacity)
             ),
         )
@@ -223,8 +223,8 @@
             group.lost_zones,
         )
         nobody: Any = SimpleNamespace(sessions={}, servers={})
-        self.neighbours = Neighbours(
-            neighbourhood(plan, name, group.folder, False),
+        self.neighbours = PeerService(
+            peer_settings(plan, name, group.folder, False),
             gauge,
             lambda: nobody,
             self.network,
@@ -252,7 +252,7 @@
         finally:
             self.ended.set()
 
-    def _ignore_allocation(self, ways: Ways) -> None:
+    def _ignore_allocation(self, ways: ZoneAllocation) -> None:
         pass  # there are no viewers to route
 
     def _log(self, event: str, fields: Mapping[str, str | int]) -> None:
@@ -277,11 +277,11 @@
     return hashlib.sha256(json.dumps(same).encode()).hexdigest()[:16]
 
 
-def state_counts(common: Common) -> dict[str, int]:
+def state_counts(common: Coordinator) -> dict[str, int]:
     """Counts of the state that a gateway holds."""
     return {
         "members": len(common.members.members),
-        "reports": len(common.facts.known),
+        "reports": len(common.cell_reports.known),
         "plan": common.plan.epoch if common.plan is not None else 0,
     }
 
@@ -365,11 +365,11 @@
                 {
                     "state": {
                         name: {
-                            **state_counts(one.neighbours.common),
+                            **state_counts(one.neighbours.coordinator),
                             "links": len(one.network.open_streams),
                             "most": one.network.max_open,
                             "frames": one.neighbours.links.written,
-                            "heard": one.neighbours.links.taken,
+                            "heard": one.neighbours.links.received,
                             "dropped": one.neighbours.links.dropped,
                         }
                         for name, one in self.gateways.items()
--- a/copperyard/lab/sites/relay.py
+++ b/copperyard/lab/sites/relay.py
@@ -18,7 +18,7 @@
 import trio
 from trio import TaskStatus
 
-from ...gateway.net import CLOSED, Listener, Network, Signal, Stream
+from ...gateway.net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream
 
 READ_BYTES = 65536
 WINDOW_BYTES = 1 << 20  # bytes in transit in one direction of one connection
@@ -112,7 +112,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._pump, there, near, far, nursery.cancel_scope)
                 nursery.start_soon(self._pump, back, far, near, nursery.cancel_scope)
-        except CLOSED:
+        except CONNECTION_ERRORS:
             pass
         finally:
             near.close()
@@ -122,7 +122,7 @@
     async def _pump(self, way: LinkDirection, source: Stream, sink: Stream, scope: trio.CancelScope) -> None:
         waiting: deque[tuple[float, bytes]] = deque()
         size = 0
-        came, room = Signal(), Signal()
+        came, room = AutoResetEvent(), AutoResetEvent()
 
         async def write() -> None:
             nonlocal size
@@ -150,7 +150,7 @@
         async def guarded() -> None:
             try:
                 await write()
-            except CLOSED:
+            except CONNECTION_ERRORS:
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
@@ -171,7 +171,7 @@
                         break
                     while size > WINDOW_BYTES:
                         await room.wait()
-            except CLOSED:
+            except CONNECTION_ERRORS:
                 scope.cancel()
 
 
--- a/copperyard/lab/sites/shelf.py
+++ b/copperyard/lab/sites/shelf.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from ...gateway.disk import LockedError
-from ...state.agreement.records import Damaged
+from ...state.agreement.log_store import DamagedStoreError
 
 
 class Plate:
@@ -48,14 +48,14 @@
         self.plate.torn.clear()
         for number, (body, check) in enumerate(self.plate.rows):
             if self.plate.check(number, body) != check:
-                raise Damaged(f"record {number + 1} has a wrong checksum")
+                raise DamagedStoreError(f"record {number + 1} has a wrong checksum")
         return [body for body, _ in self.plate.rows]
 
     async def append(self, records: Sequence[bytes]) -> None:
         """Appends records. OSError if the disk is full."""
         await self._write(records, self.plate.rows)
 
-    async def renew(self, records: Sequence[bytes]) -> None:
+    async def replace_all(self, records: Sequence[bytes]) -> None:
         """Replaces all records. OSError if the disk is full."""
         await self._write(records, [])
 
--- a/copperyard/lab/sites/simulated.py
+++ b/copperyard/lab/sites/simulated.py
@@ -14,15 +14,25 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...control.common import Act, Common, CommonPlace, Done, Durable, Immediate, Note, Send, Write
+from ...control.coordinator import (
+    ApplyZoneAllocation,
+    Coordinator,
+    CoordinatorConfig,
+    Durable,
+    Immediate,
+    LogLine,
+    NotifyApplied,
+    Send,
+    Write,
+)
 from ...control.zones.facts import Gauge
-from ...control.zones.plan import Plan, Standing, Terms
-from ...interface import Ways
+from ...control.zones.plan import Plan, Terms, ZoneStatus
+from ...interface import ZoneAllocation
 from ...membership.gateways.cells import CellMap
-from ...membership.gateways.members import Changed, Members, Pace, Say, Stood
-from ...membership.gateways.messages import Life
-from ...state.agreement.council import Council, Kept
+from ...membership.gateways.members import Membership, ProbeTiming, SendMessage, Stalled, StateChanged
+from ...membership.gateways.messages import MemberState
 from ...state.agreement.messages import Record
+from ...state.agreement.replica import PersistentState, Replica
 from .events import Events, Manner
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -64,16 +74,16 @@
         place = site.place(name)
         gauge = Gauge(name, start, site.zones, (20 * SECOND,), site.terms, now)
         shown: Any = self
-        self.core = Common(
+        self.core = Coordinator(
             place,
             gauge,
             lambda: shown,
-            Kept.read(store) if name in place.voters else None,
+            PersistentState.read(store) if name in place.voters else None,
             site.seed * 1009 + start,
             now,
             start,
         )
-        self.ways: Ways | None = None
+        self.ways: ZoneAllocation | None = None
         self.notes: deque[tuple[int, str, dict[str, str | int]]] = deque(maxlen=site.notes)
         self.cost = site.tallies.get(name) if site.tallies is not None else None
 
@@ -117,17 +127,17 @@
         """Performs the pending actions; returns (receiver, message) pairs to send."""
         begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
         out: list[tuple[str, Any]] = []
-        for action in self.core.take():
+        for action in self.core.take_actions():
             self._perform(action, out)
-        while durable := self.core.take_durable():
+        while durable := self.core.take_durable_actions():
             for step in durable:
                 if isinstance(step, Write):
-                    if step.anew:
+                    if step.replace_all:
                         self.store.clear()
                     self.store.extend(step.records)
-                elif isinstance(step, Done):
+                elif isinstance(step, NotifyApplied):
                     self.core.applied(now, step.order)
-                    for one in self.core.take():
+                    for one in self.core.take_actions():
                         self._perform(one, out)
                 else:
                     self._perform(step, out)
@@ -138,10 +148,10 @@
     def _perform(self, action: Immediate | Durable, out: list[tuple[str, Any]]) -> None:
         if isinstance(action, Send):
             out.append((action.to, action.message))
-        elif isinstance(action, Act):
-            self.site.allow(self, action.ways)
+        elif isinstance(action, ApplyZoneAllocation):
+            self.site.allow(self, action.allocation)
         else:
-            assert isinstance(action, Note)
+            assert isinstance(action, LogLine)
             if self.site.notes:
                 self.notes.append((self.site.net.now, action.event, dict(action.fields)))
             if action.event == "plan":
@@ -192,13 +202,13 @@
         self.roster = {f"g{z}-{n}": z for z in range(zones) for n in range(self.sizes[z])}
         self.voters = voters or (("g0-0", "g2-0", "g4-0") if zones > 4 else ("g0-0", "g1-0", "g2-0"))
         self.cells = CellMap(self.roster, zones)
-        self._places: dict[str, CommonPlace] = {}
+        self._places: dict[str, CoordinatorConfig] = {}
         self.zone_names = tuple(f"z{z}" for z in range(zones))
         self.rooms = [room] * zones
         self.demand = [asked] * zones
         self.notes = notes
         self.tallies = {name: Tally() for name in self.roster} if measured else None
-        self.noted: Callable[[Front, Note], None] | None = None
+        self.noted: Callable[[Front, LogLine], None] | None = None
         self.net = Events(seed, manner or Manner(delay=(1 * MS, 30 * MS)))
         self.stores: dict[str, list[Record]] = {name: [] for name in self.roster}
         self.starts = 0
@@ -216,11 +226,13 @@
         for name in self.roster if begin else ():
             self.start(name)
 
-    def place(self, name: str) -> CommonPlace:
+    def place(self, name: str) -> CoordinatorConfig:
         """What a gateway knows from its settings, derived in the same way as in the product."""
         found = self._places.get(name)
         if found is None:
-            found = self._places[name] = CommonPlace.of(name, self.cells, self.zone_names, self.voters, self.terms)
+            found = self._places[name] = CoordinatorConfig.of(
+                name, self.cells, self.zone_names, self.voters, self.terms
+            )
         return found
 
     def time(self, name: str) -> int:
@@ -259,8 +271,8 @@
         for name in self.voters:
             if name in self.net.nodes:
                 council = self.front(name).core.council
-                assert isinstance(council, Council)
-                if council.lease(self.time(name)):
+                assert isinstance(council, Replica)
+                if council.holds_lease(self.time(name)):
                     return name
         return None
 
@@ -281,9 +293,9 @@
                 {
                     z: SimpleNamespace(
                         gone=False,
-                        bad=0.0,
+                        failure_rate=0.0,
                         entry=SimpleNamespace(zone=z),
-                        link=SimpleNamespace(cap=room, load=lambda now: 0.5),
+                        link=SimpleNamespace(capacity_kb=room, load=lambda now: 0.5),
                     )
                     for z, room in enumerate(rooms)
                     if room > 0
@@ -295,7 +307,7 @@
         """The sessions of one gateway of a zone: the demand of the zone, split evenly over its running gateways."""
         count = round(self.demand[zone] / RATE / self.living(zone))
         if count not in self._sessions:
-            one = SimpleNamespace(r=SimpleNamespace(cls=0))
+            one = SimpleNamespace(request=SimpleNamespace(cls=0))
             self._sessions[count] = dict.fromkeys(range(count), one)
         return self._sessions[count]
 
@@ -307,7 +319,10 @@
         if known is plan:
             self.committed.append((self.net.now, plan))
             self._free.append(
-                (self.net.now, tuple(max(0.0, zone.room * zone.part - zone.own - zone.reserve) for zone in plan.zones))
+                (
+                    self.net.now,
+                    tuple(max(0.0, zone.room * zone.usable_ratio - zone.own - zone.reserve) for zone in plan.zones),
+                )
             )
         elif known != plan:
             raise Broken(f"two plans of epoch {plan.epoch}")
@@ -319,7 +334,7 @@
         self._living[self.roster[name]] -= 1
         self._add_caps(core, -1)
 
-    def allow(self, front: Front, ways: Ways) -> None:
+    def allow(self, front: Front, ways: ZoneAllocation) -> None:
         """Sets what a front may do from now on."""
         before = front.ways
         self._add_caps(front, -1)
@@ -356,11 +371,11 @@
 
     def strengths(self, names: Iterable[str]) -> list[float]:
         """The strength of the given gateways that run."""
-        return [self.front(name).core.book.strength(self.time(name)) for name in names if name in self.net.nodes]
+        return [self.front(name).core.active_plan.strength(self.time(name)) for name in names if name in self.net.nodes]
 
-    def standing(self, z: int) -> Standing | None:
+    def standing(self, z: int) -> ZoneStatus | None:
         """The standing of a zone in the newest plan."""
-        return max(self.plans.items())[1].zones[z].standing if self.plans else None
+        return max(self.plans.items())[1].zones[z].status if self.plans else None
 
 
 class MembershipNode:
@@ -368,11 +383,11 @@
 
     def __init__(self, world: World, name: str, incarnation: int) -> None:
         self.fleet, self.name = world, name
-        self.core = Members(
+        self.core = Membership(
             name,
             world.roster,
             world.zones,
-            Pace(),
+            ProbeTiming(),
             world.seed * 7919 + name_hash(name) + incarnation,
             world.net.now,
             incarnation,
@@ -393,13 +408,13 @@
     def collect(self, now: int) -> list[tuple[str, Any]]:
         """Records state changes; returns (receiver, message) pairs to send."""
         out: list[tuple[str, Any]] = []
-        for action in self.core.take():
-            if isinstance(action, Say):
+        for action in self.core.take_actions():
+            if isinstance(action, SendMessage):
                 out.append((action.to, action.message))
-            elif isinstance(action, Changed):
-                self.fleet.changes.append((self.fleet.net.now, self.name, action.name, action.life))
+            elif isinstance(action, StateChanged):
+                self.fleet.changes.append((self.fleet.net.now, self.name, action.name, action.state))
             else:
-                assert isinstance(action, Stood)
+                assert isinstance(action, Stalled)
         return out
 
 
@@ -418,7 +433,7 @@
         self.seed, self.zones = seed, zones
         self.roster = {f"g{n}": n % zones for n in range(gateways)}
         self.net = Events(seed, manner or Manner(delay=(1 * MS, 20 * MS)))
-        self.changes: list[tuple[int, str, str, Life]] = []
+        self.changes: list[tuple[int, str, str, MemberState]] = []
         for name in self.roster:
             self.start(name, 1000)
 
@@ -426,7 +441,7 @@
         """Starts or restarts a gateway."""
         self.net.add(name, MembershipNode(self, name, incarnation))
 
-    def core(self, name: str) -> Members:
+    def core(self, name: str) -> Membership:
         """The membership state machine of a running gateway."""
         found = self.net.nodes[name].core
         assert isinstance(found, MembershipNode)
@@ -442,8 +457,8 @@
 
     def deaths(self, since: int = 0) -> list[tuple[int, str, str]]:
         """(time, observer, member) for each member held for dead since a time, ns."""
-        return [(at, who, whom) for at, who, whom, life in self.changes if life is Life.DEAD and at >= since]
+        return [(at, who, whom) for at, who, whom, life in self.changes if life is MemberState.DEAD and at >= since]
 
-    def all_hold(self, name: str, life: Life) -> bool:
+    def all_hold(self, name: str, life: MemberState) -> bool:
         """Whether all other running gateways hold a member in that state."""
-        return all(self.core(x).members[name].life is life for x in self.net.nodes if x != name)
+        return all(self.core(x).members[name].state is life for x in self.net.nodes if x != name)
--- a/copperyard/lab/viewers.py
+++ b/copperyard/lab/viewers.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ..gateway.net import CLOSED, Network, Stream, now
+from ..gateway.net import CONNECTION_ERRORS, Network, Stream, now
 from ..protocol import sdp
 from ..protocol.rtp import Bye, parse, parse_compound
 from ..protocol.rtsp import Connection, Frame, Limits, Malformed, Reply, Response
@@ -175,7 +175,7 @@
                 return await self._play_title(client, watch)
             self.visit.ended = "gave up"
             return None
-        except (Broken, *CLOSED) as error:
+        except (Broken, *CONNECTION_ERRORS) as error:
             if not client.side.ended_at:
                 client.side.ended(now(), bool(getattr(client.stream, "broken_by_network", False)))
             self.visit.ended = f"broken: {error}"
@@ -220,7 +220,7 @@
             broken: Exception | None = None
             try:
                 answer = await client.wait_response(cseq)
-            except (Broken, *CLOSED) as error:
+            except (Broken, *CONNECTION_ERRORS) as error:
                 broken = error
             nursery.cancel_scope.cancel()
         if broken is not None:
@@ -258,7 +258,7 @@
         if second is not None:
             try:
                 await self._resend_code(second, url)
-            except (Broken, *CLOSED):
+            except (Broken, *CONNECTION_ERRORS):
                 second.side.ended(now(), bool(getattr(second.stream, "broken_by_network", False)))
             finally:
                 second.close()
--- a/copperyard/lab/world.py
+++ b/copperyard/lab/world.py
@@ -194,11 +194,11 @@
         if one.gateway is None:
             continue
         core, gateway = one.gateway.core, one.gateway
-        module = core.plays.controller
+        module = core.session_table.controller
         for what, held in (
-            ("session requests", core.plays.plays),
-            ("sessions", core.visits.sessions),
-            ("viewer connections", core.visits.visitors),
+            ("session requests", core.session_table.requests),
+            ("sessions", core.rtsp_server.sessions),
+            ("viewer connections", core.rtsp_server.connections),
             ("host connections", gateway._links),
             ("module sessions", module.sessions),
             ("module holds", module.held),
@@ -206,9 +206,9 @@
         ):
             if held:
                 found.append(f"{one.name}: {len(held)} {what} left")
-        if core.plays.waiting:
-            found.append(f"{one.name}: {core.plays.waiting} session requests still counted as waiting")
-        if any(code.ref is not None for code in core.plays.codes._codes.values()):
+        if core.session_table.unanswered:
+            found.append(f"{one.name}: {core.session_table.unanswered} session requests still counted as waiting")
+        if any(code.ref is not None for code in core.session_table.codes._codes.values()):
             found.append(f"{one.name}: a code is still bound to a request")
         if any(server.streams or server.buckets for server in module.servers.values()):
             found.append(f"{one.name}: the module's ledger still holds streams")
--- a/copperyard/membership/gateways/members.py
+++ b/copperyard/membership/gateways/members.py
@@ -19,7 +19,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from .messages import Ack, GossipUpdate, Life, Look, Message, Nothing, Ping
+from .messages import Ack, GossipUpdate, MemberState, Message, Nack, Ping, PingRequest
 from .reachability import Reachability
 
 SECOND = 1_000_000_000
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ProbeTiming:
     """Times in ns: the probe period, and how long an answer may take before indirect probes are requested."""
 
     period: int = SECOND
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Action: send a message to a gateway; it may be lost."""
 
     to: str
@@ -57,22 +57,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class StateChanged:
     """Action: the state of a member changed. `first_hand`: this gateway detected it itself."""
 
     name: str
-    life: Life
+    state: MemberState
     first_hand: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class Stalled:
     """Action: this process stalled for `ns`: its probes of that time prove nothing."""
 
     ns: int
 
 
-Action = Say | Changed | Stood
+Action = SendMessage | StateChanged | Stalled
 
 
 @dataclass(slots=True)
@@ -81,7 +81,7 @@
 
     name: str
     zone: int
-    life: Life = Life.ALIVE
+    state: MemberState = MemberState.ALIVE
     incarnation: int = 0
     state_since: int = 0
     suspicion_ends_at: int = 0
@@ -110,7 +110,7 @@
     deadline: int
 
 
-class Members:
+class Membership:
     """One gateway's view of the membership.
 
     `roster` maps the gateways that it knows, including itself, to their zones: its cell and its contacts (cells.py).
@@ -124,7 +124,7 @@
         me: str,
         roster: Mapping[str, int],
         zones: int,
-        pace: Pace,
+        pace: ProbeTiming,
         seed: int,
         now: int,
         incarnation: int,
@@ -154,14 +154,14 @@
 
     # ---- interface
 
-    def take(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         """Return the pending actions in order and clear them."""
         out, self._actions = self._actions, []
         return out
 
     def living(self) -> list[str]:
         """Return the sorted names of alive and suspect members and this gateway."""
-        return sorted([self.me, *(m.name for m in self.members.values() if m.life <= Life.SUSPECT)])
+        return sorted([self.me, *(m.name for m in self.members.values() if m.state <= MemberState.SUSPECT)])
 
     def cut_off(self, now: int) -> bool:
         """Whether this gateway, perhaps with its zone, is isolated, by its own observations alone: nothing was heard
@@ -184,7 +184,7 @@
     def probe_soon(self, name: str) -> None:
         """Probe a gateway soon because of some other sign that it may be dead."""
         member = self.members.get(name)
-        if member is not None and member.life is not Life.DEAD and name not in self._urgent_targets:
+        if member is not None and member.state is not MemberState.DEAD and name not in self._urgent_targets:
             self._urgent_targets.append(name)
 
     def disseminate_now(self, now: int, names: Sequence[str], subject: str) -> None:
@@ -197,7 +197,7 @@
         """Announce a planned end to some members at once; they tell the others."""
         self.leaving = True
         self._queue_update(self.me)
-        living = [m.name for m in self.members.values() if m.life is Life.ALIVE]
+        living = [m.name for m in self.members.values() if m.state is MemberState.ALIVE]
         for name in self.random.sample(living, min(len(living), INDIRECT_PROBES * 2)):
             self._probe(now, name)
 
@@ -217,12 +217,12 @@
         for number, request in list(self._indirect_probes.items()):
             if request.nack_at and now >= request.nack_at:
                 request.nack_at = 0
-                self._send(request.requester, Nothing(request.number))
+                self._send(request.requester, Nack(request.number))
             if now >= request.deadline:
                 del self._indirect_probes[number]
         for member in list(self._suspects.values()):
             if now >= member.suspicion_ends_at:
-                self._set_state(now, member, Life.DEAD, member.incarnation, self.me)
+                self._set_state(now, member, MemberState.DEAD, member.incarnation, self.me)
         if now >= self._next_period_at and not self.leaving:
             self._next_period_at = now + self._scaled(self.pace.period)
             self._urgent_left = MAX_URGENT_PROBES
@@ -235,7 +235,7 @@
         """Handle a stall of this process: missing answers prove nothing about the others then, so the local health
         multiplier grows and each suspicion is extended by the time of the stall.
         """
-        self._actions.append(Stood(stall))
+        self._actions.append(Stalled(stall))
         self.stalled_at = now
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 2)
         self._probes.clear()
@@ -257,13 +257,13 @@
     def _next_target(self) -> str | None:
         """Return the next member to probe: in random order, each once before any is probed again."""
         if self._period_count % DEAD_PROBE_PERIODS == 0:
-            dead = [m.name for m in self.members.values() if m.life > Life.SUSPECT]
+            dead = [m.name for m in self.members.values() if m.state > MemberState.SUSPECT]
             if dead:
                 return self.random.choice(dead)
         for _ in range(2):
             while self._probe_order:
                 member = self.members[self._probe_order.pop()]
-                if member.life <= Life.SUSPECT:
+                if member.state <= MemberState.SUSPECT:
                     return member.name
             self._probe_order = sorted(self.members)
             self.random.shuffle(self._probe_order)
@@ -289,7 +289,7 @@
 
     def _probe_indirectly(self, now: int, number: int, probe: Probe) -> None:
         target = self.members[probe.target]
-        others = [m for m in self.members.values() if m.life is Life.ALIVE and m.name != target.name]
+        others = [m for m in self.members.values() if m.state is MemberState.ALIVE and m.name != target.name]
         self.random.shuffle(others)
         groups: list[list[Member]] = [
             [m for m in others if m.zone == self.zone],
@@ -300,7 +300,7 @@
         helpers += [m.name for m in others if m.name not in helpers][: max(0, INDIRECT_PROBES - len(helpers))]
         probe.helpers = tuple(dict.fromkeys(helpers)) or ("",)
         for helper in helpers:
-            self._send(helper, Look(number, probe.target, self._piggyback(helper)))
+            self._send(helper, PingRequest(number, probe.target, self._piggyback(helper)))
 
     def _probe_failed(self, now: int, probe: Probe) -> None:
         """Handle a probe without a direct or indirect answer.
@@ -312,16 +312,16 @@
         if not probe.nacks:
             self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
         member = self.members[probe.target]
-        if member.life is Life.ALIVE:
-            self._set_state(now, member, Life.SUSPECT, member.incarnation, self.me)
-        elif member.life is not Life.SUSPECT or not self._confirm_suspicion(member, self.me):
+        if member.state is MemberState.ALIVE:
+            self._set_state(now, member, MemberState.SUSPECT, member.incarnation, self.me)
+        elif member.state is not MemberState.SUSPECT or not self._confirm_suspicion(member, self.me):
             return
         # with periodic probes alone it takes seconds until the suspecting members know of each other, which prolongs
         # the suspicion
         zone_peers = [
             other.name
             for other in self.members.values()
-            if other.zone == self.zone == member.zone and other.life is Life.ALIVE
+            if other.zone == self.zone == member.zone and other.state is MemberState.ALIVE
         ]
         self.disseminate_now(now, self.random.sample(zone_peers, min(len(zone_peers), SUSPICION_FANOUT)), member.name)
 
@@ -344,7 +344,7 @@
         if member is None:
             self._hear_watcher(now, sender, message)
             return
-        if isinstance(message, Ping | Ack | Look):
+        if isinstance(message, Ping | Ack | PingRequest):
             for update in message.updates:
                 self._update_received(now, update)
         if isinstance(message, Ping | Ack):
@@ -354,7 +354,7 @@
             self.reachability.heard_from(now, sender)
             # a sender with a new incarnation is alive, whatever the state of its earlier life
             if message.incarnation > member.incarnation:
-                self._set_state(now, member, Life.ALIVE, message.incarnation, sender)
+                self._set_state(now, member, MemberState.ALIVE, message.incarnation, sender)
             self._send(
                 sender,
                 Ack(
@@ -364,9 +364,9 @@
                     self.reachability.rows_to_send(self.random, MAX_ROWS),
                 ),
             )
-        elif isinstance(message, Look):
+        elif isinstance(message, PingRequest):
             self._probe_for(now, sender, message)
-        elif isinstance(message, Nothing):
+        elif isinstance(message, Nack):
             probe = self._probes.get(message.number)
             if probe is not None and sender in probe.helpers:
                 probe.nacks.add(sender)
@@ -378,11 +378,11 @@
         reachable. Messages of unknown senders are ignored.
         """
         zone = self.watchers.get(sender)
-        if zone is None or not isinstance(message, Ping | Look):
+        if zone is None or not isinstance(message, Ping | PingRequest):
             return
         for update in message.updates:
             self._update_received(now, update)
-        if isinstance(message, Look):
+        if isinstance(message, PingRequest):
             self._probe_for(now, sender, message)
             return
         self.reachability.heard_from_watcher(now, zone)
@@ -393,10 +393,10 @@
             ),
         )
 
-    def _probe_for(self, now: int, sender: str, message: Look) -> None:
+    def _probe_for(self, now: int, sender: str, message: PingRequest) -> None:
         if message.target not in self.members:
             # the target is not known here; the nack tells the requester that its own link works
-            self._send(sender, Nothing(message.number))
+            self._send(sender, Nack(message.number))
             return
         if len(self._indirect_probes) > 2 * len(self.members):
             return
@@ -421,51 +421,51 @@
 
     def _update_received(self, now: int, update: GossipUpdate) -> None:
         if update.name == self.me and update.incarnation < MAX_INCARNATION:
-            refutable = update.state is not Life.ALIVE or update.incarnation > self.incarnation
+            refutable = update.state is not MemberState.ALIVE or update.incarnation > self.incarnation
             if refutable and update.incarnation >= self.incarnation and not self.leaving:
                 # refute at once with a greater incarnation; others may suspect this gateway because it is slow
                 self.incarnation = update.incarnation + 1
                 self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
-                peers = [member.name for member in self.members.values() if member.life is not Life.LEFT]
+                peers = [member.name for member in self.members.values() if member.state is not MemberState.LEFT]
                 self.disseminate_now(now, self.random.sample(peers, min(len(peers), SUSPICION_FANOUT)), self.me)
             return
         member = self.members.get(update.name)
         if member is None or not member.incarnation <= update.incarnation < MAX_INCARNATION:
             return
         newer = update.incarnation > member.incarnation
-        if newer or update.state > member.life:
+        if newer or update.state > member.state:
             self._set_state(now, member, update.state, update.incarnation, update.by)
             # a few of all members probe it themselves: right suspicions are confirmed and wrong ones refuted sooner
-            if update.state is Life.SUSPECT and self.random.random() * len(self.members) < CONFIRMING_PROBERS:
+            if update.state is MemberState.SUSPECT and self.random.random() * len(self.members) < CONFIRMING_PROBERS:
                 self.probe_soon(member.name)
-        elif update.state is Life.SUSPECT and member.life is Life.SUSPECT:
+        elif update.state is MemberState.SUSPECT and member.state is MemberState.SUSPECT:
             self._confirm_suspicion(member, update.by)
 
-    def _set_state(self, now: int, member: Member, state: Life, incarnation: int, by: str) -> None:
+    def _set_state(self, now: int, member: Member, state: MemberState, incarnation: int, by: str) -> None:
         """Set the state of a member and queue it for dissemination."""
-        changed = state is not member.life
-        member.life, member.incarnation = state, incarnation
-        if state is Life.SUSPECT:
+        changed = state is not member.state
+        member.state, member.incarnation = state, incarnation
+        if state is MemberState.SUSPECT:
             self._suspects[member.name] = member
         else:
             self._suspects.pop(member.name, None)
-        if changed or state is Life.SUSPECT:
+        if changed or state is MemberState.SUSPECT:
             member.state_since = now
             member.suspectors = {by}
         self._queue_update(member.name)
-        if state is Life.SUSPECT:
+        if state is MemberState.SUSPECT:
             member.suspicion_ends_at = now + self._suspicion_timeout(0)
             for other in self.members.values():
                 if (
                     other.zone == member.zone
-                    and other.life is Life.ALIVE
+                    and other.state is MemberState.ALIVE
                     and other.name not in self._urgent_targets
                     and other.zone != self.zone
                     and by == self.me
                 ):
                     self._urgent_targets.append(other.name)
         if changed:
-            self._actions.append(Changed(member.name, state, by == self.me))
+            self._actions.append(StateChanged(member.name, state, by == self.me))
 
     def _suspicion_timeout(self, confirmations: int) -> int:
         """Return how long a suspicion lasts that `confirmations` others confirm, ns."""
@@ -482,7 +482,9 @@
 
     def _update_about(self, name: str) -> GossipUpdate:
         if name == self.me:
-            return GossipUpdate(self.me, Life.LEFT if self.leaving else Life.ALIVE, self.incarnation, self.me)
+            return GossipUpdate(
+                self.me, MemberState.LEFT if self.leaving else MemberState.ALIVE, self.incarnation, self.me
+            )
         member = self.members[name]
         # a random one of several: always naming the same one made a suspicion by four members last as long as one by a
         # single member, since each member passed on only one of the suspecting members that it knew
@@ -491,7 +493,7 @@
             if self.me in member.suspectors or not member.suspectors
             else self.random.choice(sorted(member.suspectors))
         )
-        return GossipUpdate(name, member.life, member.incarnation, by)
+        return GossipUpdate(name, member.state, member.incarnation, by)
 
     def _piggyback(self, to: str) -> tuple[GossipUpdate, ...]:
         """Return the updates to send along: first the receiver's own state unless it is alive, then those sent least
@@ -499,7 +501,7 @@
         """
         names: list[str] = []
         member = self.members.get(to)
-        if member is not None and member.life is not Life.ALIVE:
+        if member is not None and member.state is not MemberState.ALIVE:
             names.append(to)
         waiting = sorted(self._updates, key=lambda name: -self._updates[name][0])
         names += [name for name in waiting if name not in names][: MAX_PIGGYBACK - len(names)]
@@ -513,4 +515,4 @@
 
     def _send(self, to: str, message: Message) -> None:
         self.sent += 1
-        self._actions.append(Say(to, message))
+        self._actions.append(SendMessage(to, message))
--- a/copperyard/membership/gateways/messages.py
+++ b/copperyard/membership/gateways/messages.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 
-class Life(IntEnum):
+class MemberState(IntEnum):
     """State of a member. At the same incarnation the greater value overrides the smaller one."""
 
     ALIVE = 0
@@ -20,7 +20,7 @@
     """State of a member, spread by gossip. `by` observed it first-hand. Only the member raises its `incarnation`."""
 
     name: str
-    state: Life
+    state: MemberState
     incarnation: int
     by: str
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class PingRequest:
     """Request of an indirect probe (SWIM's ping-req): probe `target` for the sender."""
 
     number: int
@@ -67,10 +67,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nothing:
+class Nack:
     """Lifeguard's nack: the indirect probe has no answer yet, but the link of requester and helper works."""
 
     number: int
 
 
-Message = Ping | Ack | Look | Nothing
+Message = Ping | Ack | PingRequest | Nack
--- a/copperyard/membership/roster.py
+++ b/copperyard/membership/roster.py
@@ -18,7 +18,7 @@
 MAX_HOSTS = 100_000
 
 
-class BadList(ValueError):
+class ListError(ValueError):
     """An invalid body of the list service; nothing of it was applied."""
 
 
@@ -51,7 +51,7 @@
         self._boots: dict[int, str] = {}
         self._next = 0
 
-    def take(self, now: int, body: bytes) -> ServerList | None:
+    def apply_body(self, now: int, body: bytes) -> ServerList | None:
         """Apply one answer of the service; return None if it brings nothing new.
 
         An invalid body raises BadList, and so does one that does not follow the known generation; then `generation` is
@@ -60,19 +60,19 @@
         try:
             raw = json.loads(body.decode("utf-8"))
         except (UnicodeDecodeError, ValueError, RecursionError) as error:
-            raise BadList(f"not JSON: {error}") from None
+            raise ListError(f"not JSON: {error}") from None
         if not isinstance(raw, dict):
-            raise BadList("not an object")
+            raise ListError("not an object")
         generation = _integer(raw, "generation", 1 << 62)
         since = _integer(raw, "since", 1 << 62) if raw.get("since") is not None else None
         if since is not None and since != self.generation:
             known, self.generation = self.generation, None
-            raise BadList(f"changes since generation {since}, but {known} is known")
+            raise ListError(f"changes since generation {since}, but {known} is known")
         if generation == self.generation:
             return None
         if self.generation is not None and generation < self.generation:
             # from a restarted or lagging service; an older list would bring back removed hosts
-            raise BadList(f"generation {generation} is older than {self.generation}")
+            raise ListError(f"generation {generation} is older than {self.generation}")
         lines = self._parse_hosts(raw)
         self.generation = generation
         entries = tuple(self._entry(now, line) for line in lines)
@@ -85,38 +85,38 @@
     def _parse_hosts(self, raw: dict[str, Any]) -> list[HostLine]:
         hosts = raw.get("hosts")
         if not isinstance(hosts, list) or len(hosts) > MAX_HOSTS:
-            raise BadList(f"hosts is no list of at most {MAX_HOSTS}")
+            raise ListError(f"hosts is no list of at most {MAX_HOSTS}")
         lines = [self._parse_host(n, host) for n, host in enumerate(hosts)]
         names = {line.name for line in lines}
         if len(names) != len(lines):
             duplicate = next(x.name for x in lines if sum(y.name == x.name for y in lines) > 1)
-            raise BadList(f"two hosts are named {duplicate!r}")
+            raise ListError(f"two hosts are named {duplicate!r}")
         # with two names at one address one machine would count as two
         live = [line for line in lines if line.state != ServerState.GONE]
         if len({line.address for line in live}) != len(live):
             duplicate = next(x.address for x in live if sum(y.address == x.address for y in live) > 1)
-            raise BadList(f"two hosts have the address {duplicate}")
+            raise ListError(f"two hosts have the address {duplicate}")
         return lines
 
     def _parse_host(self, n: int, host: Any) -> HostLine:
         if not isinstance(host, dict):
-            raise BadList(f"hosts[{n}] is not an object")
+            raise ListError(f"hosts[{n}] is not an object")
         try:
             name, address, zone = host["id"], host["address"], host.get("zone", self.zones[0])
             state, weight = host.get("state", "ready"), host.get("weight", 1.0)
             boot = str(host.get("boot", ""))[:64]
         except KeyError as error:
-            raise BadList(f"hosts[{n}] lacks {error.args[0]}") from None
+            raise ListError(f"hosts[{n}] lacks {error.args[0]}") from None
         if not isinstance(name, str) or not 0 < len(name) <= 64:
-            raise BadList(f"hosts[{n}].id is no text of 1 to 64 characters")
+            raise ListError(f"hosts[{n}].id is no text of 1 to 64 characters")
         if not _is_address(address):
-            raise BadList(f"hosts[{n}].address is no host:port: {str(address)[:64]!r}")
+            raise ListError(f"hosts[{n}].address is no host:port: {str(address)[:64]!r}")
         if zone not in self.zones:
-            raise BadList(f"hosts[{n}].zone is none of the settings: {str(zone)[:64]!r}")
+            raise ListError(f"hosts[{n}].zone is none of the settings: {str(zone)[:64]!r}")
         if state not in _STATES:
-            raise BadList(f"hosts[{n}].state is none of {', '.join(_STATES)}: {str(state)[:64]!r}")
+            raise ListError(f"hosts[{n}].state is none of {', '.join(_STATES)}: {str(state)[:64]!r}")
         if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight) or weight <= 0:
-            raise BadList(f"hosts[{n}].weight is no number above 0")
+            raise ListError(f"hosts[{n}].weight is no number above 0")
         cell = _integer(host, "cell", self.cells - 1, f"hosts[{n}].")
         age = _integer(host, "age_ms", 1 << 48, f"hosts[{n}].") * MS if host.get("age_ms") is not None else None
         kind = _integer(host, "kind", 255, f"hosts[{n}].") if "kind" in host else 0
@@ -158,7 +158,7 @@
             hosts.append(host)
         return json.dumps({"generation": self.generation, "hosts": hosts}).encode()
 
-    def heard(self, now: int, server: int, boot: str, age: int | None) -> ServerEntry | None:
+    def host_started(self, now: int, server: int, boot: str, age: int | None) -> ServerEntry | None:
         """Take a host's own report of its boot and uptime (ns, None if long); return its entry if that is new.
 
         A front that asks the host learns of a restart before the list service does.
@@ -199,7 +199,7 @@
 def _integer(raw: dict[str, Any], key: str, limit: int, where: str = "") -> int:
     value = raw.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= limit:
-        raise BadList(f"{where}{key} is no whole number from 0 to {limit}")
+        raise ListError(f"{where}{key} is no whole number from 0 to {limit}")
     return value
 
 
--- a/copperyard/protocol/peers/frames.py
+++ b/copperyard/protocol/peers/frames.py
@@ -39,7 +39,7 @@
 Unpack = Callable[[Plain, str], Any]
 
 
-class BadFrame(ValueError):
+class FrameError(ValueError):
     """Bytes that are no valid frame; their link has to be closed."""
 
 
@@ -54,24 +54,24 @@
     number: int
 
 
-def hello(one: Hello) -> bytes:
+def encode_hello(one: Hello) -> bytes:
     """Encode the first frame of a link."""
     body: bytes = msgpack.packb([MAGIC, VERSION, one.fleet, one.sender, one.to, one.life, one.number])
     return _LENGTH.pack(len(body)) + body
 
 
-def read_hello(body: bytes) -> Hello:
+def parse_hello(body: bytes) -> Hello:
     """Parse a hello. BadFrame for anything but a hello of this version."""
     found = _unpack(body)
     if not isinstance(found, list) or len(found) < 2 or found[0] != MAGIC:
-        raise BadFrame("the link does not begin with a hello of ours")
+        raise FrameError("the link does not begin with a hello of ours")
     if found[1] != VERSION:
-        raise BadFrame(f"version {found[1]!r} of the links; this program speaks {VERSION}")
+        raise FrameError(f"version {found[1]!r} of the links; this program speaks {VERSION}")
     if len(found) != 7:
-        raise BadFrame(f"a hello of {len(found)} parts")
+        raise FrameError(f"a hello of {len(found)} parts")
     fleet, sender, to, life, number = found[2:]
     if not isinstance(fleet, bytes) or len(fleet) > 64:
-        raise BadFrame("a hello whose fleet is no digest")
+        raise FrameError("a hello whose fleet is no digest")
     return Hello(
         fleet,
         _parse_text(sender, "hello.from"),
@@ -94,10 +94,10 @@
             max_ext_len=0,
         )
     except (ValueError, msgpack.UnpackException, RecursionError) as error:
-        raise BadFrame(f"no msgpack within the bounds: {type(error).__name__}: {error}"[:200]) from None
+        raise FrameError(f"no msgpack within the bounds: {type(error).__name__}: {error}"[:200]) from None
 
 
-class Reader:
+class FrameReader:
     """Splits the bytes of a link into bodies. Buffers an incomplete frame, at most one."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
@@ -110,7 +110,7 @@
         while len(self._buffer) >= _LENGTH.size:
             length = _LENGTH.unpack_from(self._buffer)[0]
             if not 0 < length <= self.max_bytes:
-                raise BadFrame(f"a frame of {length} bytes; 1 to {self.max_bytes} are taken")
+                raise FrameError(f"a frame of {length} bytes; 1 to {self.max_bytes} are taken")
             end = _LENGTH.size + length
             if len(self._buffer) < end:
                 return
@@ -150,10 +150,10 @@
         """Decode a body. BadFrame for a kind that is not in the table or a field of a wrong type."""
         found = _unpack(body)
         if not isinstance(found, list) or not found or type(found[0]) is not int:
-            raise BadFrame("a body that is no list with a kind")
+            raise FrameError("a body that is no list with a kind")
         form = self._converters.get(found[0])
         if form is None:
-            raise BadFrame(f"kind {found[0]}, which is none of ours")
+            raise FrameError(f"kind {found[0]}, which is none of ours")
         return form[1](found[1:], "")
 
 
@@ -168,7 +168,7 @@
     def unpack(value: Plain, place: str) -> Any:
         place = f"{place}.{kind.__name__}" if place else kind.__name__
         if not isinstance(value, list) or len(value) != len(fields):
-            raise BadFrame(f"{place} is no list of {len(fields)}")
+            raise FrameError(f"{place} is no list of {len(fields)}")
         return kind(*(back(one, f"{place}.{name}") for (name, _, back), one in zip(fields, value, strict=True)))
 
     return pack, unpack
@@ -206,7 +206,7 @@
 def _list_converter(to: Pack, back: Unpack) -> tuple[Pack, Unpack]:
     def unpack(value: Plain, place: str) -> Any:
         if not isinstance(value, list):
-            raise BadFrame(f"{place} is no list")
+            raise FrameError(f"{place} is no list")
         return tuple(back(one, place) for one in value)
 
     return (lambda v: [to(one) for one in v]), unpack
@@ -215,7 +215,7 @@
 def _tuple_converter(converters: list[tuple[Pack, Unpack]]) -> tuple[Pack, Unpack]:
     def unpack(value: Plain, place: str) -> Any:
         if not isinstance(value, list) or len(value) != len(converters):
-            raise BadFrame(f"{place} is no list of {len(converters)}")
+            raise FrameError(f"{place} is no list of {len(converters)}")
         return tuple(back(one, place) for (_, back), one in zip(converters, value, strict=True))
 
     return (lambda v: [to(one) for (to, _), one in zip(converters, v, strict=True)]), unpack
@@ -226,36 +226,36 @@
         try:
             return kind(_parse_int(value, place))
         except ValueError as error:
-            raise BadFrame(f"{place}: {error}") from None
+            raise FrameError(f"{place}: {error}") from None
 
     return unpack
 
 
 def _parse_int(value: Plain, place: str) -> int:
     if type(value) is not int or not -_INT_LIMIT <= value < _INT_LIMIT:
-        raise BadFrame(f"{place} is no whole number of 64 bits: {str(value)[:40]!r}")
+        raise FrameError(f"{place} is no whole number of 64 bits: {str(value)[:40]!r}")
     return value
 
 
 def _parse_float(value: Plain, place: str) -> float:
     if type(value) not in (int, float) or not math.isfinite(value):
-        raise BadFrame(f"{place} is no finite number: {str(value)[:40]!r}")
+        raise FrameError(f"{place} is no finite number: {str(value)[:40]!r}")
     return float(value)
 
 
 def _parse_text(value: Plain, place: str) -> str:
     if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
-        raise BadFrame(f"{place} is no text of at most {MAX_TEXT_LENGTH} characters")
+        raise FrameError(f"{place} is no text of at most {MAX_TEXT_LENGTH} characters")
     return value
 
 
 def _parse_bytes(value: Plain, place: str) -> bytes:
     if not isinstance(value, bytes):
-        raise BadFrame(f"{place} is no bytes")
+        raise FrameError(f"{place} is no bytes")
     return value
 
 
 def _parse_bool(value: Plain, place: str) -> bool:
     if not isinstance(value, bool):
-        raise BadFrame(f"{place} is neither true nor false")
+        raise FrameError(f"{place} is neither true nor false")
     return value
--- a/copperyard/settings.py
+++ b/copperyard/settings.py
@@ -179,14 +179,14 @@
         cells=extra.integer("positions", 1),
         racks=extra.integer("shelves", 1, 1),
         uplink_kb=extra.number("rackKb", default=0.0),
-        weight_kb=extra.number("kbPerWeight", 1e-9),
+        kb_per_weight=extra.number("kbPerWeight", 1e-9),
         places_by_kind=tuple(int(p) for p in places),
-        full_from=extra.number("fullFrom", default=0.0),
-        join_adds=extra.number("joinAdds", default=1.0),
-        told_late=extra.integer("toldLate", default=0),
-        told_every=extra.integer("toldEvery", default=0),
+        full_threshold=extra.number("fullFrom", default=0.0),
+        join_ratio=extra.number("joinAdds", default=1.0),
+        notice_delay=extra.integer("toldLate", default=0),
+        notice_interval=extra.integer("toldEvery", default=0),
         shortfall_cost=extra.number("shortfallCost", default=0.0),
-        switch_s=extra.number("switchS", default=0.0),
+        switch_cost_s=extra.number("switchS", default=0.0),
         max_attempts=ceilings.integer("maxAttempts", 1),
         max_retry_after=ceilings.integer("maxRetryAfter", default=0),
         retry_after=ceilings.flag("retryAfter"),
@@ -194,15 +194,15 @@
         cancelling=ceilings.flag("cancelling"),
         connect_timeout=ceilings.integer("connectTimeout", default=0),
         subscribe=mode == "subscribe",
-        ask_every=contract.integer("askEvery", default=0),
-        cold_from=contract.number("coldFrom", default=0.0),
-        warm_within=contract.integer("warmWithin", default=0),
+        list_poll_interval=contract.integer("askEvery", default=0),
+        cold_ratio=contract.number("coldFrom", default=0.0),
+        warm_up_time=contract.integer("warmWithin", default=0),
         drain_grace=contract.integer("drainGrace", default=0),
-        fall_multiple=contract.number("fallMultiple", default=1.0),
-        fall=contract.integer("fall", default=0),
-        free_resends=contract.number("freeResends", default=0.0) if budgeted else None,
-        further_ratio=contract.number("furtherRatio", default=0.0),
-        ratio_span=contract.integer("ratioSpan", 1 if budgeted else 0, None if budgeted else 0),
+        cold_budget_multiple=contract.number("fallMultiple", default=1.0),
+        cold_window=contract.integer("fall", default=0),
+        free_retries=contract.number("freeResends", default=0.0) if budgeted else None,
+        retry_ratio=contract.number("furtherRatio", default=0.0),
+        retry_window=contract.integer("ratioSpan", 1 if budgeted else 0, None if budgeted else 0),
         price_cross_zone=penalties.number("crossZone", default=0.0),
         price_late_fail=penalties.number("lateFail", default=0.0),
         price_move=penalties.number("moves", default=0.0),
@@ -218,7 +218,7 @@
     return tuple(str(name) for name in columns)
 
 
-def report_of(values: dict[str, float]) -> api.Report:
+def make_report(values: dict[str, float]) -> api.Report:
     """Build a load report from values by column name; a value that is not finite counts as missing."""
     numbers = {name: value for name, value in values.items() if math.isfinite(value)}
     return api.Report(numbers.get("x0", numbers.get("busy")), numbers.get("x1"), numbers.get("rif"))
@@ -226,13 +226,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Names and limits for a node: set-ups on one connection (`streams`) and sessions (`held`)."""
+    """Names and limits for a node: set-ups on one connection (`streams_per_connection`) and sessions (`max_held`)."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     columns: tuple[str, ...]
-    streams: int
-    held: int
+    streams_per_connection: int
+    max_held: int
 
 
 def parse_platform(raw: dict[str, Any]) -> Platform:
