--- a/copperyard/state/agreement/follow.py
+++ b/copperyard/state/agreement/learner.py
@@ -16,9 +16,9 @@
 import random
 from collections.abc import Callable
 
-from .council import MAX_BATCH_ENTRIES, Apply, Dates, Order, Restore, Say, fetch_reply
-from .listeners import Subscribers
-from .messages import Entry, Message, Newer, News, Since, Snapshot
+from .messages import CommitHint, Entry, FetchReply, FetchRequest, Message, Snapshot
+from .replica import MAX_BATCH_ENTRIES, Apply, ProposalTime, ReplicaAction, Restore, SendMessage, fetch_reply
+from .subscribers import Subscribers
 
 MS = 1_000_000
 REQUEST_INTERVAL = 500 * MS  # reply timeout, and interval of requests while something is missing
@@ -31,10 +31,12 @@
 MAX_HINTED_REQUESTS = 4  # requests pending for less than REQUEST_INTERVAL, above which a hint causes no further one
 MAX_TRACKED = 64  # sources of which times are kept
 REPLY_TIMEOUT = 10_000 * MS  # the age in a slower reply would be of no use: the plan has expired
-KEPT = MAX_BATCH_ENTRIES  # log entries kept before a snapshot is made: one reply brings a restarted learner both
+RETAINED_ENTRIES = (
+    MAX_BATCH_ENTRIES  # log entries kept before a snapshot is made: one reply brings a restarted learner both
+)
 
 
-class Questions:
+class PendingRequests:
     """Fetch requests without a reply yet.
 
     Each has its own number, which the reply repeats: of two requests to the same source the first may be answered last,
@@ -45,7 +47,7 @@
         self.number = first
         self._pending: dict[int, tuple[str, int]] = {}
 
-    def ask(self, now: int, name: str) -> int:
+    def add(self, now: int, name: str) -> int:
         """Note a request to `name` that is sent now; its number."""
         self.number += 1
         self._pending[self.number] = (name, now)
@@ -57,7 +59,7 @@
             del self._pending[expired]
         return self.number
 
-    def answered(self, name: str, number: int) -> int | None:
+    def complete(self, name: str, number: int) -> int | None:
         """When the request that `name` replies to was sent; None if it is unknown or was forgotten."""
         if self._pending.get(number, ("", 0))[0] != name:
             return None
@@ -72,7 +74,7 @@
         return [name for name, sent_at in self._pending.values() if now - sent_at < REQUEST_INTERVAL]
 
 
-class Follower:
+class Learner:
     """Learns the committed entries of the log. `sources` gives the gateways to fetch from, the best first."""
 
     def __init__(self, sources: Callable[[], list[str]], seed: int, now: int) -> None:
@@ -81,9 +83,9 @@
         self.snapshot = Snapshot(0, 0, (), b"")
         self.log: list[Entry] = []
         self.leader = ""
-        self.dates = Dates()
+        self.proposal_time = ProposalTime()
         self.subscribers = Subscribers()
-        self.questions = Questions(self.rng.getrandbits(31))
+        self.requests = PendingRequests(self.rng.getrandbits(31))
         self.request_at = now + int(self.rng.random() * REQUEST_INTERVAL)  # spreads gateways that start at once
         self.progress_at = now  # when something new came
         self._now = now  # time of the latest call
@@ -94,17 +96,17 @@
         self._replied_at: dict[str, int] = {}
         self._avoided_since: dict[str, int] = {}  # since when each source is avoided
         self._hint_requested_at: dict[str, int] = {}  # latest request after a hint that has brought nothing yet
-        self._actions: list[Order] = []
+        self._actions: list[ReplicaAction] = []
 
     @property
     def applied(self) -> int:
         """Index of the newest entry held."""
         return self.snapshot.index + len(self.log)
 
-    def take(self) -> list[Order]:
+    def take(self) -> list[ReplicaAction]:
         """Actions since the last call, with hints for learners that fetched lately and lack entries."""
-        for name in self.subscribers.hints_due(self._now, self.applied, self.dates.index):
-            self._actions.append(Say(name, Newer(self.subscribers.hinted_index)))
+        for name in self.subscribers.hints_due(self._now, self.applied, self.proposal_time.index):
+            self._actions.append(SendMessage(name, CommitHint(self.subscribers.hinted_index)))
         actions, self._actions = self._actions, []
         return actions
 
@@ -125,7 +127,7 @@
             return
         self.request_at = now + self._jitter(REQUEST_INTERVAL)
         name, number = self._last_request
-        unanswered = self.questions.is_pending(number)
+        unanswered = self.requests.is_pending(number)
         if unanswered:
             _record_time(self._avoided_since, name, now)
         sources = self.sources()
@@ -158,8 +160,8 @@
 
     def _request(self, now: int, name: str) -> None:
         _record_time(self._requested_at, name, now)
-        self._last_request = (name, self.questions.ask(now, name))
-        self._actions.append(Say(name, Since(self.applied, self._last_request[1])))
+        self._last_request = (name, self.requests.add(now, name))
+        self._actions.append(SendMessage(name, FetchRequest(self.applied, self._last_request[1])))
         self.request_at = now + self._jitter(REQUEST_INTERVAL)
 
     # ---- messages
@@ -167,22 +169,24 @@
     def hear(self, now: int, sender: str, message: Message) -> None:
         """Handle a fetch request, a hint, or the reply to one of our requests."""
         self._now = now
-        if isinstance(message, Since):
-            dated_index, age = self.dates.told(now)
+        if isinstance(message, FetchRequest):
+            dated_index, age = self.proposal_time.newest_age(now)
             self._actions.append(
-                Say(sender, fetch_reply(message, self.snapshot, self.log, self.applied, self.leader, dated_index, age))
+                SendMessage(
+                    sender, fetch_reply(message, self.snapshot, self.log, self.applied, self.leader, dated_index, age)
+                )
             )
             self.subscribers.subscribe(now, sender, min(self.applied, dated_index))
-        elif isinstance(message, Newer):
+        elif isinstance(message, CommitHint):
             self._on_commit_hint(now, sender, message.index)
-        elif isinstance(message, News):
-            requested_at = self.questions.answered(sender, message.ask)
+        elif isinstance(message, FetchReply):
+            requested_at = self.requests.complete(sender, message.request_id)
             if requested_at is not None:
                 _record_time(self._replied_at, sender, now)
                 self._on_fetch_reply(now, sender, message, requested_at)
 
     def _is_missing(self, index: int) -> bool:
-        return index > self.applied or index > self.dates.index
+        return index > self.applied or index > self.proposal_time.index
 
     def _on_commit_hint(self, now: int, sender: str, index: int) -> None:
         """Fetch from the sender of a hint, unless a pending request may bring as much.
@@ -193,7 +197,7 @@
         self.subscribers.acknowledge(sender, index)
         if not self._is_missing(index) or self._is_avoided(now, sender):
             return
-        recent = self.questions.recent(now)
+        recent = self.requests.recent(now)
         if index <= self._hinted_index and now - self._hinted_at < REQUEST_INTERVAL and recent:
             return
         self._hinted_index, self._hinted_at = max(index, self._hinted_index), now
@@ -207,8 +211,8 @@
         _record_time(self._hint_requested_at, sender, now)
         self._request(now, sender)
 
-    def _on_fetch_reply(self, now: int, sender: str, message: News, requested_at: int) -> None:
-        applied_before, dated_before = self.applied, self.dates.index
+    def _on_fetch_reply(self, now: int, sender: str, message: FetchReply, requested_at: int) -> None:
+        applied_before, dated_before = self.applied, self.proposal_time.index
         snapshot = message.snapshot
         if snapshot is not None and snapshot.index > self.applied:
             self.snapshot, self.log = snapshot, []
@@ -219,16 +223,16 @@
                 self._actions.append(Apply(self.applied, entry))
         if message.commit >= self.applied and message.leader:
             self.leader = message.leader
-        if message.dated and message.dated <= self.applied:
-            self.dates.know(message.dated, requested_at - message.age)
-        self.subscribers.acknowledge(sender, min(message.commit, message.dated))
+        if message.dated_index and message.dated_index <= self.applied:
+            self.proposal_time.record(message.dated_index, requested_at - message.age_ns)
+        self.subscribers.acknowledge(sender, min(message.commit, message.dated_index))
         if requested_at - self.progress_at >= SETTLED_PERIOD and (
-            message.commit < applied_before or message.dated < dated_before
+            message.commit < applied_before or message.dated_index < dated_before
         ):
             _record_time(self._avoided_since, sender, now)
         else:
             self._avoided_since.pop(sender, None)
-        if self.applied > applied_before or self.dates.index > dated_before:
+        if self.applied > applied_before or self.proposal_time.index > dated_before:
             self.progress_at = now
             self._hint_requested_at.pop(sender, None)
         if self.applied > applied_before and message.commit > self.applied:
@@ -248,7 +252,7 @@
     @property
     def wants_snapshot(self) -> bool:
         """Whether the log has grown enough for a snapshot."""
-        return len(self.log) > KEPT
+        return len(self.log) > RETAINED_ENTRIES
 
     def compact(self, data: bytes) -> None:
         """Replace all entries by a snapshot with `data`, which is passed on in their place."""
@@ -264,7 +268,7 @@
         del times[next(iter(times))]
 
 
-def date_from(dates: Dates, requested_at: int, applied: int, message: News) -> None:
+def record_age(dates: ProposalTime, requested_at: int, applied: int, message: FetchReply) -> None:
     """Take the age from a fetch reply. A voter gets entries by replication, but unless it leads no ages."""
-    if message.dated and message.dated <= applied:
-        dates.know(message.dated, requested_at - message.age)
+    if message.dated_index and message.dated_index <= applied:
+        dates.record(message.dated_index, requested_at - message.age_ns)
--- a/copperyard/state/agreement/records.py
+++ b/copperyard/state/agreement/log_store.py
@@ -15,18 +15,18 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from ...protocol.peers import BadFrame, Codec
-from .council import Kept
+from ...protocol.peers import Codec, FrameError
 from .messages import EntryRecord, Promise, Record, Snapshot, VoteFloor
+from .replica import PersistentState
 
 CODEC = Codec({1: Promise, 2: EntryRecord, 3: VoteFloor, 4: Snapshot})
 
 
-class Damaged(Exception):
+class DamagedStoreError(Exception):
     """The log store does not hold what was written to it. The message says where and what was found."""
 
 
-class Shelf(Protocol):
+class LogStore(Protocol):
     """Storage of a voter's records."""
 
     def open(self, owner: str) -> list[bytes]:
@@ -42,7 +42,7 @@
         After OSError none of them counts as written, but a later `open` may return any of them.
         """
 
-    async def renew(self, records: Sequence[bytes]) -> None:
+    async def replace_all(self, records: Sequence[bytes]) -> None:
         """Replace all records; durable when this returns. After OSError the earlier records are still in place."""
 
     def close(self) -> None:
@@ -54,9 +54,9 @@
     return [CODEC.body(one) for one in records]
 
 
-def from_bytes(bodies: Iterable[bytes]) -> Kept:
+def from_bytes(bodies: Iterable[bytes]) -> PersistentState:
     """The state that encoded records add up to. DamagedStoreError if one is unknown or leaves a gap."""
     try:
-        return Kept.read(CODEC.read(body) for body in bodies)
-    except (BadFrame, ValueError) as error:
-        raise Damaged(str(error)) from None
+        return PersistentState.read(CODEC.read(body) for body in bodies)
+    except (FrameError, ValueError) as error:
+        raise DamagedStoreError(str(error)) from None
--- a/copperyard/state/agreement/messages.py
+++ b/copperyard/state/agreement/messages.py
@@ -9,10 +9,10 @@
 from enum import IntEnum
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """The kind of a log entry."""
 
-    BEGIN = 0  # no-op, a new leader's first entry: entries before it are committed with it
+    NOOP = 0  # no-op, a new leader's first entry: entries before it are committed with it
     DATA = 1
     VOTERS = 2
 
@@ -22,7 +22,7 @@
     """One log entry. For VOTERS `data` holds the voters' names, joined by newlines."""
 
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Poll:
+class RequestVote:
     """Raft's RequestVote; with `pre_vote` only a question that promises nothing.
 
     `nonce` is random and comes back in the reply: a vote that an earlier incarnation asked for, with another log, must
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ballot:
+class VoteReply:
     """The reply to a vote request of that term."""
 
     term: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Append:
+class AppendEntries:
     """Raft's AppendEntries: entries after `prev_index`; a heartbeat if there are none.
 
     `round` numbers the leader's broadcasts and comes back in the reply, so it proves which broadcast was received.
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallSnapshot:
     """Raft's InstallSnapshot, for a voter that lacks entries before the leader's snapshot."""
 
     term: int
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AppendReply:
     """The reply to appended entries and to a snapshot.
 
     The log agrees with the leader's up to `index`; without `success` it agrees at most up to there.
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class RecoveryRequest:
     """Sent by a voter that started: asks the others what it may have promised and lost.
 
     `nonce` is drawn once per start, so a repeated request does not count as another incarnation.
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class RecoveryReply:
     """The reply to a recovery request, with the replying voter's term and the end of its log.
 
     `known_incarnation`: the sender's highest incarnation that this voter heard of before this start; `recovered`: this
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Since:
+class FetchRequest:
     """A learner asks for the entries committed after `index`.
 
     `request_id` comes back in the reply: the age in a reply is counted from its own request, not from a later one to
@@ -135,11 +135,11 @@
     """
 
     index: int
-    ask: int = 0
+    request_id: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class FetchReply:
     """Committed entries: `snapshot` if the log no longer reaches back that far, then the entries after `index`.
 
     The entry `dated_index` was proposed at most `age_ns` before this message was sent; 0 if the sender knows no such
@@ -151,13 +151,13 @@
     entries: tuple[Entry, ...]
     commit: int
     leader: str
-    dated: int
-    age: int
-    ask: int = 0
+    dated_index: int
+    age_ns: int
+    request_id: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Newer:
+class CommitHint:
     """A hint that the sender holds the committed entries up to `index` and can be asked for them.
 
     It carries neither entries nor ages, so a hint that waited in a socket for long cannot make an entry look younger
@@ -167,7 +167,18 @@
     index: int
 
 
-Message = Poll | Ballot | Append | Install | Taken | Recall | Recalled | Since | News | Newer
+Message = (
+    RequestVote
+    | VoteReply
+    | AppendEntries
+    | InstallSnapshot
+    | AppendReply
+    | RecoveryRequest
+    | RecoveryReply
+    | FetchRequest
+    | FetchReply
+    | CommitHint
+)
 
 
 # ---- records that a voter stores
--- a/copperyard/state/agreement/council.py
+++ b/copperyard/state/agreement/replica.py
@@ -20,30 +20,30 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .listeners import Subscribers
 from .messages import (
-    Append,
-    Ballot,
+    AppendEntries,
+    AppendReply,
+    CommitHint,
     Entry,
+    EntryKind,
     EntryRecord,
-    Install,
-    Kind,
+    FetchReply,
+    FetchRequest,
+    InstallSnapshot,
     Message,
-    Newer,
-    News,
-    Poll,
     Promise,
-    Recall,
-    Recalled,
     Record,
-    Since,
+    RecoveryReply,
+    RecoveryRequest,
+    RequestVote,
     Snapshot,
-    Taken,
     VoteFloor,
+    VoteReply,
 )
+from .subscribers import Subscribers
 
 MS = 1_000_000
-MOST_VOTERS = 9  # tolerates four dead voters, or the loss of any one of five zones; more voters slow each decision down
+MAX_VOTERS = 9  # tolerates four dead voters, or the loss of any one of five zones; more voters slow each decision down
 MAX_BATCH_ENTRIES = 64  # entries per message
 MAX_BATCH_BYTES = 256 * 1024  # per message
 SNAPSHOT_THRESHOLD = 256  # applied entries after which a snapshot is made
@@ -52,13 +52,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class ElectionTiming:
     """The heartbeat interval and the bounds of the election timeout (ns), and the greatest clock drift (a ratio)."""
 
-    heart: int = 250 * MS
-    least: int = 1500 * MS
-    most: int = 3000 * MS
-    drift: float = 0.05
+    heartbeat_interval: int = 250 * MS
+    min_election_timeout: int = 1500 * MS
+    max_election_timeout: int = 3000 * MS
+    max_drift: float = 0.05
 
 
 class Role(Enum):
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send a message; it may be lost."""
 
     to: str
@@ -79,11 +79,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     """Make these records durable before any later action is carried out. `replace_all`: instead of all stored ones."""
 
     records: tuple[Record, ...]
-    anew: bool = False
+    replace_all: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,18 +102,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class ReplicaLogLine:
     """Write a log event."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
 
 
-Order = Say | Keep | Apply | Restore | Tell
+ReplicaAction = SendMessage | Persist | Apply | Restore | ReplicaLogLine
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """The persistent state of a voter, as its log store held it at the start."""
 
     promise: Promise = Promise(0, "", 0)
@@ -122,7 +122,7 @@
     floor: VoteFloor = VoteFloor(0, 0)
 
     @classmethod
-    def read(cls, records: Iterable[Record]) -> Kept:
+    def read(cls, records: Iterable[Record]) -> PersistentState:
         """Replay records. ValueError where an entry leaves a gap: the store has lost records."""
         state = cls()
         for record in records:
@@ -153,7 +153,7 @@
     sent_at: int = -1  # time of the last message to it
 
 
-class Council:
+class Replica:
     """One voter.
 
     `voters` come from the settings and are in force until an entry of the log changes them. `trusted`: an operator
@@ -161,7 +161,14 @@
     """
 
     def __init__(
-        self, name: str, voters: Iterable[str], stored: Kept, timing: Beat, seed: int, now: int, trusted: bool = False
+        self,
+        name: str,
+        voters: Iterable[str],
+        stored: PersistentState,
+        timing: ElectionTiming,
+        seed: int,
+        now: int,
+        trusted: bool = False,
     ) -> None:
         self.name, self.timing = name, timing
         self.rng = random.Random(seed)
@@ -178,18 +185,18 @@
         self.round = 0
         self.term_start_index = 0  # index of the first entry of this leader's term
         self.peer_incarnations: dict[str, tuple[int, int, int]] = {}  # incarnation, its nonce, highest earlier one
-        self.dates = Dates()
+        self.proposal_time = ProposalTime()
         self.subscribers = Subscribers()
         self._now = now  # time of the latest call
         self._proposed_at: dict[int, int] = {}  # when this leader proposed each uncommitted entry
         self.recovering = True
-        self.recovery_replies: dict[str, Recalled] = {}
+        self.recovery_replies: dict[str, RecoveryReply] = {}
         self.recovery_retry_at = now
-        self.leader_heard_at = now - 2 * timing.most
+        self.leader_heard_at = now - 2 * timing.max_election_timeout
         self.recovery_nonce = self.rng.getrandbits(62)
         self.election_at = now + self._draw_election_timeout()
         self.heartbeat_at = now
-        self._actions: list[Order] = []
+        self._actions: list[ReplicaAction] = []
         self._persist(Promise(self.term, self.voted_for, self.incarnation))
         if self.snapshot.index:
             self._actions.append(Restore(self.snapshot))
@@ -198,19 +205,19 @@
 
     # ---- interface
 
-    def take(self) -> list[Order]:
+    def take(self) -> list[ReplicaAction]:
         """Actions since the last call, in order; those after a write of records wait until it is durable.
 
         Adds hints for learners that fetched lately and lack committed entries. Voters need none: replication tells
         them the commit index.
         """
-        for name in self.subscribers.hints_due(self._now, self.commit, self.dates.index):
-            self._send_message(name, Newer(self.subscribers.hinted_index))
+        for name in self.subscribers.hints_due(self._now, self.commit, self.proposal_time.index):
+            self._send_message(name, CommitHint(self.subscribers.hinted_index))
         actions, self._actions = self._actions, []
         return actions
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry of the log, committed or not."""
         return self.snapshot.index + len(self.log)
 
@@ -225,7 +232,7 @@
     def voters(self) -> tuple[str, ...]:
         """The voters named by the newest configuration entry, committed or not."""
         for entry in reversed(self.log):
-            if entry.kind is Kind.VOTERS:
+            if entry.kind is EntryKind.VOTERS:
                 return decode_voters(entry.data)
         return self.snapshot.voters or self.initial_voters
 
@@ -234,7 +241,7 @@
         """The size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
-    def lease(self, now: int) -> bool:
+    def holds_lease(self, now: int) -> bool:
         """Whether this voter is the leader and no other can be elected yet.
 
         True while a quorum has heard it within the minimum election timeout, less twice the clock drift: until that
@@ -249,11 +256,11 @@
         )
         if len(confirmed) < self.quorum or confirmed[self.quorum - 1] < 0:
             return False
-        return now - confirmed[self.quorum - 1] < self.timing.least * (1 - 2 * self.timing.drift)
+        return now - confirmed[self.quorum - 1] < self.timing.min_election_timeout * (1 - 2 * self.timing.max_drift)
 
     def propose(self, now: int, data: bytes) -> int | None:
         """Append an entry to the log. Its index; None if this voter does not lead or too many entries wait."""
-        return self._propose(now, Entry(self.term, Kind.DATA, data))
+        return self._propose(now, Entry(self.term, EntryKind.DATA, data))
 
     def propose_voters(self, now: int, voters: Iterable[str]) -> int | None:
         """Propose voters that differ by one from the present ones. ValueError for a greater change.
@@ -263,18 +270,18 @@
         new = tuple(sorted(set(voters)))
         if len(set(new) ^ set(self.voters)) > 1 or not new:
             raise ValueError(f"voters change one at a time: {', '.join(self.voters)} to {', '.join(new)}")
-        change_pending = any(e.kind is Kind.VOTERS for e in self.log[self.commit - self.snapshot.index :])
+        change_pending = any(e.kind is EntryKind.VOTERS for e in self.log[self.commit - self.snapshot.index :])
         # until an entry of its own term is committed, another leader could still change the voters (Ongaro, 2015)
         if change_pending or self.commit < self.term_start_index:
             return None
-        return self._propose(now, Entry(self.term, Kind.VOTERS, "\n".join(new).encode()))
+        return self._propose(now, Entry(self.term, EntryKind.VOTERS, "\n".join(new).encode()))
 
     def _propose(self, now: int, entry: Entry) -> int | None:
-        if self.role is not Role.LEADER or self.last - self.commit >= MAX_UNCOMMITTED:
+        if self.role is not Role.LEADER or self.last_index - self.commit >= MAX_UNCOMMITTED:
             return None
         self._now = now
-        self._write_entries([(self.last + 1, entry)])
-        index = self.last
+        self._write_entries([(self.last_index + 1, entry)])
+        index = self.last_index
         self._proposed_at[index] = now
         self._broadcast(now)
         self._advance_commit(now)
@@ -304,27 +311,27 @@
 
     def _voters_at(self, index: int) -> tuple[str, ...]:
         for entry in reversed(self.log[: index - self.snapshot.index]):
-            if entry.kind is Kind.VOTERS:
+            if entry.kind is EntryKind.VOTERS:
                 return decode_voters(entry.data)
         return self.snapshot.voters or self.initial_voters
 
-    def fetch_reply(self, now: int, request: Since) -> News:
+    def fetch_reply(self, now: int, request: FetchRequest) -> FetchReply:
         """The committed entries that a learner lacks."""
-        dated_index, age = self.dates.told(now)
+        dated_index, age = self.proposal_time.newest_age(now)
         return fetch_reply(request, self.snapshot, self.log, self.commit, self.leader, dated_index, age)
 
     # ---- persistence
 
     def _persist(self, *records: Record) -> None:
         last = self._actions[-1] if self._actions else None
-        if isinstance(last, Keep):
-            self._actions[-1] = Keep(last.records + records, last.anew)
+        if isinstance(last, Persist):
+            self._actions[-1] = Persist(last.records + records, last.replace_all)
         else:
-            self._actions.append(Keep(records))
+            self._actions.append(Persist(records))
 
     def _persist_all(self) -> None:
         self._actions.append(
-            Keep(
+            Persist(
                 (
                     Promise(self.term, self.voted_for, self.incarnation),
                     self.floor,
@@ -335,7 +342,7 @@
             )
         )
 
-    def _vow(self, term: int, voted_for: str) -> None:
+    def _set_term(self, term: int, voted_for: str) -> None:
         if (term, voted_for) != (self.term, self.voted_for):
             self.term, self.voted_for = term, voted_for
             self._persist(Promise(term, voted_for, self.incarnation))
@@ -352,11 +359,11 @@
         return [name for name in self.voters if name != self.name]
 
     def _request_recovery(self, now: int) -> None:
-        self.recovery_retry_at = now + self.timing.heart * 2
+        self.recovery_retry_at = now + self.timing.heartbeat_interval * 2
         for name in self._other_voters():
-            self._send_message(name, Recall(self.incarnation, self.recovery_nonce))
+            self._send_message(name, RecoveryRequest(self.incarnation, self.recovery_nonce))
 
-    def _on_recovery_request(self, now: int, sender: str, message: Recall) -> None:
+    def _on_recovery_request(self, now: int, sender: str, message: RecoveryRequest) -> None:
         incarnation, nonce, known = self.peer_incarnations.get(sender, (0, -1, 0))
         if message.nonce != nonce:
             known = max(known, incarnation)
@@ -364,18 +371,18 @@
         # sent only after earlier writes are durable, so the reply states what is on disk
         self._send_message(
             sender,
-            Recalled(
+            RecoveryReply(
                 message.incarnation,
                 known,
                 self.term,
-                self.last,
-                self.term_at(self.last) or 0,
+                self.last_index,
+                self.term_at(self.last_index) or 0,
                 not self.recovering,
                 self.role is Role.LEADER,
             ),
         )
 
-    def _on_recovery_reply(self, now: int, sender: str, message: Recalled) -> None:
+    def _on_recovery_reply(self, now: int, sender: str, message: RecoveryReply) -> None:
         if message.incarnation != self.incarnation or sender not in self._other_voters():
             return
         self.recovery_replies[sender] = message
@@ -402,7 +409,7 @@
         if not all(name in self.recovery_replies for name in self._other_voters()):
             return
         newest = max(
-            (self.term_at(self.last) or 0, self.last),
+            (self.term_at(self.last_index) or 0, self.last_index),
             *((reply.last_term, reply.last_index) for reply in self.recovery_replies.values()),
         )
         if self._below_floor(*newest):
@@ -415,12 +422,12 @@
         term = max((reply.term for reply in self.recovery_replies.values()), default=0)
         known = max((one.known_incarnation for one in self.recovery_replies.values()), default=0)
         floor = max(((one.last_term, one.last_index) for one in self.recovery_replies.values()), default=(0, 0))
-        own = (self.term_at(self.last) or 0, self.last)
+        own = (self.term_at(self.last_index) or 0, self.last_index)
         # this voter may already have voted in any term that a reply names
         if term > self.term:
-            self._vow(term, "?")
+            self._set_term(term, "?")
         elif term == self.term and not self.voted_for and self.recovery_replies:
-            self._vow(term, "?")
+            self._set_term(term, "?")
         if floor > (self.floor.term, self.floor.index):
             self.floor = VoteFloor(floor[1], floor[0])
             self._persist(self.floor)
@@ -437,7 +444,7 @@
             ("term", self.term),
             ("life", self.incarnation),
             ("floor", self.floor.index),
-            ("last", self.last),
+            ("last", self.last_index),
         )
         # a leader may have been heard just before the crash, which forbids voting for the minimum election timeout
         self.leader_heard_at = now
@@ -446,7 +453,7 @@
     # ---- timers
 
     def _draw_election_timeout(self) -> int:
-        return self.rng.randint(self.timing.least, self.timing.most)
+        return self.rng.randint(self.timing.min_election_timeout, self.timing.max_election_timeout)
 
     def wake(self, now: int) -> None:
         """Run the timers that are due."""
@@ -454,7 +461,7 @@
         due = self.next_wake()
         if now - due > CLOCK_STALL_THRESHOLD:
             # the process was suspended: unread messages may include heartbeats, so do not call an election yet
-            self.election_at = max(self.election_at, now + self.timing.heart)
+            self.election_at = max(self.election_at, now + self.timing.heartbeat_interval)
         if self.recovering:
             if now >= self.recovery_retry_at:
                 self._request_recovery(now)
@@ -476,20 +483,21 @@
             peer
             for name, peer in self.peers.items()
             if name in self.voters
-            and now - self.round_sent_at.get(peer.acked_round, -self.timing.most * 9) < self.timing.most
+            and now - self.round_sent_at.get(peer.acked_round, -self.timing.max_election_timeout * 9)
+            < self.timing.max_election_timeout
         ]
         if len(responsive) + (self.name in self.voters) < self.quorum:
             self._log_event("leader steps down", ("term", self.term), ("why", "no quorum answers"))
             self._become_follower(now, "")
         else:
-            self.election_at = now + self.timing.most
+            self.election_at = now + self.timing.max_election_timeout
 
     # ---- elections
 
     def _start_election(self, now: int, pre_vote: bool) -> None:
         self.election_at = now + self._draw_election_timeout()
         self.leader = ""
-        if self._below_floor(self.term_at(self.last) or 0, self.last):
+        if self._below_floor(self.term_at(self.last_index) or 0, self.last_index):
             # perhaps no voter holds the entry behind the floor any more: ask all of them again
             self.recovery_replies.clear()
             self._request_recovery(now)
@@ -499,44 +507,46 @@
         if pre_vote:
             self.role, self.votes = Role.PRE_CANDIDATE, {self.name}
         else:
-            self._vow(self.term + 1, self.name)
+            self._set_term(self.term + 1, self.name)
             self.role, self.votes = Role.CANDIDATE, {self.name}
         term, self.vote_nonce = self.term + 1 if pre_vote else self.term, self.rng.getrandbits(62)
         for name in self._other_voters():
-            self._send_message(name, Poll(term, self.last, self.term_at(self.last) or 0, pre_vote, self.vote_nonce))
+            self._send_message(
+                name, RequestVote(term, self.last_index, self.term_at(self.last_index) or 0, pre_vote, self.vote_nonce)
+            )
         self._count_votes(now)
 
     def _below_floor(self, last_term: int, last_index: int) -> bool:
         return (last_term, last_index) < (self.floor.term, self.floor.index)
 
-    def _on_request_vote(self, now: int, sender: str, message: Poll) -> None:
+    def _on_request_vote(self, now: int, sender: str, message: RequestVote) -> None:
         # no votes while a leader is heard; the leader's lease relies on this
         if (
             self.recovering
             or sender not in self.voters
             or self.role is Role.LEADER
-            and self.lease(now)
+            and self.holds_lease(now)
             or self.role is not Role.LEADER
-            and now - self.leader_heard_at < self.timing.least
+            and now - self.leader_heard_at < self.timing.min_election_timeout
         ):
             return
         candidate_last = (message.last_term, message.last_index)
-        up_to_date = candidate_last >= (self.term_at(self.last) or 0, self.last) and not self._below_floor(
+        up_to_date = candidate_last >= (self.term_at(self.last_index) or 0, self.last_index) and not self._below_floor(
             *candidate_last
         )
         if message.pre_vote:
             granted = up_to_date and message.term > self.term
-            self._send_message(sender, Ballot(message.term if granted else self.term, True, granted, message.nonce))
+            self._send_message(sender, VoteReply(message.term if granted else self.term, True, granted, message.nonce))
             return
         if message.term > self.term:
             self._enter_term(now, message.term)
         granted = message.term == self.term and up_to_date and self.voted_for in ("", sender)
         if granted:
-            self._vow(self.term, sender)
+            self._set_term(self.term, sender)
             self.election_at = now + self._draw_election_timeout()
-        self._send_message(sender, Ballot(self.term, False, granted, message.nonce))
+        self._send_message(sender, VoteReply(self.term, False, granted, message.nonce))
 
-    def _on_vote_reply(self, now: int, sender: str, message: Ballot) -> None:
+    def _on_vote_reply(self, now: int, sender: str, message: VoteReply) -> None:
         if message.term > self.term + (1 if message.pre_vote and message.granted else 0):
             self._enter_term(now, message.term)
             return
@@ -562,7 +572,7 @@
 
     def _enter_term(self, now: int, term: int) -> None:
         """Adopt a higher term as a follower."""
-        self._vow(term, "")
+        self._set_term(term, "")
         self._become_follower(now, "")
 
     def _become_follower(self, now: int, leader: str) -> None:
@@ -575,46 +585,47 @@
 
     def _become_leader(self, now: int) -> None:
         self.role, self.leader = Role.LEADER, self.name
-        self.peers = {name: PeerProgress(self.last + 1) for name in self._other_voters()}
+        self.peers = {name: PeerProgress(self.last_index + 1) for name in self._other_voters()}
         self.round_sent_at.clear()
-        self.election_at = now + self.timing.most
-        self._log_event("leads", ("term", self.term), ("last", self.last))
-        self.term_start_index = self.last + 1
-        self._write_entries([(self.term_start_index, Entry(self.term, Kind.BEGIN, b""))])
+        self.election_at = now + self.timing.max_election_timeout
+        self._log_event("leads", ("term", self.term), ("last", self.last_index))
+        self.term_start_index = self.last_index + 1
+        self._write_entries([(self.term_start_index, Entry(self.term, EntryKind.NOOP, b""))])
         self._broadcast(now)
         self._advance_commit(now)
 
     # ---- the log
 
     def _broadcast(self, now: int) -> None:
-        self.heartbeat_at = now + self.timing.heart
+        self.heartbeat_at = now + self.timing.heartbeat_interval
         self.round += 1
         self.round_sent_at[self.round] = now
-        for round_ in [n for n, at in self.round_sent_at.items() if now - at > 4 * self.timing.most]:
+        for round_ in [n for n, at in self.round_sent_at.items() if now - at > 4 * self.timing.max_election_timeout]:
             del self.round_sent_at[round_]
         for name in self._other_voters():
             self._replicate_to(now, name)
 
     def _replicate_to(self, now: int, name: str) -> None:
-        peer = self.peers.setdefault(name, PeerProgress(self.last + 1))
+        peer = self.peers.setdefault(name, PeerProgress(self.last_index + 1))
         peer.sent_at = now
         prev = peer.next_index - 1
         term = self.term_at(prev)
         if term is None:
-            self._send_message(name, Install(self.term, self.snapshot, self.round))
+            self._send_message(name, InstallSnapshot(self.term, self.snapshot, self.round))
             return
         self._send_message(
-            name, Append(self.term, prev, term, batch(self.log, prev - self.snapshot.index), self.commit, self.round)
+            name,
+            AppendEntries(self.term, prev, term, batch(self.log, prev - self.snapshot.index), self.commit, self.round),
         )
 
-    def _on_append_entries(self, now: int, sender: str, message: Append) -> None:
+    def _on_append_entries(self, now: int, sender: str, message: AppendEntries) -> None:
         if not self._accept_leader(now, sender, message.term, message.round):
             return
         prev, own_term = message.prev_index, self.term_at(message.prev_index)
         if prev < self.snapshot.index:
             # entries up to the snapshot are committed, so the leader has the same ones
             own_term, prev = self.snapshot.term, self.snapshot.index
-            message = Append(
+            message = AppendEntries(
                 message.term,
                 prev,
                 own_term,
@@ -623,10 +634,10 @@
                 message.round,
             )
         if own_term != message.prev_term:
-            hint = min(self.last, prev - 1)
+            hint = min(self.last_index, prev - 1)
             while hint > self.commit and self.term_at(hint) == own_term and own_term is not None:
                 hint -= 1
-            self._send_message(sender, Taken(self.term, False, max(hint, self.commit), message.round))
+            self._send_message(sender, AppendReply(self.term, False, max(hint, self.commit), message.round))
             return
         new = [(prev + 1 + n, e) for n, e in enumerate(message.entries)]
         first_new = next((k for k, (index, e) in enumerate(new) if self.term_at(index) != e.term), len(new))
@@ -636,9 +647,9 @@
             self._write_entries(new[first_new:])
         last = prev + len(message.entries)
         self._commit_to(min(message.commit, last))
-        self._send_message(sender, Taken(self.term, True, last, message.round))
+        self._send_message(sender, AppendReply(self.term, True, last, message.round))
 
-    def _on_install_snapshot(self, now: int, sender: str, message: Install) -> None:
+    def _on_install_snapshot(self, now: int, sender: str, message: InstallSnapshot) -> None:
         if not self._accept_leader(now, sender, message.term, message.round):
             return
         snapshot = message.snapshot
@@ -649,24 +660,24 @@
             self.commit = self.applied = snapshot.index
             self._persist_all()
             self._actions.append(Restore(snapshot))
-        self._send_message(sender, Taken(self.term, True, snapshot.index, message.round))
+        self._send_message(sender, AppendReply(self.term, True, snapshot.index, message.round))
 
     def _accept_leader(self, now: int, sender: str, term: int, round_: int) -> bool:
         """Whether to accept a message from the leader of `term`; adopts that leader and restarts the election timer."""
         if term < self.term:
             if not self.recovering:
-                self._send_message(sender, Taken(self.term, False, self.commit, round_))
+                self._send_message(sender, AppendReply(self.term, False, self.commit, round_))
             return False
         if self.recovering:
             return False  # an acknowledgement could break a promise that was lost with the store
         if term > self.term:
-            self._vow(term, "")
+            self._set_term(term, "")
         self._become_follower(now, sender)
         self.leader_heard_at = now
         self.election_at = now + self._draw_election_timeout()
         return True
 
-    def _on_append_reply(self, now: int, sender: str, message: Taken) -> None:
+    def _on_append_reply(self, now: int, sender: str, message: AppendReply) -> None:
         if message.term > self.term:
             self._enter_term(now, message.term)
             return
@@ -684,8 +695,8 @@
             peer.next_index = max(peer.match_index + 1, min(message.index + 1, peer.next_index - 1))
         if (
             self.role is Role.LEADER
-            and peer.next_index <= self.last
-            and (not message.success or message.index < self.last)
+            and peer.next_index <= self.last_index
+            and (not message.success or message.index < self.last_index)
         ):
             self._replicate_to(now, sender)
 
@@ -695,7 +706,7 @@
             voters = self.voters
             match_indices = sorted(
                 [
-                    self.last if name == self.name else self.peers[name].match_index if name in self.peers else 0
+                    self.last_index if name == self.name else self.peers[name].match_index if name in self.peers else 0
                     for name in voters
                 ],
                 reverse=True,
@@ -715,7 +726,7 @@
             self.applied += 1
             proposed_at = self._proposed_at.pop(self.applied, None)
             if proposed_at is not None:
-                self.dates.know(self.applied, proposed_at)
+                self.proposal_time.record(self.applied, proposed_at)
             self._actions.append(Apply(self.applied, self.log[self.applied - self.snapshot.index - 1]))
 
     # ---- messages
@@ -723,32 +734,32 @@
     def hear(self, now: int, sender: str, message: Message) -> None:
         """Handle a message from another gateway."""
         self._now = now
-        if isinstance(message, Since):
+        if isinstance(message, FetchRequest):
             self._send_message(sender, self.fetch_reply(now, message))
             if sender not in self.voters:
-                self.subscribers.subscribe(now, sender, min(self.commit, self.dates.index))
-        elif isinstance(message, Recall):
+                self.subscribers.subscribe(now, sender, min(self.commit, self.proposal_time.index))
+        elif isinstance(message, RecoveryRequest):
             self._on_recovery_request(now, sender, message)
-        elif isinstance(message, Recalled):
+        elif isinstance(message, RecoveryReply):
             self._on_recovery_reply(now, sender, message)
-        elif isinstance(message, Append):
+        elif isinstance(message, AppendEntries):
             self._on_append_entries(now, sender, message)
-        elif isinstance(message, Install):
+        elif isinstance(message, InstallSnapshot):
             self._on_install_snapshot(now, sender, message)
         elif self.recovering:
             return
-        elif isinstance(message, Poll):
+        elif isinstance(message, RequestVote):
             self._on_request_vote(now, sender, message)
-        elif isinstance(message, Ballot):
+        elif isinstance(message, VoteReply):
             self._on_vote_reply(now, sender, message)
-        elif isinstance(message, Taken):
+        elif isinstance(message, AppendReply):
             self._on_append_reply(now, sender, message)
 
     def _send_message(self, to: str, message: Message) -> None:
-        self._actions.append(Say(to, message))
+        self._actions.append(SendMessage(to, message))
 
     def _log_event(self, event: str, *fields: tuple[str, str | int]) -> None:
-        self._actions.append(Tell(event, fields))
+        self._actions.append(ReplicaLogLine(event, fields))
 
 
 def decode_voters(data: bytes) -> tuple[str, ...]:
@@ -769,13 +780,15 @@
 
 
 def fetch_reply(
-    request: Since, snapshot: Snapshot, log: list[Entry], commit: int, leader: str, dated_index: int, age: int
-) -> News:
+    request: FetchRequest, snapshot: Snapshot, log: list[Entry], commit: int, leader: str, dated_index: int, age: int
+) -> FetchReply:
     """The committed entries after the requested index; preceded by the snapshot if the log starts later."""
     committed = log[: max(0, commit - snapshot.index)]
     if request.index < snapshot.index:
-        return News(snapshot, snapshot.index, batch(committed, 0), commit, leader, dated_index, age, request.ask)
-    return News(
+        return FetchReply(
+            snapshot, snapshot.index, batch(committed, 0), commit, leader, dated_index, age, request.request_id
+        )
+    return FetchReply(
         None,
         request.index,
         batch(committed, request.index - snapshot.index),
@@ -783,11 +796,11 @@
         leader,
         dated_index,
         age,
-        request.ask,
+        request.request_id,
     )
 
 
-class Dates:
+class ProposalTime:
     """The earliest possible proposal time, on this gateway's clock, of the newest entry for which one is known.
 
     Gateways' clocks are not comparable, and a message may wait in a socket for long. But a gateway knows when it sent
@@ -800,11 +813,11 @@
         self.index = 0
         self.at = 0
 
-    def know(self, index: int, at: int) -> None:
+    def record(self, index: int, at: int) -> None:
         """Note that the entry `index` was proposed at `at` or later."""
         if index > self.index or index == self.index and at > self.at:
             self.index, self.at = index, at
 
-    def told(self, now: int) -> tuple[int, int]:
+    def newest_age(self, now: int) -> tuple[int, int]:
         """The index of the newest entry whose age is known, and its greatest possible age (ns); (0, 0) if none."""
         return self.index, max(0, now - self.at) if self.index else 0
--- a/copperyard/state/ledger.py
+++ b/copperyard/state/durable_state.py
@@ -10,11 +10,20 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from .facts import Began, Carried, Cleared, Ended, Fact, Listed, Passed, Redeemed
+from .facts import (
+    CodeCleared,
+    CodeRedeemed,
+    CodeSent,
+    Fact,
+    HostListStored,
+    ProcessStarted,
+    ProcessStopped,
+    TimeAdvanced,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class CodeRecord:
     """What is stored of one code.
 
     With a receipt the code is redeemed. Without one, `request` was sent with it to `host`, with unknown outcome.
@@ -27,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class State:
+class DurableState:
     """Everything that a gateway must remember.
 
     `codes` are in the order of their newest fact, oldest first; `service_time` is that of the newest fact. `body` is
@@ -35,7 +44,7 @@
     stopped as planned; `spent` are then the ages (ns) of its last retries.
     """
 
-    codes: dict[bytes, Kept] = field(default_factory=dict)
+    codes: dict[bytes, CodeRecord] = field(default_factory=dict)
     service_time: int = 0
     label: str = ""
     generation: str = ""
@@ -47,23 +56,23 @@
     def apply(self, fact: Fact) -> None:
         """Update the state by a fact."""
         self.service_time = max(self.service_time, fact.at)
-        if isinstance(fact, Carried):
-            self._store(fact.code, Kept(fact.at, None, fact.request, fact.host))
-        elif isinstance(fact, Redeemed):
-            self._store(fact.code, Kept(fact.at, fact.receipt))
-        elif isinstance(fact, Cleared):
+        if isinstance(fact, CodeSent):
+            self._store(fact.code, CodeRecord(fact.at, None, fact.request, fact.host))
+        elif isinstance(fact, CodeRedeemed):
+            self._store(fact.code, CodeRecord(fact.at, fact.receipt))
+        elif isinstance(fact, CodeCleared):
             self.codes.pop(fact.code, None)
-        elif isinstance(fact, Listed):
+        elif isinstance(fact, HostListStored):
             self.body = fact.body
-        elif isinstance(fact, Began):
+        elif isinstance(fact, ProcessStarted):
             self.label, self.generation, self.ended, self.spent = fact.label, fact.generation, False, ()
             self.lives = max(self.lives, fact.life)
-        elif isinstance(fact, Ended):
+        elif isinstance(fact, ProcessStopped):
             self.ended, self.spent = True, fact.spent
         else:
-            assert isinstance(fact, Passed)
+            assert isinstance(fact, TimeAdvanced)
 
-    def _store(self, code: bytes, record: Kept) -> None:
+    def _store(self, code: bytes, record: CodeRecord) -> None:
         # removed first, so that the dict stays ordered by newest fact
         self.codes.pop(code, None)
         self.codes[code] = record
@@ -85,21 +94,21 @@
     def facts(self) -> Iterator[Fact]:
         """Facts that add up to this state. Codes may be added and removed while it is iterated; see the module."""
         if self.lives:
-            yield Began(0, self.label, self.generation, self.lives)
+            yield ProcessStarted(0, self.label, self.generation, self.lives)
         if self.body:
-            yield Listed(0, self.body)
+            yield HostListStored(0, self.body)
         for code in list(self.codes):
             record = self.codes.get(code)
             if record is None:
                 continue
             if record.receipt is not None:
-                yield Redeemed(record.at, code, record.receipt)
+                yield CodeRedeemed(record.at, code, record.receipt)
             else:
-                yield Carried(record.at, code, record.request, record.host)
+                yield CodeSent(record.at, code, record.request, record.host)
         if self.ended and self.lives:
-            yield Ended(self.service_time, self.spent)
-        yield Passed(self.service_time)
+            yield ProcessStopped(self.service_time, self.spent)
+        yield TimeAdvanced(self.service_time)
 
-    def unclear(self) -> dict[bytes, Kept]:
+    def unclear(self) -> dict[bytes, CodeRecord]:
         """The codes that may or may not have been redeemed."""
         return {code: kept for code, kept in self.codes.items() if kept.receipt is None}
--- a/copperyard/state/facts.py
+++ b/copperyard/state/facts.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class ProcessStarted:
     """A process started on this state, for the `life`-th time. `generation` names its settings.
 
     `label` is the front's name during this run.
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class CodeSent:
     """A set-up with a code is about to be sent to a host; from now on the code may be redeemed.
 
     `request` is its Request-Id, `host` the name of the host.
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Redeemed:
+class CodeRedeemed:
     """A host confirmed that it redeemed the code, with this receipt."""
 
     at: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cleared:
+class CodeCleared:
     """The last set-up with the code is known not to have run: the code is unused."""
 
     at: int
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class HostListStored:
     """The complete list of hosts as known now, in the format of the list service."""
 
     at: int
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class ProcessStopped:
     """The process stopped as planned. `spent`: the ages (ns) of the retries in the last budget window."""
 
     at: int
@@ -86,22 +86,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class TimeAdvanced:
     """Service time has advanced; written periodically so that a kill loses little of it."""
 
     at: int
 
 
-Fact = Began | Carried | Redeemed | Cleared | Listed | Ended | Passed
+Fact = ProcessStarted | CodeSent | CodeRedeemed | CodeCleared | HostListStored | ProcessStopped | TimeAdvanced
 
 _KINDS: dict[int, Callable[..., Fact]] = {
-    1: Began,
-    2: Carried,
-    3: Redeemed,
-    4: Cleared,
-    5: Listed,
-    6: Ended,
-    7: Passed,
+    1: ProcessStarted,
+    2: CodeSent,
+    3: CodeRedeemed,
+    4: CodeCleared,
+    5: HostListStored,
+    6: ProcessStopped,
+    7: TimeAdvanced,
 }
 _NUMBERS: dict[Callable[..., Fact], int] = {kind: number for number, kind in _KINDS.items()}
 # by annotation as it is written in the classes above
@@ -145,10 +145,10 @@
     values = raw[1 : 1 + len(types)]
     if tuple(map(type, values)) != types:
         raise FactError(_type_error(kind, values, types))
-    if kind is Ended:
+    if kind is ProcessStopped:
         if not all(type(x) is int for x in values[-1]):
             raise FactError("Ended.spent holds what is no whole number")
-        return Ended(values[0], tuple(values[1]))
+        return ProcessStopped(values[0], tuple(values[1]))
     return kind(*values)
 
 
--- a/copperyard/state/frames.py
+++ b/copperyard/state/file_format.py
@@ -23,20 +23,20 @@
 
 from .facts import MAJOR, MAX_RECORD_BYTES, MINOR
 
-MAGIC_S, SNAPSHOT_MAGIC, TRAILER_MAGIC = b"CYJS", b"CYJP", b"CYJE"
+SEGMENT_MAGIC, SNAPSHOT_MAGIC, TRAILER_MAGIC = b"CYJS", b"CYJP", b"CYJE"
 MAX_SCAN_BYTES = 1 << 20  # searched for an intact record behind an unreadable one
 _HEAD = struct.Struct("<4sBBQQ")
 _CHECK = struct.Struct("<Q")
 _RECORD = struct.Struct("<IQ")
 _SEQUENCE = struct.Struct("<Q")
 _TAIL = struct.Struct("<4sQ")
-END = b"\xa5"
+RECORD_END = b"\xa5"
 TAIL_SIZE = _TAIL.size + _CHECK.size
 HEAD_SIZE = _HEAD.size + _CHECK.size
-RECORD_SIZE = _RECORD.size + _SEQUENCE.size + len(END)  # of a record with an empty payload
+RECORD_SIZE = _RECORD.size + _SEQUENCE.size + len(RECORD_END)  # of a record with an empty payload
 
 
-class BadFrame(ValueError):
+class FileFormatError(ValueError):
     """Not a valid segment or snapshot. `newer`: written in a newer schema that this program cannot read."""
 
     def __init__(self, text: str, newer: bool = False) -> None:
@@ -75,7 +75,7 @@
 
 def segment_head(number: int, first: int) -> bytes:
     """The header of segment `number`; `first` is the sequence of its first record."""
-    return _head(MAGIC_S, number, first)
+    return _head(SEGMENT_MAGIC, number, first)
 
 
 def record(sequence: int, payload: bytes) -> bytes:
@@ -83,7 +83,7 @@
     if len(payload) > MAX_RECORD_BYTES:
         raise ValueError(f"a record of {len(payload)} bytes: at most {MAX_RECORD_BYTES} are kept")
     body = sequence.to_bytes(8, "little") + payload
-    return _RECORD.pack(len(payload), _sum(body)) + body + END
+    return _RECORD.pack(len(payload), _sum(body)) + body + RECORD_END
 
 
 def snapshot_head(last: int) -> bytes:
@@ -100,14 +100,14 @@
 def read_head(data: bytes, magic: bytes) -> Head:
     """Parse the header of a file. FileFormatError if it is invalid."""
     if len(data) < HEAD_SIZE:
-        raise BadFrame(f"only {len(data)} bytes of a header of {HEAD_SIZE}")
+        raise FileFormatError(f"only {len(data)} bytes of a header of {HEAD_SIZE}")
     found, major, minor, number, first = _HEAD.unpack_from(data)
     if found != magic:
-        raise BadFrame(f"begins with {found!r}, not {magic!r}")
+        raise FileFormatError(f"begins with {found!r}, not {magic!r}")
     if _CHECK.unpack_from(data, _HEAD.size)[0] != _sum(bytes(data[: _HEAD.size])):
-        raise BadFrame("its header's check does not hold")
+        raise FileFormatError("its header's check does not hold")
     if major != MAJOR:
-        raise BadFrame(f"schema {major}.{minor}; this program reads {MAJOR}.x", newer=major > MAJOR)
+        raise FileFormatError(f"schema {major}.{minor}; this program reads {MAJOR}.x", newer=major > MAJOR)
     return Head(number, first, minor)
 
 
@@ -131,7 +131,7 @@
         offset = end + 1
 
 
-def whole_after(data: bytes, offset: int, beyond: int) -> int | None:
+def find_intact_record(data: bytes, offset: int, beyond: int) -> int | None:
     """The sequence, above `beyond`, of an intact record somewhere after `offset`; None if there is none.
 
     A torn write leaves no intact record behind it, so one that is found shows that the bytes before it were damaged.
@@ -155,17 +155,17 @@
         or data[at : at + len(TRAILER_MAGIC)] != TRAILER_MAGIC
         or _CHECK.unpack_from(data, at + _TAIL.size)[0] != _sum(data[at : at + _TAIL.size])
     ):
-        raise BadFrame("unfinished: it has no trailer")
+        raise FileFormatError("unfinished: it has no trailer")
     count = 0
     for found in records(data[:at]):
         if isinstance(found, str):
-            raise BadFrame(found)
+            raise FileFormatError(found)
         count += 1
         if found.sequence != count:
-            raise BadFrame(f"record {count} is numbered {found.sequence}")
+            raise FileFormatError(f"record {count} is numbered {found.sequence}")
         yield found
     if count != _TAIL.unpack_from(data, at)[1]:
-        raise BadFrame(f"{count} records of {_TAIL.unpack_from(data, at)[1]}")
+        raise FileFormatError(f"{count} records of {_TAIL.unpack_from(data, at)[1]}")
 
 
 def segment_name(number: int) -> str:
--- a/copperyard/state/book.py
+++ b/copperyard/state/journal_writer.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 
 from .clock import ServiceClock
-from .facts import Began, Ended, Fact, Passed, encode
-from .frames import record, segment_head, segment_name, snapshot_head, snapshot_name, snapshot_tail
+from .facts import Fact, ProcessStarted, ProcessStopped, TimeAdvanced, encode
+from .file_format import record, segment_head, segment_name, snapshot_head, snapshot_name, snapshot_tail
 from .recovery import Recovery
 
 SECOND = 1_000_000_000
@@ -76,7 +76,7 @@
     failures: int = 0
 
 
-class Book:
+class JournalWriter:
     """Writes the journal during one run of a gateway.
 
     `now` is the event loop's clock in ns, `downtime` how long the state was out of service by the wall clock. With
@@ -88,15 +88,15 @@
     ) -> None:
         self.state = recovery.state
         self.clock = ServiceClock(recovery.state.service_time, downtime, now)
-        self.tally = JournalStats()
-        self.ailing = ""
+        self.stats = JournalStats()
+        self.degraded = ""
         self._sequence = self._durable = recovery.sequence
         self._pending = bytearray()
         self._pending_end = recovery.sequence
         self._in_flight_end = recovery.sequence
         self._segment_number, self._segment_size = recovery.segment, 0
         self._segment_file = ""  # the open segment; empty before the first one and after a failure
-        self._busy: dict[str, Step | None] = {"commit": None, "chore": None}
+        self._in_flight: dict[str, Step | None] = {"commit": None, "chore": None}
         self._records_since_snapshot = recovery.replayed
         self._leftover_parts = [name for name in recovery.files if name.endswith(PART_SUFFIX)]
         self._files = [name for name in recovery.files if not name.endswith(PART_SUFFIX)]
@@ -107,11 +107,11 @@
         self._closing = False
         self._time_recorded_at = now
         if begins:
-            self.write(now, Began(self.clock.at(now), label, generation, recovery.state.lives + 1))
+            self.write(now, ProcessStarted(self.clock.at(now), label, generation, recovery.state.lives + 1))
 
     # ---- facts
 
-    def at(self, now: int) -> int:
+    def service_time(self, now: int) -> int:
         """Service time (ns) of a moment of the loop's clock."""
         return self.clock.at(now)
 
@@ -120,8 +120,8 @@
         self.state.apply(fact)
         self._sequence += 1
         self._records_since_snapshot += 1
-        self.tally.facts += 1
-        if self.ailing and self._retry_at is not None:
+        self.stats.facts += 1
+        if self.degraded and self._retry_at is not None:
             return self._sequence  # the repairing snapshot will contain it
         if len(self._pending) >= MAX_PENDING_BYTES:
             # a hanging disk neither completes nor fails: stop collecting for it, a later snapshot contains everything
@@ -141,20 +141,20 @@
         return self._sequence
 
     @property
-    def well(self) -> bool:
+    def healthy(self) -> bool:
         """Whether a fact written now can be expected to become durable soon."""
-        return not self.ailing and len(self._pending) < MAX_PENDING_BYTES
+        return not self.degraded and len(self._pending) < MAX_PENDING_BYTES
 
     def close(self, now: int, spent: tuple[int, ...]) -> int:
         """Record a planned stop with the ages of the last retries; its sequence number."""
         self._closing = True
-        return self.write(now, Ended(self.at(now), spent))
+        return self.write(now, ProcessStopped(self.service_time(now), spent))
 
     # ---- steps
 
-    def commit(self, now: int) -> Step | None:
+    def commit_step(self, now: int) -> Step | None:
         """The next step of the commit queue; None if there is none or one is in flight."""
-        if self._busy["commit"] is not None or self.ailing:
+        if self._in_flight["commit"] is not None or self.degraded:
             return None
         if self._repair_sequence and not self._closing:
             return None
@@ -170,20 +170,20 @@
             self._pending.clear()
         elif now - self._time_recorded_at > TIME_RECORD_INTERVAL and not self._closing:
             self._time_recorded_at = now
-            self.write(now, Passed(self.at(now)))
-            return self.commit(now)
-        self._busy["commit"] = step
+            self.write(now, TimeAdvanced(self.service_time(now)))
+            return self.commit_step(now)
+        self._in_flight["commit"] = step
         return step
 
     def wants_background(self, now: int) -> bool:
         """Whether the background queue may have a step."""
-        if self._busy["chore"] is not None or self.ailing and self._busy["commit"] is not None:
+        if self._in_flight["chore"] is not None or self.degraded and self._in_flight["commit"] is not None:
             return False  # the end of the segment is unknown while a commit is in flight
-        if self.ailing and not self._repair_sequence and self._retry_at is not None and now < self._retry_at:
+        if self.degraded and not self._repair_sequence and self._retry_at is not None and now < self._retry_at:
             return False
         return self._background_steps is not None or bool(self._leftover_parts) or self._wants_snapshot()
 
-    def chore(self, now: int) -> Step | None:
+    def background_step(self, now: int) -> Step | None:
         """The next step of the background queue. Encoding it may take a millisecond."""
         if not self.wants_background(now):
             return None
@@ -195,17 +195,17 @@
             step = next(self._background_steps, None) if self._background_steps is not None else None
             if step is None:
                 self._background_steps = None
-        self._busy["chore"] = step
+        self._in_flight["chore"] = step
         return step
 
     def wake_at(self, now: int) -> int:
         """When to ask for steps again even if nothing was written."""
-        if self.ailing and self._retry_at is not None and now < self._retry_at:
+        if self.degraded and self._retry_at is not None and now < self._retry_at:
             return self._retry_at
         return now + TIME_RECORD_INTERVAL
 
     def _wants_snapshot(self) -> bool:
-        if self.ailing:
+        if self.degraded:
             return True
         due = self._records_since_snapshot >= max(
             MIN_SNAPSHOT_RECORDS, SNAPSHOT_RECORDS_PER_CODE * len(self.state.codes)
@@ -223,7 +223,7 @@
 
         Facts written meanwhile may or may not be in it; recovery replays them over it.
         """
-        if self.ailing:
+        if self.degraded:
             # pending records may be in no reliable file: the snapshot has to contain all of them
             self._sequence += 1  # so that no snapshot of this number exists
             self._repair_sequence = last = self._sequence
@@ -253,7 +253,7 @@
         finally:
             if not done:
                 self._records_since_snapshot += records
-        self.tally.snapshots += 1
+        self.stats.snapshots += 1
         self._files.append(final)
         # remove what the snapshot covers, except the open segment and those begun since
         for name in covered:
@@ -264,29 +264,29 @@
 
     def done(self, queue: str, now: int) -> bool:
         """The queue's step is done. Whether more facts are durable than before."""
-        step, self._busy[queue] = self._busy[queue], None
+        step, self._in_flight[queue] = self._in_flight[queue], None
         assert step is not None
         before = self._durable
         if queue == "commit":
             if isinstance(step, Create):
-                if self.ailing:
+                if self.degraded:
                     return False  # begun before the failure: the next record has another sequence number
                 self._segment_file, self._segment_size = step.name, len(step.data)
                 self._files.append(step.name)
             elif isinstance(step, Append):
                 self._segment_size += len(step.data)
                 self._durable = max(self._durable, self._in_flight_end)
-                self.tally.commits += 1
-                self.tally.bytes += len(step.data)
+                self.stats.commits += 1
+                self.stats.bytes += len(step.data)
         elif isinstance(step, Rename) and self._repair_sequence:
             self._durable, self._repair_sequence = max(self._durable, self._repair_sequence), 0
-            self.ailing, self._retry_wait = "", MIN_RETRY_WAIT
+            self.degraded, self._retry_wait = "", MIN_RETRY_WAIT
         return self._durable > before
 
     def failed(self, queue: str, reason: str, now: int) -> None:
         """The queue's step failed: its data counts as lost, the contents of its file as unknown."""
-        self._busy[queue] = None
-        self.tally.failures += 1
+        self._in_flight[queue] = None
+        self.stats.failures += 1
         if queue == "chore":
             self._background_steps = None
             if not self._repair_sequence:
@@ -297,7 +297,7 @@
         """Stop writing to any file until the whole state is in a new snapshot."""
         self._segment_file, self._repair_sequence = "", 0
         self._pending.clear()  # `state` contains all of it, so the snapshot will
-        self.ailing = reason
+        self.degraded = reason
         self._background_steps = None
         self._retry_at = now + self._retry_wait
         self._retry_wait = min(MAX_RETRY_WAIT, 2 * self._retry_wait)
--- a/copperyard/state/recovery.py
+++ b/copperyard/state/recovery.py
@@ -11,23 +11,23 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from .durable_state import DurableState
 from .facts import FactError, decode
-from .frames import (
-    END,
+from .file_format import (
     HEAD_SIZE,
-    MAGIC_S,
+    RECORD_END,
     RECORD_SIZE,
+    SEGMENT_MAGIC,
     SNAPSHOT_MAGIC,
-    BadFrame,
+    FileFormatError,
     Head,
     Record,
+    find_intact_record,
     parse_file_name,
     read_head,
     records,
     snapshot_records,
-    whole_after,
 )
-from .ledger import State
 
 ReadFile = Callable[[str], bytes]
 
@@ -50,7 +50,7 @@
     schema is too new for this program.
     """
 
-    state: State = field(default_factory=State)
+    state: DurableState = field(default_factory=DurableState)
     sequence: int = 0
     segment: int = 0
     replayed: int = 0
@@ -103,20 +103,20 @@
         try:
             data = read(name)
             if read_head(data, SNAPSHOT_MAGIC).first != last:
-                raise BadFrame("its name and its header do not agree")
-            state = State()
+                raise FileFormatError("its name and its header do not agree")
+            state = DurableState()
             for record in snapshot_records(data):
                 _apply_record(recovery, state, record)
             recovery.state, recovery.sequence, recovery.snapshot = state, last, name
             return bad_snapshots
-        except (BadFrame, FactError) as error:
-            if isinstance(error, BadFrame) and error.newer:
+        except (FileFormatError, FactError) as error:
+            if isinstance(error, FileFormatError) and error.newer:
                 recovery.newer = name
             bad_snapshots.append((last, Dropped(name, str(error), True)))
     return bad_snapshots
 
 
-def _apply_record(recovery: Recovery, state: State, record: Record) -> None:
+def _apply_record(recovery: Recovery, state: DurableState, record: Record) -> None:
     fact = decode(record.payload)
     if fact is None:
         recovery.unknown += 1
@@ -130,8 +130,8 @@
         last = place == len(segments) - 1
         data = read(name)
         try:
-            head = read_head(data, MAGIC_S)
-        except BadFrame as error:
+            head = read_head(data, SEGMENT_MAGIC)
+        except FileFormatError as error:
             if error.newer:
                 recovery.newer = name
                 return
@@ -188,8 +188,8 @@
         return
     end = end or HEAD_SIZE
     # these words stand in the texts for data that is cut off
-    torn = "claims" in text or "less than" in text or not data.endswith(END)
-    intact = whole_after(data, end, recovery.sequence)
+    torn = "claims" in text or "less than" in text or not data.endswith(RECORD_END)
+    intact = find_intact_record(data, end, recovery.sequence)
     if intact is not None:
         text += f", though record {intact} behind it is whole"
     recovery.dropped.append(Dropped(name, text, intact is not None or not torn))
--- a/tests/agreement/helpers.py
+++ b/tests/agreement/helpers.py
@@ -3,10 +3,10 @@
 from typing import Any
 
 from copperyard.lab.sites.events import Events, Manner
-from copperyard.state.agreement import council, follow
-from copperyard.state.agreement.council import Beat, Council, Kept
-from copperyard.state.agreement.follow import Follower
-from copperyard.state.agreement.messages import Ballot, Kind
+from copperyard.state.agreement import learner, replica
+from copperyard.state.agreement.learner import Learner
+from copperyard.state.agreement.messages import EntryKind, VoteReply
+from copperyard.state.agreement.replica import ElectionTiming, PersistentState, Replica
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -14,13 +14,13 @@
 class ReplicaNode:
     """A voter with its stored records, which outlive it."""
 
-    def __init__(self, world, name, store, make=Council, trusted=False):
+    def __init__(self, world, name, store, make=Replica, trusted=False):
         self.world, self.name, self.store = world, name, store
         world.starts += 1
         self.core = make(
             name,
             world.voters,
-            Kept.read(store),
+            PersistentState.read(store),
             world.beat,
             world.seed * 1009 + world.starts,
             world.time(name),
@@ -41,18 +41,18 @@
         out = []
         while orders := self.core.take():
             for order in orders:
-                if isinstance(order, council.Keep):
-                    if order.anew:
+                if isinstance(order, replica.Persist):
+                    if order.replace_all:
                         self.store.clear()
                     self.store.extend(order.records)
-                elif isinstance(order, council.Say):
+                elif isinstance(order, replica.SendMessage):
                     out.append((order.to, order.message))
-                    if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre_vote:
+                    if isinstance(order.message, VoteReply) and order.message.granted and not order.message.pre_vote:
                         self.world.voted(self.name, order.message.term, order.to)
-                elif isinstance(order, council.Apply):
+                elif isinstance(order, replica.Apply):
                     self.world.applied(self.name, order.index, order.entry)
                     self.applied[order.index] = order.entry
-                elif isinstance(order, council.Restore):
+                elif isinstance(order, replica.Restore):
                     self.applied = {order.snapshot.index: None}
             if self.core.wants_snapshot:
                 self.core.compact(b"all up to %d" % self.core.applied)
@@ -64,7 +64,7 @@
 
     def __init__(self, world, name, sources):
         self.world, self.name = world, name
-        self.core = Follower(lambda: sources, world.seed * 17 + len(name), world.time(name))
+        self.core = Learner(lambda: sources, world.seed * 17 + len(name), world.time(name))
 
     def hear(self, now, sender, message):
         self.core.hear(now, sender, message)
@@ -78,9 +78,9 @@
     def collect(self, now):
         out = []
         for order in self.core.take():
-            if isinstance(order, council.Say):
+            if isinstance(order, replica.SendMessage):
                 out.append((order.to, order.message))
-            elif isinstance(order, council.Apply):
+            elif isinstance(order, replica.Apply):
                 self.world.applied(self.name, order.index, order.entry)
         if self.core.wants_snapshot:
             self.core.compact(b"all")
@@ -93,10 +93,10 @@
     `stores` are the stored records of each voter, `copies` older states of them.
     """
 
-    def __init__(self, seed=1, voters=3, manner=None, beat=None, make=Council):
+    def __init__(self, seed=1, voters=3, manner=None, beat=None, make=Replica):
         self.seed, self.make = seed, make
         self.voters = tuple(f"v{n}" for n in range(voters))
-        self.beat = beat or Beat()
+        self.beat = beat or ElectionTiming()
         self.net = Events(seed, manner or Manner())
         self.stores: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.copies: dict[str, list[Any]] = {name: [] for name in self.voters}
@@ -121,14 +121,16 @@
         return [name for name in self.voters if name in self.net.nodes]
 
     def leader(self):
-        found = [n for n in self.up() if self.core(n).role is council.Role.LEADER and self.core(n).lease(self.time(n))]
+        found = [
+            n for n in self.up() if self.core(n).role is replica.Role.LEADER and self.core(n).holds_lease(self.time(n))
+        ]
         return found[0] if found else None
 
     def propose(self, data=None):
         """Propose an entry to every voter that believes it leads."""
         for name in self.up():
             core = self.core(name)
-            if core.role is council.Role.LEADER:
+            if core.role is replica.Role.LEADER:
                 self.proposed += 1
                 core.propose(self.time(name), data or b"d%d" % self.proposed)
                 self.net._turn(name)
@@ -145,23 +147,23 @@
         leases = []
         for name in self.up():
             core = self.core(name)
-            if core.role is council.Role.LEADER:
+            if core.role is replica.Role.LEADER:
                 known = self.leaders.setdefault(core.term, name)
                 assert known == name, f"two leaders in term {core.term}: {known}, {name}"
                 self.voted(name, core.term, name)
-                if core.lease(self.time(name)):
+                if core.holds_lease(self.time(name)):
                     leases.append(name)
         assert len(leases) < 2, f"two hold a lease: {leases}"
 
     def data(self):
-        return [e.data for _, e in sorted(self.history.items()) if e.kind is Kind.DATA]
+        return [e.data for _, e in sorted(self.history.items()) if e.kind is EntryKind.DATA]
 
 
 __all__ = [
     "MS",
     "SECOND",
-    "Beat",
-    "Council",
+    "ElectionTiming",
+    "Replica",
     "Events",
     "LearnerNode",
     "Manner",
--- a/tests/agreement/model.py
+++ b/tests/agreement/model.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from copperyard.state.agreement import council
-from copperyard.state.agreement.council import Beat, Council, Kept, Role
-from copperyard.state.agreement.messages import Ballot
+from copperyard.state.agreement import replica
+from copperyard.state.agreement.messages import VoteReply
+from copperyard.state.agreement.replica import ElectionTiming, PersistentState, Replica, Role
 
 VOTERS = ("a", "b", "c")
 SECOND = 1_000_000_000
@@ -64,7 +64,7 @@
 
     def begin(self, name, trusted):
         self.starts += 1
-        core = self.make(name, VOTERS, Kept.read(self.stores[name]), Beat(), 1, self.now, trusted)
+        core = self.make(name, VOTERS, PersistentState.read(self.stores[name]), ElectionTiming(), 1, self.now, trusted)
         core.rng = FixedDraws(self.starts)
         core.recovery_nonce = self.starts
         self.cores[name] = core
@@ -73,15 +73,15 @@
     def collect(self, name):
         core = self.cores[name]
         for order in core.take():
-            if isinstance(order, council.Keep):
-                if order.anew:
+            if isinstance(order, replica.Persist):
+                if order.replace_all:
                     self.stores[name].clear()
                 self.stores[name].extend(order.records)
-            elif isinstance(order, council.Say):
+            elif isinstance(order, replica.SendMessage):
                 self.links[name, order.to] += (order.message,)
-                if isinstance(order.message, Ballot) and order.message.granted and not order.message.pre_vote:
+                if isinstance(order.message, VoteReply) and order.message.granted and not order.message.pre_vote:
                     self.vote(name, order.message.term, order.to)
-            elif isinstance(order, council.Apply):
+            elif isinstance(order, replica.Apply):
                 known = self.history.setdefault(order.index, order.entry)
                 if known != order.entry:
                     raise Broken(f"{order.index} is {known} and {order.entry}")
@@ -165,7 +165,7 @@
         self.collect(of)
 
 
-def explore(make=Council, bounds=None, most=200_000, seconds=60.0):
+def explore(make=Replica, bounds=None, most=200_000, seconds=60.0):
     """Explore up to `most` states within the bounds: (states, whether these were all). Broken names its path."""
     seen = set()
     stack = [(pickle.dumps(State(make, bounds or Bounds())), ())]
--- a/tests/agreement/random_faults.py
+++ b/tests/agreement/random_faults.py
@@ -4,10 +4,10 @@
 
 import random
 
-from tests.agreement.helpers import MS, SECOND, Council, Manner, World
+from tests.agreement.helpers import MS, SECOND, Manner, Replica, World
 
 
-def run_random_faults(seed, make=Council, steps=40, bad_stores=True):
+def run_random_faults(seed, make=Replica, steps=40, bad_stores=True):
     """Run it and return the world. AssertionError if an invariant breaks or nothing can be committed at the end.
 
     A log store is lost, or replaced by an older copy, only while all other voters hold everything: the voters survive
@@ -39,7 +39,7 @@
             and bad_stores
             and len(world.up()) == len(world.voters)
             and all(
-                not world.core(x).recovering and world.core(x).last >= max(world.history, default=0)
+                not world.core(x).recovering and world.core(x).last_index >= max(world.history, default=0)
                 for x in world.voters
             )
         ):
--- a/tests/agreement/test_follow.py
+++ b/tests/agreement/test_learner.py
@@ -6,11 +6,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from copperyard.state.agreement import follow, listeners
-from copperyard.state.agreement.council import Council, Dates, Kept, Say, fetch_reply
-from copperyard.state.agreement.follow import Follower, Questions
-from copperyard.state.agreement.listeners import Subscribers
-from copperyard.state.agreement.messages import Append, Entry, Kind, Newer, News, Since, Snapshot, Taken
+from copperyard.state.agreement import learner, subscribers
+from copperyard.state.agreement.learner import Learner, PendingRequests
+from copperyard.state.agreement.messages import (
+    AppendEntries,
+    AppendReply,
+    CommitHint,
+    Entry,
+    EntryKind,
+    FetchReply,
+    FetchRequest,
+    Snapshot,
+)
+from copperyard.state.agreement.replica import PersistentState, ProposalTime, Replica, SendMessage, fetch_reply
+from copperyard.state.agreement.subscribers import Subscribers
 from tests.agreement.helpers import MS, SECOND, Manner, World, council
 
 
@@ -31,11 +40,11 @@
         return self.core.next_wake()
 
     def collect(self, now):
-        out = [(order.to, order.message) for order in self.core.take() if isinstance(order, Say)]
+        out = [(order.to, order.message) for order in self.core.take() if isinstance(order, SendMessage)]
         self.said += [(now, *one) for one in out]
         if self.core.wants_snapshot:
             self.core.compact(b"all")
-        dates = self.core.dates
+        dates = self.core.proposal_time
         if dates.index and dates.index <= self.core.applied:
             self.held.setdefault(dates.index, now)
         return out
@@ -52,7 +61,7 @@
         self.net.run(8 * SECOND)
         assert self.leader()
 
-    def follow(self, name, *sources, make=Follower):
+    def follow(self, name, *sources, make=Learner):
         """Add a learner with these sources, the best first."""
         node = Node(make(lambda: list(sources), self.seed * 1009 + len(self.followers), self.net.now), [])
         self.followers[name] = node
@@ -70,7 +79,7 @@
     def check(self, now):
         super().check(now)
         for name, node in getattr(self, "followers", {}).items():
-            dates = node.core.dates
+            dates = node.core.proposal_time
             if dates.index in self.begun:
                 assert dates.at <= self.begun[dates.index], f"{name} takes {dates.index} for younger than it is"
 
@@ -96,29 +105,31 @@
 def asked(node, name=None, since=0, until=1 << 62):
     """The times of its fetch requests."""
     return [
-        at for at, to, message in node.said if isinstance(message, Since) and name in (None, to) and since <= at < until
+        at
+        for at, to, message in node.said
+        if isinstance(message, FetchRequest) and name in (None, to) and since <= at < until
     ]
 
 
 def hinted(node, name=None):
     """The indices of the hints that it sent."""
-    return [message.index for _, to, message in node.said if isinstance(message, Newer) and name in (None, to)]
+    return [message.index for _, to, message in node.said if isinstance(message, CommitHint) and name in (None, to)]
 
 
 def entries(*indices):
-    return tuple(Entry(1, Kind.DATA, b"e%d" % n) for n in indices)
+    return tuple(Entry(1, EntryKind.DATA, b"e%d" % n) for n in indices)
 
 
 def alone(now=0, names=("a", "b", "c"), seed=1):
     """A learner without a network."""
-    return Follower(lambda: list(names), seed, now)
+    return Learner(lambda: list(names), seed, now)
 
 
 def questions(core):
     return [
         (order.to, order.message)
         for order in core.take()
-        if isinstance(order, Say) and isinstance(order.message, Since)
+        if isinstance(order, SendMessage) and isinstance(order.message, FetchRequest)
     ]
 
 
@@ -127,7 +138,7 @@
     core.hear(
         now,
         sender,
-        News(
+        FetchReply(
             None,
             core.applied,
             entries(*range(core.applied + 1, index + 1)),
@@ -145,7 +156,7 @@
     now = max(now, core.request_at)
     core.wake(now)
     [(name, since)] = questions(core)
-    answer(core, now, name, since.ask, index)
+    answer(core, now, name, since.request_id, index)
     core.take()
     return now
 
@@ -168,18 +179,18 @@
     one = Subscribers()
     one.subscribe(0, "a", 0)
     one.subscribe(4 * SECOND, "b", 0)
-    assert one.outdated(listeners.SUBSCRIPTION_PERIOD, 1) == ["b"] and len(one) == 1
-    assert one.outdated(4 * SECOND + listeners.SUBSCRIPTION_PERIOD, 2) == [] and len(one) == 0
+    assert one.outdated(subscribers.SUBSCRIPTION_PERIOD, 1) == ["b"] and len(one) == 1
+    assert one.outdated(4 * SECOND + subscribers.SUBSCRIPTION_PERIOD, 2) == [] and len(one) == 0
 
 
 def test_subscribers_are_bounded_and_the_one_with_the_oldest_request_is_dropped():
     one = Subscribers()
-    for n in range(listeners.MAX_SUBSCRIBERS):
+    for n in range(subscribers.MAX_SUBSCRIBERS):
         one.subscribe(n, f"n{n}", 0)
-    one.subscribe(listeners.MAX_SUBSCRIBERS, "n0", 0)
-    one.subscribe(listeners.MAX_SUBSCRIBERS + 1, "new", 0)
-    found = one.outdated(listeners.MAX_SUBSCRIBERS + 2, 1)
-    assert len(found) == listeners.MAX_SUBSCRIBERS and "n1" not in found and {"n0", "n2", "new"} <= set(found)
+    one.subscribe(subscribers.MAX_SUBSCRIBERS, "n0", 0)
+    one.subscribe(subscribers.MAX_SUBSCRIBERS + 1, "new", 0)
+    found = one.outdated(subscribers.MAX_SUBSCRIBERS + 2, 1)
+    assert len(found) == subscribers.MAX_SUBSCRIBERS and "n1" not in found and {"n0", "n2", "new"} <= set(found)
 
 
 def test_a_hint_waits_for_the_age_of_its_entry_but_no_longer_than_the_grace():
@@ -189,25 +200,27 @@
     assert one.hints_due(100 * MS, 5, 4) == []
     assert one.hints_due(200 * MS, 5, 5) == ["a"] and one.hinted_index == 5
     assert one.hints_due(SECOND, 5, 5) == []
-    assert one.hints_due(2 * SECOND, 6, 5) == [] and one.hints_due(2 * SECOND + listeners.GRACE - 1, 6, 5) == []
-    assert one.hints_due(2 * SECOND + listeners.GRACE, 6, 5) == ["a"] and one.hinted_index == 6
+    assert one.hints_due(2 * SECOND, 6, 5) == [] and one.hints_due(2 * SECOND + subscribers.GRACE - 1, 6, 5) == []
+    assert one.hints_due(2 * SECOND + subscribers.GRACE, 6, 5) == ["a"] and one.hinted_index == 6
     assert one.hints_due(5 * SECOND, 6, 6) == []
 
 
 def test_a_voter_hints_only_at_committed_entries():
-    core = Council("v0", ("v0", "v1", "v2"), Kept(), council.Beat(), 1, 0, trusted=True)
-    core.hear(9 * SECOND, "v1", Append(1, 0, 0, entries(1, 2), 1, 1))
-    core.dates.know(1, 9 * SECOND)
-    core.hear(9 * SECOND, "f", Since(0, 7))
-    said = [order for order in core.take() if isinstance(order, Say)]
-    assert said[1:] == [Say("f", News(None, 0, entries(1), 1, "v1", 1, 0, 7))] and isinstance(said[0].message, Taken)
-    core.hear(10 * SECOND, "v1", Append(1, 2, 1, entries(3, 4), 1, 2))
-    assert [type(o.message) for o in core.take() if isinstance(o, Say)] == [Taken]
-    core.hear(11 * SECOND, "v1", Append(1, 4, 1, (), 3, 3))
-    core.dates.know(3, 0)  # as a reply of the leader does
-    assert Say("f", Newer(3)) in core.take()  # not 4, which is not committed
-    core.hear(11 * SECOND, "v1", Append(1, 4, 1, (), 3, 4))
-    assert not [o for o in core.take() if isinstance(o, Say) and isinstance(o.message, Newer)]
+    core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), council.ElectionTiming(), 1, 0, trusted=True)
+    core.hear(9 * SECOND, "v1", AppendEntries(1, 0, 0, entries(1, 2), 1, 1))
+    core.proposal_time.record(1, 9 * SECOND)
+    core.hear(9 * SECOND, "f", FetchRequest(0, 7))
+    said = [order for order in core.take() if isinstance(order, SendMessage)]
+    assert said[1:] == [SendMessage("f", FetchReply(None, 0, entries(1), 1, "v1", 1, 0, 7))] and isinstance(
+        said[0].message, AppendReply
+    )
+    core.hear(10 * SECOND, "v1", AppendEntries(1, 2, 1, entries(3, 4), 1, 2))
+    assert [type(o.message) for o in core.take() if isinstance(o, SendMessage)] == [AppendReply]
+    core.hear(11 * SECOND, "v1", AppendEntries(1, 4, 1, (), 3, 3))
+    core.proposal_time.record(3, 0)  # as a reply of the leader does
+    assert SendMessage("f", CommitHint(3)) in core.take()  # not 4, which is not committed
+    core.hear(11 * SECOND, "v1", AppendEntries(1, 4, 1, (), 3, 4))
+    assert not [o for o in core.take() if isinstance(o, SendMessage) and isinstance(o.message, CommitHint)]
 
 
 def test_a_partitioned_leader_sends_no_hints_and_voters_get_none():
@@ -223,15 +236,15 @@
     world.run(1)
     assert heard == []
     core = world.core(name)
-    core.hear(world.net.now, "v1" if name != "v1" else "v2", Since(0, 1))
+    core.hear(world.net.now, "v1" if name != "v1" else "v2", FetchRequest(0, 1))
     assert "f" in core.subscribers._subscribers and not {*world.voters} & {*core.subscribers._subscribers}
 
 
 def test_a_voter_ignores_hints():
     for trusted in (True, False):
-        core = Council("v0", ("v0", "v1", "v2"), Kept(), council.Beat(), 1, 0, trusted=trusted)
+        core = Replica("v0", ("v0", "v1", "v2"), PersistentState(), council.ElectionTiming(), 1, 0, trusted=trusted)
         core.take()
-        core.hear(SECOND, "v1", Newer(99))
+        core.hear(SECOND, "v1", CommitHint(99))
         assert core.take() == []
 
 
@@ -241,12 +254,12 @@
 def test_the_sender_of_a_hint_is_asked_at_once():
     core = alone()
     now = told(core) + SECOND
-    core.hear(now, "c", Newer(7))
+    core.hear(now, "c", CommitHint(7))
     [(name, since)] = questions(core)
     assert name == "c" and since.index == 5
-    answer(core, now + 9 * MS, "c", since.ask, 7)
-    assert core.applied == 7 and core.dates.index == 7
-    core.hear(now + 10 * MS, "c", Newer(8))  # a sender whose hint brought entries may be asked again at once
+    answer(core, now + 9 * MS, "c", since.request_id, 7)
+    assert core.applied == 7 and core.proposal_time.index == 7
+    core.hear(now + 10 * MS, "c", CommitHint(8))  # a sender whose hint brought entries may be asked again at once
     assert [name for name, _ in questions(core)] == ["c"]
 
 
@@ -254,25 +267,25 @@
     core = alone()
     now = told(core) + SECOND
     for sender, index in (("a", 7), ("a", 7), ("b", 6), ("b", 7), ("a", 5), ("b", 2)):
-        core.hear(now, sender, Newer(index))
+        core.hear(now, sender, CommitHint(index))
     [(name, since)] = questions(core)
-    answer(core, now + 9 * MS, name, since.ask, 7)
+    answer(core, now + 9 * MS, name, since.request_id, 7)
     core.take()
     for sender, index in (("a", 7), ("b", 6), ("a", 1), ("c", 7)):
-        core.hear(now + 20 * MS, sender, Newer(index))
+        core.hear(now + 20 * MS, sender, CommitHint(index))
     assert questions(core) == []
 
 
 def test_a_hint_at_an_entry_held_without_its_age_causes_a_request():
     core = alone()
     now = told(core) + SECOND
-    core.hear(now, "a", Newer(6))
+    core.hear(now, "a", CommitHint(6))
     [(_, since)] = questions(core)
-    answer(core, now, "a", since.ask, 6, dated=5, age=2 * SECOND)
-    core.hear(now + 300 * MS, "a", Newer(6))
+    answer(core, now, "a", since.request_id, 6, dated=5, age=2 * SECOND)
+    core.hear(now + 300 * MS, "a", CommitHint(6))
     [(_, since)] = questions(core)
-    answer(core, now + 310 * MS, "a", since.ask, 6)
-    assert core.dates.index == 6
+    answer(core, now + 310 * MS, "a", since.request_id, 6)
+    assert core.proposal_time.index == 6
 
 
 def test_a_hint_during_a_pending_request_to_its_sender_is_followed_up_within_half_a_second():
@@ -281,9 +294,9 @@
     now = core.request_at
     core.wake(now)
     [(name, since)] = questions(core)
-    core.hear(now + MS, name, Newer(6))
+    core.hear(now + MS, name, CommitHint(6))
     assert questions(core) == []
-    answer(core, now + 2 * MS, name, since.ask, 5)  # sent before there was more
+    answer(core, now + 2 * MS, name, since.request_id, 5)  # sent before there was more
     assert core.next_wake() <= now + 650 * MS
 
 
@@ -294,25 +307,25 @@
     count = liar = 0
     while now < begin + 60 * SECOND:
         now += 10 * MS
-        core.hear(now, "liar", Newer(1000 + (now - begin) // (10 * MS)))
+        core.hear(now, "liar", CommitHint(1000 + (now - begin) // (10 * MS)))
         if now >= core.next_wake():
             core.wake(now)
         for name, since in questions(core):
             count += 1
             liar += name == "liar"
             if name != "liar" or answers:
-                answer(core, now, name, since.ask, 5)
+                answer(core, now, name, since.request_id, 5)
     # a hinting sender that replies is asked twice a second besides the usual requests; a silent one only now and then
     assert 25 <= count <= 60 * (2 + 2) * 1.2
-    assert 1 < liar <= (60 * 2 if answers else 60 * SECOND // follow.AVOID_PERIOD + 1)
+    assert 1 < liar <= (60 * 2 if answers else 60 * SECOND // learner.AVOID_PERIOD + 1)
 
 
 def test_many_hints_at_once_leave_few_requests_pending():
     core = alone()
     now = told(core) + SECOND
     for n in range(100):
-        core.hear(now + n, f"n{n}", Newer(10 + n))
-    assert len(questions(core)) == follow.MAX_HINTED_REQUESTS
+        core.hear(now + n, f"n{n}", CommitHint(10 + n))
+    assert len(questions(core)) == learner.MAX_HINTED_REQUESTS
 
 
 def test_two_learners_that_fetch_from_each_other_do_not_hint_forever():
@@ -358,7 +371,7 @@
             count += 1
             if answers:
                 core.progress_at = now  # so that it is not stalled
-                answer(core, now, name, since.ask, 0)
+                answer(core, now, name, since.request_id, 0)
     assert 1.6 * 60 <= count <= 2.4 * 60
 
 
@@ -438,7 +451,7 @@
     world.renew(4)
     world.net.part(["d1"], ["v0"])
     late = world.late(node, world.renew(20))
-    assert max(late) <= (follow.STALL_THRESHOLD + follow.IDLE_INTERVAL * 5 // 4) / SECOND + 1.25
+    assert max(late) <= (learner.STALL_THRESHOLD + learner.IDLE_INTERVAL * 5 // 4) / SECOND + 1.25
 
 
 class First:
@@ -463,9 +476,9 @@
         core.wake(now)
         [(name, since)] = questions(core)
         asked_of.append((now - begin, name))
-        answer(core, now, name, since.ask, 6 if name == good else 5)
-    assert now - begin <= follow.STALL_THRESHOLD + follow.IDLE_INTERVAL * 5 // 4 + 1250 * MS
-    assert {name for at, name in asked_of if at < follow.STALL_THRESHOLD} == {"a"}
+        answer(core, now, name, since.request_id, 6 if name == good else 5)
+    assert now - begin <= learner.STALL_THRESHOLD + learner.IDLE_INTERVAL * 5 // 4 + 1250 * MS
+    assert {name for at, name in asked_of if at < learner.STALL_THRESHOLD} == {"a"}
     now = core.request_at
     core.wake(now)
     assert questions(core)[0][0] == "a"
@@ -478,9 +491,9 @@
         now = core.request_at
         core.wake(now)
         [(name, since)] = questions(core)
-        answer(core, now, name, since.ask, core.applied + 1 if name == "b" else 5, commit=None)
+        answer(core, now, name, since.request_id, core.applied + 1 if name == "b" else 5, commit=None)
         if name == "a" and core.applied > 5:
-            assert core._choose_source(now, ["a", "b"], True) == "b" or now - core.progress_at < follow.SETTLED_PERIOD
+            assert core._choose_source(now, ["a", "b"], True) == "b" or now - core.progress_at < learner.SETTLED_PERIOD
 
 
 def test_the_latest_reply_times_are_kept_for_a_bounded_number_of_sources():
@@ -492,7 +505,7 @@
     for n in range(200):
         core._request(now + n, f"n{n}")
         [(to, since)] = questions(core)
-        answer(core, now + n, to, since.ask, 5)
+        answer(core, now + n, to, since.request_id, 5)
     assert core.last_reply_at("n199") == now + 199 and core.last_reply_at("n0") is None
     assert (
         max(
@@ -502,10 +515,10 @@
                 core._requested_at,
                 core._avoided_since,
                 core._hint_requested_at,
-                core.questions._pending,
+                core.requests._pending,
             )
         )
-        <= follow.MAX_TRACKED
+        <= learner.MAX_TRACKED
     )
 
 
@@ -514,16 +527,16 @@
 
 def test_the_age_in_a_reply_is_counted_from_its_own_request():
     core = alone()
-    first, second = core.questions.ask(1 * SECOND, "a"), core.questions.ask(3 * SECOND, "a")
+    first, second = core.requests.add(1 * SECOND, "a"), core.requests.add(3 * SECOND, "a")
     answer(core, 4 * SECOND, "a", first, 5, age=SECOND)
-    assert core.dates.at == 0  # proposed at 0 s or later, not 2 s
+    assert core.proposal_time.at == 0  # proposed at 0 s or later, not 2 s
     answer(core, 4 * SECOND, "a", second, 5, age=2 * SECOND)
-    assert core.dates.at == SECOND
+    assert core.proposal_time.at == SECOND
 
 
 def test_a_reply_without_a_pending_request_is_ignored():
     core = alone()
-    number = core.questions.ask(SECOND, "a")
+    number = core.requests.add(SECOND, "a")
     for sender, ask in (("b", number), ("a", number + 1), ("a", 0)):
         answer(core, SECOND, sender, ask, 5)
         assert core.applied == 0
@@ -534,29 +547,29 @@
 
 
 def test_unanswered_requests_are_forgotten():
-    one = Questions(7)
-    first = one.ask(0, "a")
+    one = PendingRequests(7)
+    first = one.add(0, "a")
     assert first == 8
-    one.ask(follow.REPLY_TIMEOUT + 1, "b")
-    assert one.answered("a", first) is None
+    one.add(learner.REPLY_TIMEOUT + 1, "b")
+    assert one.complete("a", first) is None
     for n in range(500):
-        one.ask(n, "c")
-    assert len(one._pending) <= follow.MAX_TRACKED
+        one.add(n, "c")
+    assert len(one._pending) <= learner.MAX_TRACKED
 
 
 def test_entries_arriving_by_two_paths_in_different_order_are_applied_once():
     core = alone()
-    ways = {name: core.questions.ask(SECOND, name) for name in "abc"}
+    ways = {name: core.requests.add(SECOND, name) for name in "abc"}
     answer(core, 2 * SECOND, "b", ways["b"], 6, age=100 * MS)
-    held, dates = list(core.log), (core.dates.index, core.dates.at)
+    held, dates = list(core.log), (core.proposal_time.index, core.proposal_time.at)
     core.take()
-    core.hear(3 * SECOND, "a", News(None, 0, entries(1, 2, 3, 4, 5), 5, "v0", 5, 0, ways["a"]))
-    core.hear(3 * SECOND, "c", News(Snapshot(4, 1, (), b"s"), 4, entries(5), 5, "v0", 5, 0, ways["c"]))
-    assert core.log == held and (core.dates.index, core.dates.at) == dates
-    assert not [order for order in core.take() if not isinstance(order, Say)]
+    core.hear(3 * SECOND, "a", FetchReply(None, 0, entries(1, 2, 3, 4, 5), 5, "v0", 5, 0, ways["a"]))
+    core.hear(3 * SECOND, "c", FetchReply(Snapshot(4, 1, (), b"s"), 4, entries(5), 5, "v0", 5, 0, ways["c"]))
+    assert core.log == held and (core.proposal_time.index, core.proposal_time.at) == dates
+    assert not [order for order in core.take() if not isinstance(order, SendMessage)]
 
 
-def whole(seed, hops, delays, loss, twice, make=Follower):
+def whole(seed, hops, delays, loss, twice, make=Learner):
     """Paths of `hops`, two and one hops from the leader to one learner, each link with its own delays."""
     world = Fleet(seed)
     names = ["v0", *(f"h{n}" for n in range(hops - 1))]
@@ -570,7 +583,7 @@
         world.net.manners[a, b] = Manner(loss, twice, (low * MS, high * MS))
     world.renew(12, 1.5)
     world.run(20)
-    assert end.core.dates.index
+    assert end.core.proposal_time.index
     return world
 
 
@@ -590,27 +603,27 @@
     whole(seed, hops, delays, loss, twice)
 
 
-class FromNewest(Follower):
+class FromNewest(Learner):
     """Defect: an age is counted from the newest request to the sender."""
 
     def hear(self, now, sender, message):
-        if isinstance(message, News):
-            mine = [n for n, (name, _) in self.questions._pending.items() if name == sender]
+        if isinstance(message, FetchReply):
+            mine = [n for n, (name, _) in self.requests._pending.items() if name == sender]
             if mine:
-                message = News(
+                message = FetchReply(
                     message.snapshot,
                     message.index,
                     message.entries,
                     message.commit,
                     message.leader,
-                    message.dated,
-                    message.age,
+                    message.dated_index,
+                    message.age_ns,
                     mine[-1],
                 )
         super().hear(now, sender, message)
 
 
-class FromArrival(Follower):
+class FromArrival(Learner):
     """Defect: an age is counted from the arrival of the reply."""
 
     def _on_fetch_reply(self, now, sender, message, requested_at):
@@ -643,17 +656,17 @@
     node = world.follow("f", "r")
     world.run(1.5)
     assert node.core.applied == relay.core.applied
-    assert len(asked(node)) <= 1 + follow.KEPT // council.MAX_BATCH_ENTRIES + 1
+    assert len(asked(node)) <= 1 + learner.RETAINED_ENTRIES // council.MAX_BATCH_ENTRIES + 1
 
 
 def test_a_learner_that_lacks_few_entries_gets_only_these():
     log = list(entries(*range(11, 21)))
-    found = fetch_reply(Since(18, 9), Snapshot(10, 1, (), b"all"), log, 20, "v0", 20, 5)
-    assert found == News(None, 18, entries(19, 20), 20, "v0", 20, 5, 9)
+    found = fetch_reply(FetchRequest(18, 9), Snapshot(10, 1, (), b"all"), log, 20, "v0", 20, 5)
+    assert found == FetchReply(None, 18, entries(19, 20), 20, "v0", 20, 5, 9)
 
 
 def test_the_known_proposal_time_only_advances():
-    one = Dates()
+    one = ProposalTime()
     for index, at in ((3, 30), (2, 99), (3, 20), (3, 31), (4, 10)):
-        one.know(index, at)
+        one.record(index, at)
     assert (one.index, one.at) == (4, 10)
--- a/tests/agreement/test_model.py
+++ b/tests/agreement/test_model.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from copperyard.state.agreement.council import Council
+from copperyard.state.agreement.replica import Replica
 from tests.agreement.model import Bounds, Broken, explore
-from tests.agreement.test_council import Eager, Twice
+from tests.agreement.test_replica import Eager, Twice
 
 
 @pytest.mark.parametrize("bounds", [Bounds(1, 1, losses=1), Bounds(1, 1, twice=1), Bounds(2, 0)])
 def test_no_invariant_breaks_within_small_bounds(bounds):
-    states, whole = explore(Council, bounds, seconds=90)
+    states, whole = explore(Replica, bounds, seconds=90)
     assert whole and states > 1000
 
 
--- a/tests/agreement/test_council.py
+++ b/tests/agreement/test_replica.py
@@ -2,8 +2,17 @@
 
 import pytest
 
-from copperyard.state.agreement.council import Council, Kept, Role
-from copperyard.state.agreement.messages import Append, Ballot, Entry, EntryRecord, Kind, Poll, Promise, Snapshot
+from copperyard.state.agreement.messages import (
+    AppendEntries,
+    Entry,
+    EntryKind,
+    EntryRecord,
+    Promise,
+    RequestVote,
+    Snapshot,
+    VoteReply,
+)
+from copperyard.state.agreement.replica import PersistentState, Replica, Role
 from tests.agreement.helpers import MS, SECOND, LearnerNode, Manner, World, council
 from tests.agreement.random_faults import run_random_faults
 
@@ -25,7 +34,7 @@
 
 def test_a_leader_is_elected_and_its_entry_is_committed_by_all_voters():
     world = settled()
-    assert {world.core(n).applied for n in world.voters} == {world.core(world.leader()).last}
+    assert {world.core(n).applied for n in world.voters} == {world.core(world.leader()).last_index}
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -51,7 +60,7 @@
     world.net.part([old], others(world, old))
     world.net.run(world.net.now + 8 * SECOND)
     assert world.leader() != old
-    assert not world.core(old).lease(world.time(old))
+    assert not world.core(old).holds_lease(world.time(old))
     world.propose(b"large side")
     world.net.run(world.net.now + 2 * SECOND)
     world.net.heal()
@@ -120,7 +129,7 @@
     assert world.data() == [b"first", b"held by two"]
 
 
-class Trusting(Council):
+class Trusting(Replica):
     """Defect: a voter trusts any log store to be its newest."""
 
     def __init__(self, me, voters, kept, beat, seed, now, trusted=False):
@@ -224,69 +233,69 @@
         world.propose()
         world.net.run(world.net.now + SECOND)
         learner = world.net.nodes["l"].core.core
-        if learner.dates.index == world.core(world.leader()).last:
-            assert learner.dates.at <= proposed
+        if learner.proposal_time.index == world.core(world.leader()).last_index:
+            assert learner.proposal_time.at <= proposed
     assert learner.applied >= world.core(world.leader()).commit - 1
 
 
 def one(name="v0", records=(), voters=("v0", "v1", "v2")):
     """One recovered voter without a network."""
-    core = Council(name, voters, Kept.read(records), council.Beat(), 1, 0, trusted=True)
+    core = Replica(name, voters, PersistentState.read(records), council.ElectionTiming(), 1, 0, trusted=True)
     core.take()
     return core
 
 
 def test_a_reply_that_promises_something_follows_the_write_of_the_promise():
     core = one()
-    core.hear(9 * SECOND, "v1", Poll(5, 0, 0, False, 77))
+    core.hear(9 * SECOND, "v1", RequestVote(5, 0, 0, False, 77))
     keep, say = core.take()
-    assert isinstance(keep, council.Keep) and keep.records[-1] == Promise(5, "v1", 1)
-    assert say == council.Say("v1", Ballot(5, False, True, 77))
-    core.hear(9 * SECOND, "v1", Append(5, 0, 0, (Entry(5, Kind.BEGIN, b""),), 0, 1))
+    assert isinstance(keep, council.Persist) and keep.records[-1] == Promise(5, "v1", 1)
+    assert say == council.SendMessage("v1", VoteReply(5, False, True, 77))
+    core.hear(9 * SECOND, "v1", AppendEntries(5, 0, 0, (Entry(5, EntryKind.NOOP, b""),), 0, 1))
     keep, say = core.take()
-    assert keep == council.Keep((EntryRecord(1, Entry(5, Kind.BEGIN, b"")),))
-    assert isinstance(say, council.Say)
+    assert keep == council.Persist((EntryRecord(1, Entry(5, EntryKind.NOOP, b"")),))
+    assert isinstance(say, council.SendMessage)
 
 
 def test_one_vote_per_term_also_after_a_restart_with_the_same_store():
     core = one(records=[Promise(5, "v1", 1)])
-    core.hear(9 * SECOND, "v2", Poll(5, 9, 9, False, 1))
-    assert core.take() == [council.Say("v2", Ballot(5, False, False, 1))]
+    core.hear(9 * SECOND, "v2", RequestVote(5, 9, 9, False, 1))
+    assert core.take() == [council.SendMessage("v2", VoteReply(5, False, False, 1))]
 
 
 def test_a_vote_reply_with_another_nonce_does_not_count():
     core = one()
     core.wake(core.next_wake())
-    poll = next(o.message for o in core.take() if isinstance(o, council.Say))
+    poll = next(o.message for o in core.take() if isinstance(o, council.SendMessage))
     assert poll.pre_vote
-    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.nonce + 1))
+    core.hear(20 * SECOND, "v1", VoteReply(poll.term, True, True, poll.nonce + 1))
     assert core.role is Role.PRE_CANDIDATE
-    core.hear(20 * SECOND, "v1", Ballot(poll.term, True, True, poll.nonce))
+    core.hear(20 * SECOND, "v1", VoteReply(poll.term, True, True, poll.nonce))
     assert core.role is Role.CANDIDATE
 
 
 def test_records_with_a_gap_are_refused():
     with pytest.raises(ValueError, match="entry 5 follows on 0"):
-        Kept.read([EntryRecord(5, Entry(1, Kind.DATA, b""))])
-    kept = Kept.read(
+        PersistentState.read([EntryRecord(5, Entry(1, EntryKind.DATA, b""))])
+    kept = PersistentState.read(
         [
-            EntryRecord(1, Entry(1, Kind.DATA, b"a")),
-            EntryRecord(2, Entry(1, Kind.DATA, b"b")),
-            EntryRecord(2, Entry(2, Kind.DATA, b"c")),
+            EntryRecord(1, Entry(1, EntryKind.DATA, b"a")),
+            EntryRecord(2, Entry(1, EntryKind.DATA, b"b")),
+            EntryRecord(2, Entry(2, EntryKind.DATA, b"c")),
             Snapshot(1, 1, (), b"s"),
         ]
     )
     assert [e.data for e in kept.log] == [b"c"] and kept.snapshot.index == 1
 
 
-class Forgets(Council):
+class Forgets(Replica):
     """Defect: a vote is not stored."""
 
-    def _vow(self, term, vote):
+    def _set_term(self, term, vote):
         self.term, self.voted_for = term, vote
 
 
-class Twice(Council):
+class Twice(Replica):
     """Defect: a vote is given to every candidate of the term."""
 
     def _on_request_vote(self, now, sender, message):
@@ -295,7 +304,7 @@
         super()._on_request_vote(now, sender, message)
 
 
-class Eager(Council):
+class Eager(Replica):
     """Defect: an entry that one voter holds is committed."""
 
     @property
@@ -303,11 +312,13 @@
         return 1 if self.role is Role.LEADER else len(self.voters) // 2 + 1
 
 
-class Old(Council):
+class Old(Replica):
     """Defect: a candidate whose log is behind gets the vote as well."""
 
     def _on_request_vote(self, now, sender, message):
-        super()._on_request_vote(now, sender, Poll(message.term, 1 << 40, 1 << 40, message.pre_vote, message.nonce))
+        super()._on_request_vote(
+            now, sender, RequestVote(message.term, 1 << 40, 1 << 40, message.pre_vote, message.nonce)
+        )
 
 
 @pytest.mark.parametrize("defect", [Forgets, Twice, Eager, Old])
--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -105,15 +105,15 @@
 
 
 def test_the_small_records():
-    assert decode(record(4, struct.pack("<HQBIQ", 3, 77, 1, 9, MS))) == [(3, api.Opened(77, 1, 9, MS))]
+    assert decode(record(4, struct.pack("<HQBIQ", 3, 77, 1, 9, MS))) == [(3, api.SessionOpened(77, 1, 9, MS))]
     note = record(12, struct.pack("<HQBfIB", 3, 77, 1, 0.5, 9, 0))
-    assert decode(note) == [(3, api.Note(77, 0, 9, 1, 0.5))]
-    assert decode(record(6, struct.pack("<HQ", 3, 77))) == [(3, api.Left(77))]
-    assert decode(record(7, struct.pack("<HQ", 3, 77))) == [(3, api.Wake(77))]
+    assert decode(note) == [(3, api.SessionNotice(77, 0, 9, 1, 0.5))]
+    assert decode(record(6, struct.pack("<HQ", 3, 77))) == [(3, api.ViewerLeft(77))]
+    assert decode(record(7, struct.pack("<HQ", 3, 77))) == [(3, api.TimerDue(77))]
     assert decode(record(10, struct.pack("<H", 3))) == [(3, wire.Crash())]
-    assert decode(record(8, struct.pack("<HIBQB", 3, 9, 4, MS, 0))) == [(3, api.Probed(9, 4, MS, None))]
+    assert decode(record(8, struct.pack("<HIBQB", 3, 9, 4, MS, 0))) == [(3, api.ProbeResult(9, 4, MS, None))]
     carried = struct.pack("<HQQQfQIBIQBff", 3, 77, 5, 9, 1.0, 6, 0, 0, 4, 8, 1, 1.0, 3.0)
-    assert decode(record(11, carried)) == [(3, api.Carried(api.Request(77, 0, 1, 9, 6, 1, 3, 5), 4))]
+    assert decode(record(11, carried)) == [(3, api.CarriedSession(api.Request(77, 0, 1, 9, 6, 1, 3, 5), 4))]
 
 
 def test_lists_are_resolved_in_event_order():
@@ -125,7 +125,7 @@
 
 def test_unknown_codes_and_longer_records_are_skipped():
     longer = record(6, struct.pack("<HQ", 3, 77) + b"new")
-    assert decode(record(200, b"xyz"), record(9, b"\0" * 8), longer) == [(3, api.Left(77))]
+    assert decode(record(200, b"xyz"), record(9, b"\0" * 8), longer) == [(3, api.ViewerLeft(77))]
 
 
 @pytest.mark.parametrize(
@@ -148,14 +148,14 @@
     ("action", "code", "data"),
     [
         (api.Send(7, 9, 5), 66, struct.pack("<HQQI", 3, 7, 5, 9)),
-        (api.Rate(7, 2), 74, struct.pack("<HQB", 3, 7, 2)),
+        (api.SetRung(7, 2), 74, struct.pack("<HQB", 3, 7, 2)),
         (api.SetTimer(5, 1), 70, struct.pack("<HQQ", 3, 5, 1)),
         (api.Refuse(7, 5), 69, struct.pack("<HQQ", 3, 7, 5)),
         (api.Fail(7), 65, struct.pack("<HQ", 3, 7)),
         (api.Cancel(7, 1), 72, struct.pack("<HQB", 3, 7, 1)),
         (api.Move(7), 75, struct.pack("<HQ", 3, 7)),
         (api.Probe(9), 67, struct.pack("<HI", 3, 9)),
-        (api.Watch(True), 78, struct.pack("<HB", 3, 1)),
+        (api.Subscribe(True), 78, struct.pack("<HB", 3, 1)),
         (api.Log("hi"), 77, struct.pack("<HH", 3, 2) + b"hi"),
     ],
 )
@@ -165,7 +165,7 @@
 
 def test_settings_are_read_and_unknown_keys_skipped():
     made = parse_settings(parse_options(changed("extra.brandNew", [1])))
-    assert made.fronts == 2 and made.rung_kb == (100.0, 200.0) and made.free_resends is None
+    assert made.fronts == 2 and made.rung_kb == (100.0, 200.0) and made.free_retries is None
     assert made.classes[0].top == 1 and made.reports_uplink
 
 
--- a/tests/cli/test_state.py
+++ b/tests/cli/test_state.py
@@ -12,8 +12,8 @@
 
 from copperyard.cli.main import app
 from copperyard.gateway.disk import FolderDisk, LockedError
-from copperyard.state.book import Append, Book, Create, Remove, Rename
-from copperyard.state.facts import Carried, Redeemed, digest
+from copperyard.state.facts import CodeRedeemed, CodeSent, digest
+from copperyard.state.journal_writer import Append, Create, JournalWriter, Remove, Rename
 from copperyard.state.recovery import recover
 from tests.lab.helpers import site_text
 
@@ -28,14 +28,14 @@
     async def main():
         disk = FolderDisk(folder)
         disk.lock("a test")
-        book = Book(recover(disk.names(), disk.read), "gw.1", "g1", 0, 0)
+        book = JournalWriter(recover(disk.names(), disk.read), "gw.1", "g1", 0, 0)
         for n in range(first, first + count):
-            book.write(n, Carried(n, digest(str(n)), f"gw.1/{n}", "h1"))
+            book.write(n, CodeSent(n, digest(str(n)), f"gw.1/{n}", "h1"))
             if n % 3:
-                book.write(n, Redeemed(n, digest(str(n)), f"r{n}"))
+                book.write(n, CodeRedeemed(n, digest(str(n)), f"r{n}"))
         if planned:
             book.close(99, (5,))
-        while (step := book.commit(0)) is not None:
+        while (step := book.commit_step(0)) is not None:
             await disk.do(step)
             book.done("commit", 0)
         disk.close()
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -10,14 +10,14 @@
 import pytest
 
 from copperyard.control.cells import MemberReport
-from copperyard.control.common import ENTRY_CODEC, Done
+from copperyard.control.coordinator import ENTRY_CODEC, NotifyApplied
 from copperyard.control.zones.plan import CellReport
 from copperyard.lab.sites.simulated import spread
 from copperyard.membership.gateways.cells import MEAN_CELL_SIZE
-from copperyard.membership.gateways.messages import Life
-from copperyard.state.agreement import follow
-from copperyard.state.agreement.messages import Entry, Kind, News, Since, Snapshot
-from tests.common.helpers import MS, SECOND, Manner, Site, Standing
+from copperyard.membership.gateways.messages import MemberState
+from copperyard.state.agreement import learner
+from copperyard.state.agreement.messages import Entry, EntryKind, FetchReply, FetchRequest, Snapshot
+from tests.common.helpers import MS, SECOND, Manner, Site, ZoneStatus
 from tests.common.test_common import near_only, storm
 
 REGIONS = [0, 0, 0, 1, 1]
@@ -110,14 +110,14 @@
 
 def sound(site):
     """No voter's proven epoch is above what any front follows. (For sites where no front restarted.)"""
-    follow = [
+    learner = [
         min(site.front(name).core.plan.epoch for name in site.of(z) if name in site.net.nodes)
         for z in range(site.zones)
     ]
     for name in site.voters:
         if name in site.net.nodes:
             told = site.front(name).core.facts.oldest_epochs(site.time(name))
-            assert all(one <= least for one, least in zip(told, follow, strict=True)), (name, told, follow)
+            assert all(one <= least for one, least in zip(told, learner, strict=True)), (name, told, learner)
 
 
 # ---- delegates
@@ -185,7 +185,11 @@
     mute = one.ranks()[0]
     rest = [name for name in one.names if name != mute]
     site.net.part([mute], others(site, mute), both=False)
-    until(site, lambda: all(mute not in site.front(name).core.duty.delegates(site.time(name)) for name in rest), 12)
+    until(
+        site,
+        lambda: all(mute not in site.front(name).core.delegate_role.delegates(site.time(name)) for name in rest),
+        12,
+    )
     changed(site, others(site, mute))
     goes_on(site, others(site, mute), 20, age=5)
     assert unheard(site) == {(one.zone, one.number): (len(rest), len(rest) + 1)}
@@ -209,8 +213,12 @@
     begin = site.net.now
     until(site, lambda: resigned, 7.5)
     assert resigned[0][1] == cut
-    until(site, lambda: all(third in site.front(name).core.duty.delegates(site.time(name)) for name in one.names), 0.5)
-    assert site.front(third).core.duty.is_delegate(site.time(third))
+    until(
+        site,
+        lambda: all(third in site.front(name).core.delegate_role.delegates(site.time(name)) for name in one.names),
+        0.5,
+    )
+    assert site.front(third).core.delegate_role.is_delegate(site.time(third))
     changed(site, site.roster)
     goes_on(site, site.roster, 40, age=5)
     assert unheard(site) == {}
@@ -218,7 +226,7 @@
     assert {name for _, name in resigned} == {cut} and len(resigned) == 2
     assert (resigned[1][0] - begin) / SECOND > 26
     site.net.heal()
-    until(site, lambda: cut in site.front(third).core.duty.delegates(site.time(third)), 30)
+    until(site, lambda: cut in site.front(third).core.delegate_role.delegates(site.time(third)), 30)
 
 
 def test_both_delegates_cut_off_from_all_voters_are_replaced_before_the_cells_plans_run_out():
@@ -229,7 +237,7 @@
     goes_on(site, site.roster, 20, age=10)
     changed(site, site.roster)
     assert unheard(site) == {}
-    assert site.front(one.ranks()[2]).core.duty.is_delegate(site.time(one.ranks()[2]))
+    assert site.front(one.ranks()[2]).core.delegate_role.is_delegate(site.time(one.ranks()[2]))
 
 
 @pytest.mark.parametrize("seed", [1])
@@ -273,7 +281,7 @@
         sound(site)
         if n % 10 == 0:
             changed(site, site.roster, zone=n // 10)
-    assert site.standing(one.zone) is Standing.OPEN
+    assert site.standing(one.zone) is ZoneStatus.OPEN
     site.net.heal()
     until(site, lambda: unheard(site) == {}, 25)
 
@@ -297,7 +305,7 @@
     changed(site, others(site, *rack))
     until(site, lambda: dead_by_facts(site, zone) == 3, 2)
     assert sum(size - heard for heard, size in unheard(site).values()) == 3
-    assert site.standing(zone) is Standing.OPEN
+    assert site.standing(zone) is ZoneStatus.OPEN
 
 
 def history(site):
@@ -324,10 +332,10 @@
     assert site.leader() in large and newest(site) >= left + 3
     assert {site.front(name).core.plan.epoch for name in large} == {newest(site)}
     assert max(site.front(name).core.plan.epoch for name in small) <= left + 1
-    assert {site.standing(3), site.standing(4)} == {Standing.CLOSED}
+    assert {site.standing(3), site.standing(4)} == {ZoneStatus.CLOSED}
     site.net.heal()
     until(site, lambda: set(site.strengths(site.roster)) == {1.0}, 10)
-    until(site, lambda: {site.standing(z) for z in range(5)} == {Standing.OPEN}, 60)
+    until(site, lambda: {site.standing(z) for z in range(5)} == {ZoneStatus.OPEN}, 60)
     site.run(3)
     assert len(history(site)) > 3 and len({site.front(name).core.plan.epoch for name in site.roster}) == 1
 
@@ -336,15 +344,15 @@
     site = ready(2)
     for again in (False, True):
         site.lose(3)
-        until(site, lambda: site.standing(3) is Standing.CLOSED, 12)
+        until(site, lambda: site.standing(3) is ZoneStatus.CLOSED, 12)
         site.run(4)
         site.rooms[3] = 30_000.0
         for name in site.of(3):
             site.start(name)
-        until(site, lambda: site.standing(3) is Standing.RETURNING, 20)
+        until(site, lambda: site.standing(3) is ZoneStatus.RETURNING, 20)
         site.run(1.0 if not again else 0.0)
-        assert max(site.plans.items())[1].zones[3].part < 1
-    until(site, lambda: site.standing(3) is Standing.OPEN, 60)
+        assert max(site.plans.items())[1].zones[3].usable_ratio < 1
+    until(site, lambda: site.standing(3) is ZoneStatus.OPEN, 60)
     site.run(3)
     assert set(site.strengths(site.roster)) == {1.0} and unheard(site) == {}
     history(site)
@@ -354,10 +362,10 @@
     """At most 5.6 and 6.1 s measured in four runs."""
     site = ready(1, 50)
     site.lose(4)
-    agreed = until(site, lambda: site.standing(4) is Standing.CLOSED, 12)
+    agreed = until(site, lambda: site.standing(4) is ZoneStatus.CLOSED, 12)
     until(
         site,
-        lambda: {site.front(name).core.plan.zones[4].standing for name in site.net.nodes} == {Standing.CLOSED},
+        lambda: {site.front(name).core.plan.zones[4].status for name in site.net.nodes} == {ZoneStatus.CLOSED},
         15 - agreed,
     )
 
@@ -376,7 +384,7 @@
         until(
             site,
             lambda s=site, names=rest, d=dead: all(
-                s.front(name).core.members.members[d].life is Life.DEAD for name in names
+                s.front(name).core.members.members[d].state is MemberState.DEAD for name in names
             ),
             30,
         )
@@ -420,7 +428,7 @@
                 site.front(to).core.hear(site.time(to), sender, message)
         site.run(0.5)
         for name in site.voters:
-            for key, by_name in site.front(name).core.facts.known.items():
+            for key, by_name in site.front(name).core.cell_reports.known.items():
                 for by, one_kept in by_name.items():
                     version = one_kept.report.life, one_kept.report.number
                     assert version >= newest_of.get((name, key, by), (0, 0))
@@ -443,26 +451,26 @@
     assert plan is not None
     at = follower.applied
     first, second = (ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + n)) for n in (1, 2))
-    entries = Entry(1, Kind.DATA, first), Entry(1, Kind.DATA, second)
+    entries = Entry(1, EntryKind.DATA, first), Entry(1, EntryKind.DATA, second)
     answers = [
-        lambda ask: News(None, at, entries, at + 2, "x", at + 2, SECOND, ask),
-        lambda ask: News(
+        lambda ask: FetchReply(None, at, entries, at + 2, "x", at + 2, SECOND, ask),
+        lambda ask: FetchReply(
             Snapshot(at, 1, (), ENTRY_CODEC.body(plan)), at, entries[:1], at + 1, "x", at + 1, 4 * SECOND, ask
         ),
-        lambda ask: News(None, at + 1, entries[1:], at + 2, "x", at + 2, 2 * SECOND, ask),
-        lambda ask: News(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask),
+        lambda ask: FetchReply(None, at + 1, entries[1:], at + 2, "x", at + 2, 2 * SECOND, ask),
+        lambda ask: FetchReply(Snapshot(at + 2, 1, (), second), at + 2, (), at + 2, "x", at + 2, 3 * SECOND, ask),
     ]
-    asks = [follower.questions.ask(now, f"s{n}") for n in range(4)]
+    asks = [follower.requests.add(now, f"s{n}") for n in range(4)]
     epochs = [plan.epoch]
     for n in order:
         core.hear(now, f"s{n}", answers[n](asks[n]))
-        for step in core.take_durable():
-            if isinstance(step, Done):
+        for step in core.take_durable_actions():
+            if isinstance(step, NotifyApplied):
                 core.applied(now, step.order)
         epochs.append(core.plan.epoch)
     assert epochs == sorted(epochs) and epochs[-1] == plan.epoch + 2 and follower.applied == at + 2
     assert core.histories[-1] == (at + 2, plan.epoch + 2)
-    assert core.book.proposed_at == now - SECOND  # the latest proposal time known of the newest plan
+    assert core.active_plan.proposed_at == now - SECOND  # the latest proposal time known of the newest plan
 
 
 # ---- starts
@@ -472,7 +480,7 @@
     """Answers that a gateway receives from now on."""
     got = []
     site.net.arriving = (
-        lambda sender, to, message: got.append(message) if to == name and isinstance(message, News) else None
+        lambda sender, to, message: got.append(message) if to == name and isinstance(message, FetchReply) else None
     )
     return got
 
@@ -497,7 +505,7 @@
 
 
 def test_a_restarted_gateway_gets_a_snapshot_in_place_of_old_entries(monkeypatch):
-    monkeypatch.setattr(follow, "KEPT", 6)
+    monkeypatch.setattr(learner, "RETAINED_ENTRIES", 6)
     site = ready(1)
     name = next(n for n in site.roster if n not in site.voters and n not in site.cells.of(n).ranks()[:3])
     site.run(20)
@@ -523,7 +531,7 @@
     times: dict[str, list[int]] = {}
     site.net.arriving = (
         lambda sender, to, message: times.setdefault(to, []).append(site.net.now)
-        if isinstance(message, Since)
+        if isinstance(message, FetchRequest)
         else None
     )
     begin = site.net.now
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from copperyard.control.common import ENTRY_CODEC, Done, Send
+from copperyard.control.coordinator import ENTRY_CODEC, NotifyApplied, Send
 from copperyard.control.zones.plan import Renewed
-from copperyard.interface import Ways
-from copperyard.state.agreement.messages import Entry, Kind, News, Since
-from tests.common.helpers import MS, SECOND, Manner, Site, Standing
+from copperyard.interface import ZoneAllocation
+from copperyard.state.agreement.messages import Entry, EntryKind, FetchReply, FetchRequest
+from tests.common.helpers import MS, SECOND, Manner, Site, ZoneStatus
 
 
 def ready(**more):
@@ -23,7 +23,7 @@
 def near_only(site, name):
     zone = site.roster[name]
     ways = site.front(name).ways
-    return isinstance(ways, Ways) and all(not cap for z, cap in enumerate(ways.caps) if z != zone)
+    return isinstance(ways, ZoneAllocation) and all(not cap for z, cap in enumerate(ways.caps) if z != zone)
 
 
 def test_all_follow_one_plan_that_goes_on_without_new_epochs_while_nothing_changes():
@@ -38,19 +38,19 @@
     site = ready()
     site.lose(3)
     begin = site.net.now
-    while site.standing(3) is not Standing.CLOSED:
+    while site.standing(3) is not ZoneStatus.CLOSED:
         site.run(0.5)
         assert site.net.now - begin < 20 * SECOND
     site.run(2)
-    assert {site.front(n).core.plan.zones[3].standing for n in site.net.nodes} == {Standing.CLOSED}
+    assert {site.front(n).core.plan.zones[3].status for n in site.net.nodes} == {ZoneStatus.CLOSED}
     site.rooms[3] = 10_000.0
     for name in site.of(3):
         site.start(name)
     parts = set()
     for _ in range(80):
         site.run(1)
-        parts.add(max(site.plans.items())[1].zones[3].part)
-    assert site.standing(3) is Standing.OPEN and {0.1, 0.3, 0.6} <= parts
+        parts.add(max(site.plans.items())[1].zones[3].usable_ratio)
+    assert site.standing(3) is ZoneStatus.OPEN and {0.1, 0.3, 0.6} <= parts
 
 
 def test_lost_hosts_of_a_zone_are_bridged_by_preallocated_caps_before_any_new_plan():
@@ -59,7 +59,7 @@
     assert sum(cap or 0 for cap in site.front("g3-0").ways.caps) * site.each > 2000
     site.rooms[3] = 0.0
     site.run(5)
-    assert len(site.plans) > before and site.standing(3) is Standing.CLOSED
+    assert len(site.plans) > before and site.standing(3) is ZoneStatus.CLOSED
     site.run(10)
     plan = max(site.plans.items())[1]
     assert sum(share for _, share in plan.zones[3].shares[0]) > 0.95
@@ -153,7 +153,7 @@
     for name in site.of(1):
         site.start(name)
     site.run(30)
-    assert site.standing(1) is Standing.OPEN and len(site.plans) - epochs <= 3
+    assert site.standing(1) is ZoneStatus.OPEN and len(site.plans) - epochs <= 3
 
 
 def test_half_the_links_losing_and_slow_make_few_epochs_and_no_zone_lost():
@@ -164,7 +164,7 @@
             site.net.manners[a, b] = Manner(loss=0.2, delay=(380 * MS, 420 * MS))
     site.run(60)
     assert len(site.plans) - epochs <= 4
-    assert all(zone.standing is Standing.OPEN for _, plan in site.committed for zone in plan.zones)
+    assert all(zone.status is ZoneStatus.OPEN for _, plan in site.committed for zone in plan.zones)
 
 
 def test_a_link_that_flaps_every_second_for_a_minute_makes_few_epochs_and_no_swing():
@@ -176,7 +176,7 @@
         site.net.heal()
         site.run(0.5)
     assert len(site.plans) - epochs <= 6
-    closed = [plan.zones[3].standing is Standing.CLOSED for _, plan in site.committed]
+    closed = [plan.zones[3].status is ZoneStatus.CLOSED for _, plan in site.committed]
     assert sum(a != b for a, b in zip(closed, closed[1:], strict=False)) <= 2
 
 
@@ -202,13 +202,13 @@
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name)
     follower, plan = core.follower, core.plan
-    renewed = Entry(1, Kind.DATA, ENTRY_CODEC.body(Renewed(plan.epoch)))
-    newer = Entry(1, Kind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
+    renewed = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(Renewed(plan.epoch)))
+    newer = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
     count, at = 300 - len(follower.log), follower.applied
-    ask = follower.questions.ask(now, "x")
-    core.hear(now, "x", News(None, at, (renewed,) * count + (newer,), at + count + 1, "x", 0, 0, ask))
-    for step in core.take_durable():
-        if isinstance(step, Done):
+    ask = follower.requests.add(now, "x")
+    core.hear(now, "x", FetchReply(None, at, (renewed,) * count + (newer,), at + count + 1, "x", 0, 0, ask))
+    for step in core.take_durable_actions():
+        if isinstance(step, NotifyApplied):
             core.applied(now, step.order)
     assert core.plan.epoch == plan.epoch + 1
     assert follower.snapshot.index == at + count + 1
@@ -225,14 +225,16 @@
         core.next_age_query_at = at
         core.wake(at)
         asked += [
-            order.message for order in core.take() if isinstance(order, Send) and isinstance(order.message, Since)
+            order.message
+            for order in core.take_actions()
+            if isinstance(order, Send) and isinstance(order.message, FetchRequest)
         ]
     assert len(asked) == 2
     council = core.council
     index = council.applied
-    council.dates.index = council.dates.at = 0
-    core.hear(now + 3 * SECOND, leader, News(None, index, (), index, leader, index, SECOND, asked[0].ask))
-    assert (council.dates.index, council.dates.at) == (index, now - SECOND)
+    council.proposal_time.index = council.proposal_time.at = 0
+    core.hear(now + 3 * SECOND, leader, FetchReply(None, index, (), index, leader, index, SECOND, asked[0].request_id))
+    assert (council.proposal_time.index, council.proposal_time.at) == (index, now - SECOND)
 
 
 def test_the_date_of_an_entry_that_is_not_applied_does_not_renew_the_older_plan():
@@ -240,19 +242,19 @@
     site = ready()
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name) + 5 * SECOND
-    follower, plan, since = core.follower, core.plan, core.book.proposed_at
-    newer = Entry(1, Kind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
+    follower, plan, since = core.follower, core.plan, core.active_plan.proposed_at
+    newer = Entry(1, EntryKind.DATA, ENTRY_CODEC.body(replace(plan, epoch=plan.epoch + 1)))
     at = follower.applied
-    ask = follower.questions.ask(now, "x")
-    core.hear(now, "x", News(None, at, (newer,), at + 1, "x", at + 1, 0, ask))
-    assert follower.dates.index == at + 1 and core.plan is plan
-    assert core.book.proposed_at == since < now - 2 * SECOND
+    ask = follower.requests.add(now, "x")
+    core.hear(now, "x", FetchReply(None, at, (newer,), at + 1, "x", at + 1, 0, ask))
+    assert follower.proposal_time.index == at + 1 and core.plan is plan
+    assert core.active_plan.proposed_at == since < now - 2 * SECOND
     late = since + 2 * plan.holds
-    core.hear(late, "y", Since(at, 1))  # any message makes the front check its plan
-    assert core.book.strength(late) == 0.0 and core.plan is plan
-    (done,) = (step for step in core.take_durable() if isinstance(step, Done))
+    core.hear(late, "y", FetchRequest(at, 1))  # any message makes the front check its plan
+    assert core.active_plan.strength(late) == 0.0 and core.plan is plan
+    (done,) = (step for step in core.take_durable_actions() if isinstance(step, NotifyApplied))
     core.applied(now, done.order)
-    assert core.plan.epoch == plan.epoch + 1 and core.book.proposed_at == now
+    assert core.plan.epoch == plan.epoch + 1 and core.active_plan.proposed_at == now
 
 
 def storm(seed, seconds=150, **more):
--- a/tests/common/test_scale.py
+++ b/tests/common/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import scale
-from copperyard.interface import Ways
+from copperyard.interface import ZoneAllocation
 from copperyard.lab.sites.events import Manner
 from copperyard.lab.sites.simulated import CHECK, MS, SECOND, Broken, Site, spread
 
@@ -36,7 +36,7 @@
             most = max(most, site.allowed(zone))
     assert most > 1000
     front = next(one for one in site.fronts() if one.ways is not None)  # its own zone has no limit
-    site.allow(front, Ways(front.ways.shares, tuple(1e9 if z == front.zone else 1.0 for z in range(5))))
+    site.allow(front, ZoneAllocation(front.ways.shares, tuple(1e9 if z == front.zone else 1.0 for z in range(5))))
     assert abs(site.allowed(front.zone) - walked(site, front.zone)) < 1e-3
 
 
@@ -48,10 +48,12 @@
     site.check(site.net.now)
     caps = list(front.ways.caps)
     free = max(
-        zone.room * zone.part - zone.own - zone.reserve for _, plan in site.committed for zone in [plan.zones[3]]
+        zone.room * zone.usable_ratio - zone.own - zone.reserve
+        for _, plan in site.committed
+        for zone in [plan.zones[3]]
     )
     caps[3] = free - site.allowed(3) + caps[3] + 2.0  # one front exceeds the limit of all by 2 kB/s
-    site.net.at(site.net.now + 1, lambda: site.allow(front, Ways(front.ways.shares, tuple(caps))))
+    site.net.at(site.net.now + 1, lambda: site.allow(front, ZoneAllocation(front.ways.shares, tuple(caps))))
     with pytest.raises(Broken, match="of zone 3 allowed"):
         site.net.run(site.net.now + 1)
 
@@ -219,7 +221,7 @@
     [
         (
             lambda site: site.allow(
-                site.front("g1-1"), Ways(site.front("g1-1").ways.shares, (0.0, 0.0, 0.0, 1e9, 0.0))
+                site.front("g1-1"), ZoneAllocation(site.front("g1-1").ways.shares, (0.0, 0.0, 0.0, 1e9, 0.0))
             ),
             "of zone 3 allowed",
             1,
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -33,7 +33,9 @@
     assert settings.fronts == 3 and settings.rung_kb[1] == 420.0 and settings.drain_grace == 250_000_000
     paid = settings.classes[1]
     assert (paid.effect, paid.floor, paid.seats, paid.deadline) == (Effect.UNSAFE, 1, 6, 3 * 10**9)
-    assert site.rules_of("gw-2", 5).settings == replace(settings, turn=(1, 5)) and len(site.catalogue()) == 12
+    assert (
+        site.rules_of("gw-2", 5).settings == replace(settings, rank_and_offset=(1, 5)) and len(site.catalogue()) == 12
+    )
     assert site.lab is not None and site.lab.scale == 0.01
 
 
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -8,14 +8,14 @@
 import pytest
 import trio
 
-from copperyard.control import neighbours as bounds
+from copperyard.control import peer_limits as bounds
 from copperyard.gateway.net import TcpNetwork
 from copperyard.gateway.peers import links as module
 from copperyard.gateway.peers.links import Links
 from copperyard.lab import virtual
 from copperyard.lab.memnet import Manners, MemoryNetwork
 from copperyard.lab.sites.relay import Relay
-from copperyard.protocol.peers import Codec, Hello, hello
+from copperyard.protocol.peers import Codec, Hello, encode_hello
 
 FLEET = b"a fleet"
 NOWHERE = "127.0.0.1:1"
@@ -168,7 +168,7 @@
     for _ in range(60):
         pair.send("c", 1, size=200_000)
         await trio.lowlevel.checkpoint()
-    assert pair.links["a"].waiting("c") <= bounds.QUEUE
+    assert pair.links["a"].waiting("c") <= bounds.MAX_QUEUE_BYTES
     assert pair.links["a"].dropped > 0
     pair.send("b", 7)
     await pair.until(lambda: pair.numbers() == [7])
@@ -219,11 +219,11 @@
 async def strangers(pair, nursery):
     """Another fleet, an unknown name, a wrong receiver, an invalid or too long frame: each closes only its link."""
     address = pair.relay.targets["b"] if pair.relay else pair.addresses["b"]
-    good = hello(Hello(FLEET, "c", "b", 99, 1))
+    good = encode_hello(Hello(FLEET, "c", "b", 99, 1))
     for data in (
-        hello(Hello(b"other", "c", "b", 1, 1)),
-        hello(Hello(FLEET, "z", "b", 1, 1)),
-        hello(Hello(FLEET, "c", "a", 1, 1)),
+        encode_hello(Hello(b"other", "c", "b", 1, 1)),
+        encode_hello(Hello(FLEET, "z", "b", 1, 1)),
+        encode_hello(Hello(FLEET, "c", "a", 1, 1)),
         good + struct.pack(">I", 3) + b"abc",
         good + struct.pack(">I", 1 << 30),
         b"RTSP/1.0 200 OK\r\n\r\n",
@@ -256,7 +256,7 @@
     good = pair.links["a"].addresses
     pair.links["a"].addresses = {**good, "b": NOWHERE}
     pair.send("b", 1)
-    await trio.sleep(bounds.STALE / 1e9 + 0.3)
+    await trio.sleep(bounds.MAX_MESSAGE_AGE_NS / 1e9 + 0.3)
     pair.links["a"].addresses = good
     pair.send("b", 2)
     await pair.until(lambda: 2 in pair.numbers())
--- a/tests/contracts/test_shelves.py
+++ b/tests/contracts/test_shelves.py
@@ -13,7 +13,7 @@
 from copperyard.gateway.peers import log_store as module
 from copperyard.gateway.peers.log_store import FileLogStore, SqliteLogStore
 from copperyard.lab.sites.shelf import MemoryShelf, Plate
-from copperyard.state.agreement.records import Damaged
+from copperyard.state.agreement.log_store import DamagedStoreError
 
 
 class OfFolder:
@@ -141,7 +141,7 @@
     shelf = kind.shelf()
     shelf.open("a")
     await shelf.append([b"four"])
-    await shelf.renew([b"new", b""])
+    await shelf.replace_all([b"new", b""])
     await shelf.append([b"five"])
     shelf.close()
     assert read(kind) == [b"new", b"", b"five"]
@@ -172,7 +172,7 @@
     with pytest.raises(OSError):
         await shelf.append([b"x" * 30_000] * 3)
     with pytest.raises(OSError):
-        await shelf.renew([b"y" * 100_000])
+        await shelf.replace_all([b"y" * 100_000])
     kind.free_disk()
     shelf.close()
     found = read(kind)
@@ -211,7 +211,7 @@
         one = kind.shelf()
         try:
             assert one.open("a") == rows, f"bit {at}"
-        except Damaged:
+        except DamagedStoreError:
             damaged += 1
         finally:
             one.close()
@@ -342,5 +342,5 @@
     ],
 )
 def test_a_broken_one_is_found(broken, kind, promise, tmp_path):
-    with pytest.raises((AssertionError, Damaged, pytest.fail.Exception)):
+    with pytest.raises((AssertionError, DamagedStoreError, pytest.fail.Exception)):
         trio.run(promise, kind(tmp_path, broken))
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -7,9 +7,17 @@
 
 from copperyard import interface as api
 from copperyard.control.catalogue import Catalogue, Title, Track
-from copperyard.control.core import Core
-from copperyard.control.orders import Ask, Flush, Hangup, Line, Start, Stop, Wrote
-from copperyard.control.rules import Bounds, Entry, FrontRules
+from copperyard.control.core import FrontCore
+from copperyard.control.io_actions import (
+    CloseViewer,
+    FlushAttempt,
+    FlushViewer,
+    LogLine,
+    ProbeHost,
+    StartAttempt,
+    StopAttempt,
+)
+from copperyard.control.rules import AdmissionRule, Bounds, FrontRules
 from copperyard.protocol.rtsp import Connection, Limits, Reply, Request, Response
 from copperyard.protocol.rtsp.messages import Headers
 from tests import helpers
@@ -30,7 +38,7 @@
 TRACKS = (Track("video", 26, "JPEG", 90_000), Track("audio", 0, "PCMU", 8_000))
 FILM = Title(1, "/films/a", "A film", 8 * SECOND, 0, 3, TRACKS)
 OTHER = Title(2, "/films/b", "Another", 8 * SECOND, 1, 3, TRACKS[:1])
-ENTRIES = (Entry(0, "/films", False), Entry(1, "/films", True))
+ENTRIES = (AdmissionRule(0, "/films", False), AdmissionRule(1, "/films", True))
 
 
 def rules(bounds=BOUNDS, **changes):
@@ -46,16 +54,18 @@
 def publish_hosts(core, n=4, state=api.ServerState.READY, now=0):
     """Give the core a list of n hosts, bypassing the roster."""
     entries = tuple(replace(helpers.entry(k), state=state) for k in range(n))
-    core.plays.listed(now, api.ServerList(api.ListKind.FULL, entries), {k: f"127.0.0.1:{7000 + k}" for k in range(n)})
+    core.session_table.list_updated(
+        now, api.ServerList(api.ListKind.FULL, entries), {k: f"127.0.0.1:{7000 + k}" for k in range(n)}
+    )
 
 
 def front(seed=3, hosts=4, **changes):
     """Return a core that knows its hosts and considers none of them cold."""
-    core = Core(rules(**changes), catalogue(), ("z",), seed, random.Random(seed), "gw")
+    core = FrontCore(rules(**changes), catalogue(), ("z",), seed, random.Random(seed), "gw")
     core.start(0)
     publish_hosts(core, hosts)
-    core.plays.controller.carried = True
-    core.take()
+    core.session_table.controller.has_carried = True
+    core.take_io_actions()
     return core
 
 
@@ -94,13 +104,13 @@
 
     def __init__(self, core, now=0):
         self.core, self.now = core, now
-        self.connection = core.visits.opened(now, "viewer")
+        self.connection = core.rtsp_server.opened(now, "viewer")
         self.wire = Connection(WIRE)
         self.events = []
 
     def send(self, data, now=None):
         self.now = self.now if now is None else now
-        self.core.visits.received(self.now, self.connection, data)
+        self.core.rtsp_server.received(self.now, self.connection, data)
         return self.hear()
 
     def ask(self, method, url="rtsp://gw/films/a", headers=(), now=None):
@@ -112,7 +122,7 @@
     def hear(self):
         box = self.connection.outbox
         while data := box.peek():
-            box.took(len(data))
+            box.consume(len(data))
             self.events += self.wire.receive(data)
         return self.events
 
@@ -133,17 +143,17 @@
 
 
 def starts(orders):
-    return [o.attempt for o in orders if isinstance(o, Start)]
+    return [o.attempt for o in orders if isinstance(o, StartAttempt)]
 
 
 def play_through(core, attempt, now=MS):
     """Connect an attempt and let its host accept all requests until it plays."""
     host = Host(attempt)
-    assert core.plays.connected(now, attempt)
+    assert core.session_table.connected(now, attempt)
     while requests := host.read():
         for request in requests:
-            core.plays.received(now, attempt, host.good(request))
+            core.session_table.received(now, attempt, host.good(request))
     return host
 
 
-__all__ = ["Ask", "Flush", "Hangup", "Line", "Stop", "Wrote"]
+__all__ = ["ProbeHost", "FlushAttempt", "CloseViewer", "LogLine", "StopAttempt", "FlushViewer"]
--- a/tests/control/node/test_core.py
+++ b/tests/control/node/test_core.py
@@ -51,7 +51,7 @@
             link,
             encode(MessageKind.TESTED, bytes.fromhex(id), ((Param.CAUSE, b"\1"), (Param.REPORT, b"x0:0.9;x1:0.2"))),
         )
-    told = [server.link.seen for server in driver.core.controller.servers.values() if server.link.seen_at > 0]
+    told = [server.link.others_load for server in driver.core.controller.servers.values() if server.link.others_at > 0]
     assert told == [0.9] * len(tests)
 
 
@@ -398,7 +398,7 @@
     assert driver.statuses(viewer) == []
     driver.send(viewer, setup(sid(2), "paid"))
     driver.link_down(driver.dialled[-1])
-    assert all(server.bad == 0 for server in driver.core.controller.servers.values())
+    assert all(server.failure_rate == 0 for server in driver.core.controller.servers.values())
 
 
 def test_an_unsent_release_goes_on_the_next_connection():
@@ -434,7 +434,7 @@
         driver.advance(0.3)
     retries = [session for _, session in driver.setups()]
     assert retries.count(sid(1)) == 2 and retries.count(sid(2)) == 1
-    assert not any(server.bad for server in driver.core.controller.servers.values())
+    assert not any(server.failure_rate for server in driver.core.controller.servers.values())
 
 
 def test_a_description_too_long_for_a_viewer_message_fails_the_attempt():
--- a/tests/control/node/test_any_settings.py
+++ b/tests/control/node/test_random_settings.py
@@ -166,17 +166,17 @@
         assert kind_of.floor <= rung <= min(kind_of.top, facts["top"]), (rung, kind_of)
         if made:
             self.further.append(self.now)
-            if self.settings.free_resends is not None:
-                since = self.now - self.settings.ratio_span
+            if self.settings.free_retries is not None:
+                since = self.now - self.settings.retry_window
                 spent = sum(1 for at in self.further if at > since)
                 taken = sum(1 for at in self.taken if at > since)
-                assert spent <= self.settings.free_resends + self.settings.further_ratio * taken + 1e-9
+                assert spent <= self.settings.free_retries + self.settings.retry_ratio * taken + 1e-9
         made.append(link.host.name)
         self.open[session] = (cls, facts["title"], link)
         if kind_of.seats:
             same = sum(1 for c, t, _ in self.open.values() if (c, t) == (cls, facts["title"]))
             assert same <= kind_of.seats, "more sessions of a title than seats"
-        if self.settings.fronts == 1 and self.now < self.cold.get(link.host.name, 0) + self.settings.warm_within:
+        if self.settings.fronts == 1 and self.now < self.cold.get(link.host.name, 0) + self.settings.warm_up_time:
             self.check_cold_host(link.host.name, kind_of)
 
     def check_cold_host(self, name, kind):
@@ -184,8 +184,8 @@
         times = self.cold_sends = getattr(self, "cold_sends", {})
         times.setdefault(name, []).append(self.now)
         n = int(name[2:]) % 2
-        budget = s.fall_multiple * s.places_by_kind[n] * s.cold_from * s.fall / s.warm_within
-        recent = sum(1 for at in times[name] if at > self.now - s.fall)
+        budget = s.cold_budget_multiple * s.places_by_kind[n] * s.cold_ratio * s.cold_window / s.warm_up_time
+        recent = sum(1 for at in times[name] if at > self.now - s.cold_window)
         assert recent <= budget + 2 * math.sqrt(budget) + 2, (recent, budget)
 
     def attempt_ended(self, session, cause):
@@ -217,7 +217,7 @@
         top, title = rng.randrange(len(self.settings.rung_kb)), rng.choice(["00000000000000aa", "00000000000000bb"])
         patience = rng.randint(50, self.settings.classes[cls].deadline // MS)
         self.asked[session] = (cls, {"top": top, "title": title, "by": self.now + patience * MS, "viewer": viewer})
-        held = len(self.core.sessions) >= self.core.platform.held
+        held = len(self.core.sessions) >= self.core.platform.max_held
         if not held:
             self.taken.append(self.now)
         self.send(
--- a/tests/control/test_cells.py
+++ b/tests/control/test_cells.py
@@ -17,17 +17,17 @@
     RESIGN_AFTER_NS,
     RESIGNATION_NS,
     SECOND,
+    DelegateResignation,
     DelegateRole,
-    Heard,
     MemberReport,
-    Resign,
+    ReportAck,
     rank_collectors,
 )
-from copperyard.control.common import MESSAGES, Common, CommonPlace
+from copperyard.control.coordinator import MESSAGE_CODEC, Coordinator, CoordinatorConfig
 from copperyard.control.zones.facts import Gauge
-from copperyard.control.zones.plan import HostsOf, Summary, Terms
+from copperyard.control.zones.plan import FrontSummary, Terms, ZoneHosts
 from copperyard.membership.gateways.cells import CellMap
-from copperyard.state.agreement.council import Kept
+from copperyard.state.agreement.replica import PersistentState
 
 PRICES = (
     (0.0, 1.0, 1.0, 3.0, 3.0),
@@ -50,8 +50,8 @@
 
 
 def told(name, number=1, life=5, epoch=4, asked=NONE, zones=5):
-    hosts = tuple(HostsOf(100.0, 0.0, 1, 0, 0, 0) for _ in range(zones))
-    return MemberReport(Summary(name, life, number, epoch, (10.0,), hosts), asked)
+    hosts = tuple(ZoneHosts(100.0, 0.0, 1, 0, 0, 0) for _ in range(zones))
+    return MemberReport(FrontSummary(name, life, number, epoch, (10.0,), hosts), asked)
 
 
 def sent(one, now):
@@ -82,7 +82,7 @@
 
 def test_a_delegate_that_resigns_is_replaced_for_the_time_it_states():
     one = duty(RANKS[2])
-    one.delegate_resigned(SECOND, RANKS[0], Resign(RESIGNATION_NS))
+    one.delegate_resigned(SECOND, RANKS[0], DelegateResignation(RESIGNATION_NS))
     assert one.delegates(SECOND) == RANKS[1:3] and one.is_delegate(SECOND + RESIGNATION_NS - 1)
     assert one.delegates(SECOND + RESIGNATION_NS) == RANKS[:2]
 
@@ -90,11 +90,11 @@
 def test_two_members_report_even_if_the_whole_cell_has_resigned():
     one = duty(RANKS[0])
     for name in CELL.names:
-        one.delegate_resigned(0, name, Resign(RESIGNATION_NS))
+        one.delegate_resigned(0, name, DelegateResignation(RESIGNATION_NS))
     assert one.delegates(1) == RANKS[:2] and one.is_delegate(1)
     both = duty(RANKS[2])
     for name in RANKS[:2]:
-        both.delegate_resigned(0, name, Resign(RESIGNATION_NS))
+        both.delegate_resigned(0, name, DelegateResignation(RESIGNATION_NS))
     assert both.delegates(1) == RANKS[2:4]
 
 
@@ -111,7 +111,7 @@
 )
 def test_a_resignation_of_a_foreign_gateway_or_for_too_long_is_ignored(sender, ns):
     one = duty(RANKS[2])
-    one.delegate_resigned(0, sender, Resign(ns))
+    one.delegate_resigned(0, sender, DelegateResignation(ns))
     assert one.delegates(1) == RANKS[:2] and not one._resigned_until
 
 
@@ -246,7 +246,7 @@
     for n in range(10):
         to, report = one.make_report(n * SECOND, {})
         assert to == "v1"
-        one.report_acked(n * SECOND + 5, to, Heard(report.number))
+        one.report_acked(n * SECOND + 5, to, ReportAck(report.number))
     assert [sent(one, n * SECOND) for n in range(10, 14)] == ["v1"] * 3 + ["v2"]
 
 
@@ -257,7 +257,7 @@
     for n in range(4):
         to, report = one.make_report(n * SECOND, {})
         tos.append(to)
-        one.report_acked(n * SECOND + 5, sender if to == "v1" else "none", Heard(report.number + off))
+        one.report_acked(n * SECOND + 5, sender if to == "v1" else "none", ReportAck(report.number + off))
     assert tos == ["v1"] * 3 + ["v2"]
 
 
@@ -266,7 +266,7 @@
     _, report = one.make_report(0, {})
     for n in (1, 2, 3):
         assert sent(one, n * SECOND) == ("v1" if n < 3 else "v2")
-    one.report_acked(3 * SECOND + 5, "v1", Heard(report.number))
+    one.report_acked(3 * SECOND + 5, "v1", ReportAck(report.number))
     assert [sent(one, n * SECOND) for n in (4, 5, 6)] == ["v2", "v2", "v3"]
 
 
@@ -277,7 +277,7 @@
         to, report = one.make_report(n * SECOND, {})
         tos.append(to)
         if to != "v1" or n > 60:
-            one.report_acked(n * SECOND + 5, to, Heard(report.number))
+            one.report_acked(n * SECOND + 5, to, ReportAck(report.number))
     back = 3 + FIRST_COLLECTOR_RETRY_NS // SECOND + 1
     assert tos == ["v1"] * 3 + ["v2"] * (back - 3) + ["v1"] * (70 - back)
 
@@ -293,7 +293,7 @@
         tos.append(found and found[0])
         if found is not None:
             if found[0] in hears:
-                one.report_acked(n * SECOND + 5, found[0], Heard(found[1].number))
+                one.report_acked(n * SECOND + 5, found[0], ReportAck(found[1].number))
             if (told := one.resign_if_unheard(n * SECOND)) is not None:
                 resigned.append((n, told))
     return tos, resigned
@@ -303,7 +303,7 @@
     one = duty()
     tos, resigned = played(one, 28)
     at = RESIGN_AFTER_NS // SECOND + 1
-    assert resigned == [(at, Resign(RESIGNATION_NS))] and len({*tos[: at + 1]}) >= 2
+    assert resigned == [(at, DelegateResignation(RESIGNATION_NS))] and len({*tos[: at + 1]}) >= 2
     assert tos[at + 1 : at + 20] == [None] * 19 and tos[at + 20] == "v1"
     assert one.delegates(at * SECOND) == RANKS[1:3]
 
@@ -314,7 +314,7 @@
         one.member_reported(n * SECOND, RANKS[6], told(RANKS[6], n))
         assert sent(one, n * SECOND) is not None and one.resign_if_unheard(n * SECOND) is None
     now = (RESIGN_AFTER_NS // SECOND + 1) * SECOND
-    assert sent(one, now) is not None and one.resign_if_unheard(now) == Resign(RESIGNATION_NS)
+    assert sent(one, now) is not None and one.resign_if_unheard(now) == DelegateResignation(RESIGNATION_NS)
     assert sent(one, now + SECOND) is None
 
 
@@ -329,7 +329,7 @@
     for n in range(40, 60):
         to, report = one.make_report(n * SECOND, {})
         assert to == "v1"
-        one.report_acked(n * SECOND + 5, to, Heard(report.number))
+        one.report_acked(n * SECOND + 5, to, ReportAck(report.number))
         assert one.resign_if_unheard(n * SECOND) is None
 
 
@@ -360,7 +360,7 @@
         if rng.random() < 0.5:
             until[name] = n * SECOND + RESIGNATION_NS
             for one in duties:
-                one.delegate_resigned(n * SECOND, name, Resign(RESIGNATION_NS))
+                one.delegate_resigned(n * SECOND, name, DelegateResignation(RESIGNATION_NS))
         for one in duties:
             living = [other for other in RANKS if other not in dead or other == one.name]
             fit = [other for other in living if until.get(other, 0) <= n * SECOND]
@@ -375,21 +375,21 @@
     for name in CELL.names[1:]:
         one.member_reported(0, name, told(name, asked=(row, *NONE[1:])))
     _, report = one.make_report(SECOND, {})
-    assert report.heard == 0 and MESSAGES.body(report)
+    assert report.heard == 0 and MESSAGE_CODEC.body(report)
 
 
 def test_a_report_for_another_cell_than_the_senders_own_is_ignored():
     """Only a few reporters are kept for each cell: foreign ones that name it would displace its delegates."""
-    place = CommonPlace.of("g0-0", CELLS, tuple("abcde"), ("g0-0", "g1-0", "g2-0"), TERMS)
+    place = CoordinatorConfig.of("g0-0", CELLS, tuple("abcde"), ("g0-0", "g1-0", "g2-0"), TERMS)
     gauge = Gauge("g0-0", 1, 5, (SECOND,), TERMS, 0)
     nobody: Any = SimpleNamespace(servers={}, sessions={})
-    core = Common(place, gauge, lambda: nobody, Kept(), 1, 0, 1000)
+    core = Coordinator(place, gauge, lambda: nobody, PersistentState(), 1, 0, 1000)
     _, report = duty().make_report(SECOND, {})
     other = CELLS.zones[1][1].names[0]
     core.hear(SECOND, other, replace(report, by=other))
-    assert not core.facts.known
+    assert not core.cell_reports.known
     core.hear(SECOND, RANKS[0], report)
-    assert list(core.facts.known) == [(1, 0)]
-    assert [order.message for order in core.take() if isinstance(getattr(order, "message", None), Heard)] == [
-        Heard(report.number)
-    ]
+    assert list(core.cell_reports.known) == [(1, 0)]
+    assert [
+        order.message for order in core.take_actions() if isinstance(getattr(order, "message", None), ReportAck)
+    ] == [ReportAck(report.number)]
--- a/tests/control/test_life.py
+++ b/tests/control/test_life.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from copperyard.control.orders import Flush
+from copperyard.control.io_actions import FlushAttempt
 from copperyard.protocol.rtp import Block, Packet, ReceiverReport, encode_compound, pack, parse_compound
 from copperyard.protocol.rtsp import Connection, Frame
 from tests.control.helpers import BOUNDS, MS, SECOND, WIRE, Viewer, front, play_through, starts
@@ -17,16 +17,16 @@
     viewer = Viewer(core)
     session = viewer.set_up()
     viewer.ask("PLAY", FILM, session)
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     host = play_through(core, attempt)
     viewer.hear()
-    core.visits.sessions[session[0][1]].bytes_taken = viewer.connection.outbox.bytes_taken
+    core.rtsp_server.sessions[session[0][1]].bytes_taken = viewer.connection.outbox.bytes_taken
     return core, viewer, session, attempt, host
 
 
 def send_picture(core, attempt, now, n=0):
     """Let the host send one picture."""
-    core.plays.received(now, attempt, Connection.frame(0, pack(Packet(26, n, n * 3600, 77), b"x" * 40)))
+    core.session_table.received(now, attempt, Connection.frame(0, pack(Packet(26, n, n * 3600, 77), b"x" * 40)))
 
 
 def receiver_report(ssrc, highest=0):
@@ -35,7 +35,7 @@
 
 def has_session_at(core, now):
     core.wake(now)
-    return bool(core.visits.sessions)
+    return bool(core.rtsp_server.sessions)
 
 
 @pytest.mark.parametrize("kind", ["GET_PARAMETER", "OPTIONS", "receiver reports"])
@@ -72,29 +72,29 @@
         viewer.hear()  # accepts the media and never sends anything
         core.wake(now)
         host.read()
-    assert now > 4 * IDLE and core.visits.sessions and attempt.verdict is None
+    assert now > 4 * IDLE and core.rtsp_server.sessions and attempt.outcome is None
 
 
 def test_a_silent_viewer_that_accepts_no_media_times_out():
     core, viewer, session, attempt, host = playing()
     now = MS
-    while core.visits.sessions and now < 4 * IDLE:
+    while core.rtsp_server.sessions and now < 4 * IDLE:
         now += SECOND // 2
         send_picture(core, attempt, now)
         core.wake(now)
-    assert IDLE <= now <= 2 * IDLE + SECOND and attempt.verdict is not None
+    assert IDLE <= now <= 2 * IDLE + SECOND and attempt.outcome is not None
 
 
 def test_a_paused_session_times_out_while_another_plays_on_the_connection():
     core, viewer, session, attempt, host = playing()
     viewer.ask("PAUSE", FILM, session, now=SECOND)
-    core.plays.received(SECOND, attempt, host.good(host.read()[-1]))
+    core.session_table.received(SECOND, attempt, host.good(host.read()[-1]))
     now = SECOND
-    while core.visits.sessions and now < 4 * IDLE:
+    while core.rtsp_server.sessions and now < 4 * IDLE:
         now += SECOND // 2
         viewer.connection.outbox.put(b"bytes of another session")
-        viewer.connection.outbox.took(len(viewer.connection.outbox.peek()))
-        core.plays.received(now, attempt, b"")
+        viewer.connection.outbox.consume(len(viewer.connection.outbox.peek()))
+        core.session_table.received(now, attempt, b"")
         core.wake(now)
     assert now <= 2 * IDLE
 
@@ -106,23 +106,23 @@
         viewer.hear()
     late = 3 * IDLE  # the process was stalled; the viewer had accepted what was written before
     core.wake(late)
-    assert core.visits.sessions
+    assert core.rtsp_server.sessions
     send_picture(core, attempt, late + MS, 99)
     viewer.hear()
     core.wake(late + SECOND + MS)
-    assert core.visits.sessions
+    assert core.rtsp_server.sessions
 
 
 def test_receiver_reports_are_translated_for_the_host_and_rate_limited():
     core, viewer, session, attempt, host = playing()
     send_picture(core, attempt, 2 * MS, 500)
-    splice = core.visits.sessions[session[0][1]].playing_splices[0]
-    core.take()
+    splice = core.rtsp_server.sessions[session[0][1]].playing_splices[0]
+    core.take_io_actions()
     host.read()
     told = (1 << 16) + splice.seq - 1 & 0xFFFFFFFF
     for n in range(10):
         viewer.send(Connection.frame(1, receiver_report(splice.ssrc, told)), SECOND + n * MS)
-    assert sum(isinstance(o, Flush) for o in core.take()) == 1
+    assert sum(isinstance(o, FlushAttempt) for o in core.take_io_actions()) == 1
     wire = Connection(WIRE)
     (frame,) = [e for e in wire.receive(bytes(attempt.out)) if isinstance(e, Frame)]
     compound = parse_compound(frame.payload)
@@ -139,13 +139,13 @@
     send_picture(core, attempt, 2 * MS)
     host.read()
     viewer.send(Connection.frame(1, payload), SECOND)
-    assert not attempt.out and core.visits.sessions
+    assert not attempt.out and core.rtsp_server.sessions
 
 
 def test_reports_for_a_host_that_reads_nothing_are_bounded():
     core, viewer, session, attempt, host = playing()
     send_picture(core, attempt, 2 * MS)
-    splice = core.visits.sessions[session[0][1]].playing_splices[0]
+    splice = core.rtsp_server.sessions[session[0][1]].playing_splices[0]
     for n in range(1000):
         viewer.send(Connection.frame(1, receiver_report(splice.ssrc)), (n + 1) * 2 * SECOND)
     assert len(attempt.out) < 8192 + 200
--- a/tests/control/test_parts.py
+++ b/tests/control/test_parts.py
@@ -8,7 +8,7 @@
 from copperyard.control.admission import Admission, Denial, admit, highest_rung
 from copperyard.control.budget import RetryBudget
 from copperyard.control.catalogue import Catalogue, describe
-from copperyard.control.evidence import NoteRateLimiter, encode_report, note_app, parse_note, parse_report
+from copperyard.control.host_reports import NoteRateLimiter, encode_note, encode_report, parse_note, parse_report
 from copperyard.control.hosts import MAX_UNAVAILABLE_HOSTS, HostBook
 from copperyard.control.outbox import Outbox
 from copperyard.control.splice import Splice, splice_run
@@ -24,8 +24,8 @@
     timers = Timers()
     for key, at in (("a", 5), ("b", 3), ("c", 3), ("a", 9)):
         timers.set(key, at)
-    timers.drop("b")
-    assert timers.next() == 3 and timers.due(8) == ["c"] and timers.due(9) == ["a"] and timers.next() is None
+    timers.cancel("b")
+    assert timers.next() == 3 and timers.pop_due(8) == ["c"] and timers.pop_due(9) == ["a"] and timers.next() is None
     for n in range(10_000):
         timers.set("x", n)
     assert len(timers._heap) < 100  # replaced entries do not accumulate
@@ -34,8 +34,8 @@
 @pytest.mark.parametrize("gap, may", [(5 * SECOND, False), (5 * SECOND + 1, True)])
 def test_the_retry_budget_at_the_edge_of_its_window(gap, may):
     budget = RetryBudget(5 * SECOND, 1.0, 0.0)
-    assert budget.spend(0)
-    assert budget.spend(gap) is may
+    assert budget.try_spend(0)
+    assert budget.try_spend(gap) is may
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 3 * SECOND)), max_size=60))
@@ -44,9 +44,9 @@
     for take, gap in steps:
         now += gap
         if take:
-            budget.taken(now)
+            budget.count_request(now)
             taken.append(now)
-        elif budget.spend(now):
+        elif budget.try_spend(now):
             spent.append(now)
             window = now - 5 * SECOND
             assert sum(t >= window for t in spent) <= 2 + 0.5 * sum(t > window for t in taken)
@@ -76,9 +76,9 @@
     assert not box.full
     box.put(b"y" * 60)
     assert box.full and box.peek() == b"x" * 60 + b"y" * 60
-    box.took(80)
-    assert box.roomy and box.peek() == b"y" * 40
-    box.took(40)
+    box.consume(80)
+    assert box.has_room and box.peek() == b"y" * 40
+    box.consume(40)
     assert box.peek() == b"" and box.size == 0
 
 
@@ -112,8 +112,8 @@
 
 
 def test_notes_and_their_rate_limit():
-    assert parse_note(note_app(1, api.NoteKind.SHARE, 0.75)) == (api.NoteKind.SHARE, 0.75)
-    assert parse_note(note_app(1, api.NoteKind.RUNG, 1)) is None  # hosts do not report the rung in force
+    assert parse_note(encode_note(1, api.NoticeKind.SHARE, 0.75)) == (api.NoticeKind.SHARE, 0.75)
+    assert parse_note(encode_note(1, api.NoticeKind.RUNG, 1)) is None  # hosts do not report the rung in force
     gate = NoteRateLimiter()
     assert gate.allows(0, 1, 1) and not gate.allows(300 * MS, 1, 1) and gate.allows(300 * MS, 2, 1)
     assert gate.allows(500 * MS, 1, 1)
@@ -140,10 +140,10 @@
 def test_titles_that_need_a_code_or_take_none():
     from dataclasses import replace
 
-    paid, free = replace(rules(), entries=ENTRIES[1:]), replace(rules(), entries=ENTRIES[:1])
+    paid, free = replace(rules(), admission_rules=ENTRIES[1:]), replace(rules(), admission_rules=ENTRIES[:1])
     assert admit(paid, FILM, parse_url("rtsp://h/films/a")).status == 402
     assert admit(free, FILM, parse_url("rtsp://h/films/a?code=X")).status == 403
-    assert admit(replace(rules(), entries=()), FILM, parse_url("rtsp://h/films/a")).status == 403
+    assert admit(replace(rules(), admission_rules=()), FILM, parse_url("rtsp://h/films/a")).status == 403
 
 
 def test_bandwidth_bounds_the_rung():
--- a/tests/control/test_scheduler.py
+++ b/tests/control/test_scheduler.py
@@ -21,7 +21,7 @@
         ran.append((now, job.name))
         scheduler.run(now, job)
         now += cost(job)
-        scheduler.took(now, job, cost(job))
+        scheduler.record_run(now, job, cost(job))
     return ran
 
 
@@ -45,9 +45,9 @@
 
 def test_urgent_jobs_run_first_and_others_do_not_starve():
     scheduler = Scheduler()
-    scheduler.add(0, "house", Priority.IDLE, always)
-    scheduler.add(0, "soon", Priority.SOON, always)
-    scheduler.add(0, "usual", Priority.USUAL, always)
+    scheduler.add(0, "house", Priority.LOW, always)
+    scheduler.add(0, "soon", Priority.HIGH, always)
+    scheduler.add(0, "usual", Priority.NORMAL, always)
     ran = drive(scheduler, 60_000 * MS, lambda job: 5 * MS)
     names = [name for _, name in ran]
     assert names.count("soon") > names.count("house") >= 60_000 * MS // MAX_WAIT_NS - 2
@@ -67,14 +67,14 @@
         times.append(now)
         return now + 100 * MS if len(times) < 4 else None
 
-    scheduler.add(0, "a", Priority.USUAL, step, at=50 * MS)
+    scheduler.add(0, "a", Priority.NORMAL, step, at=50 * MS)
     drive(scheduler, 10_000 * MS, lambda job: 1000)
     assert times == [50 * MS, 150 * MS, 250 * MS, 350 * MS] and scheduler.next(0) is None and not list(scheduler)
 
 
 def test_expedite_makes_a_job_due():
     scheduler = Scheduler()
-    scheduler.add(0, "a", Priority.IDLE, always, at=10_000 * MS)
+    scheduler.add(0, "a", Priority.LOW, always, at=10_000 * MS)
     assert scheduler.pick(0) is None and scheduler.next(0) == 10_000 * MS
     scheduler.expedite(MS, "a")
     assert scheduler.pick(MS).name == "a"
@@ -86,8 +86,8 @@
     def bad(now):
         raise ValueError("no")
 
-    scheduler.add(0, "bad", Priority.SOON, bad)
-    scheduler.add(0, "good", Priority.IDLE, always)
+    scheduler.add(0, "bad", Priority.HIGH, bad)
+    scheduler.add(0, "good", Priority.LOW, always)
     with pytest.raises(ValueError):
         scheduler.run(0, scheduler.pick(0))
     assert scheduler.pick(0).name == "good"
@@ -95,9 +95,9 @@
 
 def test_a_clock_that_stands_still_or_goes_back_gives_no_credit():
     scheduler = Scheduler(0.05, burst=MS)
-    scheduler.add(0, "a", Priority.USUAL, always)
+    scheduler.add(0, "a", Priority.NORMAL, always)
     job = scheduler.pick(0)
-    scheduler.took(0, job, 10 * MS)
+    scheduler.record_run(0, job, 10 * MS)
     assert scheduler.pick(0) is None and scheduler.pick(-1000 * MS) is None
     assert scheduler.pick(10_000 * MS) is not None
 
@@ -126,5 +126,5 @@
             job = scheduler.pick(now)
             if job is not None:
                 scheduler.run(now, job)
-                scheduler.took(now, job, rng.randrange(2 * MS))
+                scheduler.record_run(now, job, rng.randrange(2 * MS))
         assert {job.name for job in scheduler} == alive
--- a/tests/control/test_visits.py
+++ b/tests/control/test_visits.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from copperyard.interface import Code
+from copperyard.interface import OutcomeCode
 from copperyard.protocol.rtsp import Frame
-from tests.control.helpers import BOUNDS, MS, SECOND, Hangup, Viewer, front, play_through, starts
+from tests.control.helpers import BOUNDS, MS, SECOND, CloseViewer, Viewer, front, play_through, starts
 
 FILM = "rtsp://gw/films/a"
 TRANSPORT = (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
@@ -19,7 +19,7 @@
     assert described.header("Content-Base") == FILM + "/"
     session = viewer.set_up()
     play = viewer.ask("PLAY", FILM, session + (("Range", "npt=2-"),))
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     assert viewer.answer(play) is None
     host = play_through(core, attempt)
     assert [r.method for r in host.asked] == ["SETUP", "SETUP", "PLAY"]
@@ -28,9 +28,11 @@
     assert answer.status == 200 and answer.header("Range") == "npt=2.000-8.000"
     assert answer.header("RTP-Info").startswith(f"url={FILM}/track1;seq=")
     assert viewer.answer(viewer.ask("TEARDOWN", FILM, session)).status == 200
-    assert attempt.verdict is Code.OK and b"TEARDOWN" in attempt.out
-    core.plays.closed(2 * MS, attempt)
-    assert not core.plays.plays and not core.visits.sessions and not core.plays.controller.sessions
+    assert attempt.outcome is OutcomeCode.OK and b"TEARDOWN" in attempt.out
+    core.session_table.closed(2 * MS, attempt)
+    assert (
+        not core.session_table.requests and not core.rtsp_server.sessions and not core.session_table.controller.sessions
+    )
 
 
 @pytest.mark.parametrize(
@@ -59,7 +61,7 @@
     core = front()
     viewer = Viewer(core)
     assert viewer.answer(viewer.ask(method, url, headers)).status == status
-    assert not core.visits.sessions and not starts(core.take())
+    assert not core.rtsp_server.sessions and not starts(core.take_io_actions())
 
 
 def test_states_in_which_a_method_is_not_valid():
@@ -74,7 +76,7 @@
     assert viewer.answer(viewer.ask("SETUP", "rtsp://gw/films/b/track1", clash)).status == 461
     viewer.ask("PLAY", FILM, session)
     assert viewer.answer(viewer.ask("SET_PARAMETER", FILM, session)) is None  # queued behind the PLAY
-    play_through(core, starts(core.take())[0])
+    play_through(core, starts(core.take_io_actions())[0])
     assert viewer.answer(viewer.ask("SETUP", FILM + "/track1", session + TRANSPORT)).status == 455
 
 
@@ -91,7 +93,7 @@
     play = viewer.ask("PLAY", FILM, session)
     options = viewer.ask("OPTIONS", "*")
     assert viewer.answer(options) is None
-    play_through(core, starts(core.take())[0])
+    play_through(core, starts(core.take_io_actions())[0])
     viewer.hear()
     assert [e.cseq for e in viewer.events[-2:]] == [play, options]
 
@@ -101,11 +103,11 @@
     viewer = Viewer(core)
     session = viewer.set_up()
     first, again = viewer.ask("PLAY", FILM, session), viewer.ask("PLAY", FILM, session)
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     play_through(core, attempt)
     assert viewer.answer(first).status == viewer.answer(again).status == 200
     assert viewer.answer(viewer.ask("PLAY", FILM, session)).status == 200
-    assert not starts(core.take())
+    assert not starts(core.take_io_actions())
 
 
 def test_a_refusal_has_retry_after_and_play_may_be_repeated():
@@ -116,7 +118,7 @@
     core.wake(4 * SECOND)
     assert viewer.answer(play).status == 453 and viewer.answer(play).header("Retry-After") == "1"
     again = viewer.ask("PLAY", FILM, session, now=5 * SECOND)
-    assert viewer.answer(again) is None and len(core.plays.plays) == 1
+    assert viewer.answer(again) is None and len(core.session_table.requests) == 1
 
 
 def test_pause_and_resume_are_forwarded_to_the_host():
@@ -124,17 +126,17 @@
     viewer = Viewer(core)
     session = viewer.set_up()
     viewer.ask("PLAY", FILM, session)
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     host = play_through(core, attempt)
     pause = viewer.ask("PAUSE", FILM, session)
     assert viewer.answer(pause) is None
-    core.plays.received(2 * MS, attempt, host.good(host.read()[0]))
+    core.session_table.received(2 * MS, attempt, host.good(host.read()[0]))
     assert viewer.answer(pause).status == 200 and viewer.answer(viewer.ask("PAUSE", FILM, session)).status == 200
     play = viewer.ask("PLAY", FILM, session + (("Range", "npt=5-"),))
     (request,) = host.read()
     assert request.header("Range") == "npt=5.000-"
-    core.plays.received(3 * MS, attempt, host.good(request))
-    assert viewer.answer(play).status == 200 and not starts(core.take())
+    core.session_table.received(3 * MS, attempt, host.good(request))
+    assert viewer.answer(play).status == 200 and not starts(core.take_io_actions())
 
 
 def test_a_pause_that_the_host_does_not_answer_ends_the_session():
@@ -142,12 +144,12 @@
     viewer = Viewer(core)
     session = viewer.set_up()
     viewer.ask("PLAY", FILM, session)
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     play_through(core, attempt)
     pause = viewer.ask("PAUSE", FILM, session)
-    core.plays.closed(5 * SECOND, attempt) if core.wake(5 * SECOND) else None
-    assert attempt.verdict is Code.TIMEOUT
-    core.plays.closed(5 * SECOND, attempt)
+    core.session_table.closed(5 * SECOND, attempt) if core.wake(5 * SECOND) else None
+    assert attempt.outcome is OutcomeCode.TIMEOUT
+    core.session_table.closed(5 * SECOND, attempt)
     assert viewer.answer(pause).status == 504
     assert viewer.answer(viewer.ask("PLAY", FILM, session)).status == 454
 
@@ -156,9 +158,9 @@
     core = front()
     viewer = Viewer(core)
     viewer.ask("PLAY", FILM, viewer.set_up())
-    (attempt,) = starts(core.take())
+    (attempt,) = starts(core.take_io_actions())
     play_through(core, attempt)
-    core.plays.closed(2 * MS, attempt)
+    core.session_table.closed(2 * MS, attempt)
     viewer.hear()
     assert [e.channel for e in viewer.events if isinstance(e, Frame)] == [1, 3]
 
@@ -169,7 +171,7 @@
     session = viewer.set_up()
     viewer.send(b"".join(viewer.wire.ask("PLAY", FILM, session)[1] for _ in range(2)))
     viewer.send(b"OPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n" * 40)
-    assert any(isinstance(o, Hangup) for o in core.take())
+    assert any(isinstance(o, CloseViewer) for o in core.take_io_actions())
     assert len(viewer.connection.pending_responses) <= 33
 
 
@@ -177,12 +179,12 @@
     core = front()
     viewer = Viewer(core)
     viewer.send(b"DESCRIBE rtsp://gw/fi")
-    core.visits.closed(MS, viewer.connection)
+    core.rtsp_server.closed(MS, viewer.connection)
     other = Viewer(core)
     other.send(b"DESCRIBE rtsp://gw/" + b"x" * 9000)
-    orders = core.take()
+    orders = core.take_io_actions()
     assert [o.event for o in orders if hasattr(o, "event")] == ["viewer malformed"]
-    assert any(isinstance(o, Hangup) for o in orders) and not core.plays.plays
+    assert any(isinstance(o, CloseViewer) for o in orders) and not core.session_table.requests
 
 
 def test_an_idle_session_ends_and_an_active_one_goes_on():
@@ -192,24 +194,28 @@
     silent.set_up()
     viewer.send(b"$\x01\x00\x00", now=15 * SECOND)  # a receiver report counts as well
     core.wake(BOUNDS.idle)
-    assert list(core.visits.sessions) == [session[0][1]]
+    assert list(core.rtsp_server.sessions) == [session[0][1]]
     core.wake(36 * SECOND)
-    assert not core.visits.sessions
+    assert not core.rtsp_server.sessions
     core.wake(80 * SECOND)  # late timers allow one more second before closing
     core.wake(82 * SECOND)
-    assert sum(isinstance(o, Hangup) for o in core.take()) == 2  # then the connections
+    assert sum(isinstance(o, CloseViewer) for o in core.take_io_actions()) == 2  # then the connections
 
 
 def test_a_viewer_that_leaves_during_its_set_up_frees_the_host():
     core = front()
     viewer = Viewer(core)
     viewer.ask("PLAY", FILM, viewer.set_up())
-    (attempt,) = starts(core.take())
-    assert core.plays.connected(MS, attempt)
-    core.visits.closed(2 * MS, viewer.connection)
-    assert attempt.verdict is Code.CANCELLED
-    core.plays.closed(3 * MS, attempt)
-    assert not core.plays.plays and not core.plays.controller.sessions and len(core.plays.timers) == 0
+    (attempt,) = starts(core.take_io_actions())
+    assert core.session_table.connected(MS, attempt)
+    core.rtsp_server.closed(2 * MS, viewer.connection)
+    assert attempt.outcome is OutcomeCode.CANCELLED
+    core.session_table.closed(3 * MS, attempt)
+    assert (
+        not core.session_table.requests
+        and not core.session_table.controller.sessions
+        and len(core.session_table.timers) == 0
+    )
 
 
 def test_limits_on_connections_sessions_and_open_requests():
@@ -218,7 +224,7 @@
     core = front(bounds=replace(BOUNDS, connections=2, sessions=1, open_requests=0))
     viewer = Viewer(core)
     Viewer(core)
-    assert core.visits.opened(0, "third") is None
+    assert core.rtsp_server.opened(0, "third") is None
     session = viewer.set_up()
     more = (("Transport", "RTP/AVP/TCP;interleaved=8-9"),)
     assert viewer.answer(viewer.ask("SETUP", "rtsp://gw/films/b/track1", more)).status == 503
@@ -230,9 +236,9 @@
     viewer = Viewer(core)
     session = viewer.set_up()
     core.wake(60 * SECOND)  # forty seconds late: the keep-alive is still unread in the socket
-    assert core.visits.sessions
+    assert core.rtsp_server.sessions
     assert viewer.answer(viewer.ask("GET_PARAMETER", FILM, session, now=60 * SECOND + MS)).status == 200
     core.wake(62 * SECOND)
-    assert core.visits.sessions
+    assert core.rtsp_server.sessions
     core.wake(80 * SECOND + 2 * MS)
-    assert not core.visits.sessions
+    assert not core.rtsp_server.sessions
--- a/tests/control/zones/test_planner.py
+++ b/tests/control/zones/test_planner.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from copperyard.control.zones.check import plan_error
-from copperyard.control.zones.plan import Standing
-from copperyard.control.zones.planner import Planner, fill
+from copperyard.control.zones.plan import ZoneStatus
+from copperyard.control.zones.planner import Planner, allocate
 from tests.control.zones.helpers import SECOND, Site, terms, view
 
 
@@ -16,7 +16,7 @@
     site = Site()
     site.until_still(view([500, 500, 500], [1000, 1000, 1000]))
     assert [site.share(z, z) for z in range(3)] == [1.0] * 3
-    assert all(zone.standing is Standing.OPEN and len(zone.shares[0]) == 1 for zone in site.plan.zones)
+    assert all(zone.standing is ZoneStatus.OPEN and len(zone.shares[0]) == 1 for zone in site.plan.zones)
 
 
 def test_unwanted_room_is_preallocated_for_the_loss_of_a_zone():
@@ -40,7 +40,7 @@
     assert site.share(0, 2) * 1400 == pytest.approx(190, abs=35)
     assert site.share(0, 0) == pytest.approx(900 / 1400, abs=0.03)
     assert sum(share for _, share in site.plan.zones[0].shares[0]) == pytest.approx(1.0, abs=0.03)
-    assert site.plan.zones[0].standing is Standing.SHEDDING
+    assert site.plan.zones[0].standing is ZoneStatus.SHEDDING
 
 
 def test_demand_that_fits_nowhere_is_refused_the_least_valuable_first():
@@ -55,7 +55,7 @@
     site = Site()
     site.until_still(view([800, 300, 300], [1000, 1000, 1000]))
     plan = site.step(view([800, 300, 300], [0, 1000, 1000]))
-    assert plan.zones[0].standing is Standing.CLOSED and site.share(0, 0) == 0
+    assert plan.zones[0].status is ZoneStatus.CLOSED and site.share(0, 0) == 0
     first = sum(plan.zones[0].caps)
     grown = []
     for _ in range(6):
@@ -95,13 +95,13 @@
     site.until_still(good)
     spans = []
     for _ in range(3):
-        while site.plan.zones[0].standing is not Standing.CLOSED:
+        while site.plan.zones[0].standing is not ZoneStatus.CLOSED:
             site.step(lost)
         begin, parts = site.now, []
-        while site.plan.zones[0].standing is not Standing.OPEN and site.now - begin < 400 * SECOND:
+        while site.plan.zones[0].standing is not ZoneStatus.OPEN and site.now - begin < 400 * SECOND:
             site.step(good, 1.0)
             zone = site.plan.zones[0]
-            if zone.standing is Standing.RETURNING and zone.part not in parts:
+            if zone.standing is ZoneStatus.RETURNING and zone.part not in parts:
                 parts.append(zone.part)
         spans.append((site.now - begin) / SECOND)
         assert parts == [0.1, 0.3, 0.6]
@@ -113,10 +113,10 @@
     good, lost = view([500, 300, 300], [1000, 1000, 1000]), view([500, 300, 300], [0, 1000, 1000])
     site.until_still(good)
     site.step(lost)
-    while site.plan.zones[0].standing is not Standing.RETURNING:
+    while site.plan.zones[0].standing is not ZoneStatus.RETURNING:
         site.step(good, 1.0)
     site.step(lost)
-    assert site.plan.zones[0].standing is Standing.CLOSED and site.share(0, 0) == 0
+    assert site.plan.zones[0].standing is ZoneStatus.CLOSED and site.share(0, 0) == 0
 
 
 def test_a_link_that_flaps_each_second_for_a_minute_makes_few_epochs_and_no_swing():
@@ -138,7 +138,7 @@
     ways = [[0.5, 1, 1], [1, 1, 1], [1, 1, 1]]
     site.until_still(view([800, 300, 300], [1000, 1000, 1000], ways=ways))
     assert 0.4 < site.share(0, 0) < 0.7 and sum(s for _, s in site.plan.zones[0].shares[0]) > 0.95
-    assert site.plan.zones[0].standing is Standing.SHEDDING
+    assert site.plan.zones[0].standing is ZoneStatus.SHEDDING
 
 
 def test_a_failing_path_gets_no_new_sessions():
@@ -207,7 +207,9 @@
             assert plan_error(one, before, plan) is None
             if before is not None:
                 for z in range(4):
-                    free = max(0.0, plan.zones[z].room * plan.zones[z].part - plan.zones[z].own - plan.zones[z].reserve)
+                    free = max(
+                        0.0, plan.zones[z].room * plan.zones[z].usable_ratio - plan.zones[z].own - plan.zones[z].reserve
+                    )
                     pairs = [
                         (
                             before.zones[h].caps[z],
@@ -227,7 +229,7 @@
 def test_an_allocation_keeps_its_bounds_and_never_exceeds_demand(demand, rooms):
     one = terms(3)
     free = [max(0.0, room - sum(want)) for room, want in zip(rooms, demand, strict=True)]
-    given_ = fill(one, demand, rooms, free, [[1.0] * 3 for _ in range(3)])
+    given_ = allocate(one, demand, rooms, free, [[1.0] * 3 for _ in range(3)])
     for h in range(3):
         for c in range(2):
             assert sum(given_[h][c]) <= demand[h][c] + 1e-6
@@ -257,7 +259,7 @@
         (0, {"caps": (0.0, 0.0)}, "shape"),
         (0, {"shares": (((0, 0.7), (1, 0.7)), ())}, "shares that are none"),
         (0, {"shares": (((7, 0.7),), ())}, "shares that are none"),
-        (1, {"standing": Standing.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
+        (1, {"standing": ZoneStatus.CLOSED, "caps": (0.0, 0.0, 0.0)}, "which is closed"),
     ],
 )
 def test_a_plan_that_would_overload_a_zone_or_is_malformed_is_refused(z, more, word):
--- a/tests/control/zones/test_rollup.py
+++ b/tests/control/zones/test_rollup.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from copperyard.control.zones.facts import SummaryTable
-from copperyard.control.zones.plan import CellReport, Gathered, HostsOf, Summary, ZoneAggregate
+from copperyard.control.zones.plan import CellReport, CellReportBatch, FrontSummary, ZoneAggregate, ZoneHosts
 from copperyard.control.zones.rollup import (
     MAX_BATCH_BYTES,
     MAX_REPORTERS,
@@ -26,13 +26,13 @@
 from copperyard.protocol.peers import Codec
 from tests.control.zones.helpers import SECOND, terms
 
-CODEC = Codec({1: CellReport, 2: Gathered, 3: ZoneAggregate})
+CODEC = Codec({1: CellReport, 2: CellReportBatch, 3: ZoneAggregate})
 UNASKED = (0, 0, 0, 0)
 SILENT = terms().silent
 
 
 def summary(name, number=1, epoch=0, demand=(10.0, 0.0), room=100.0, life=1, tried=0, broke=0, hosts=1, zones=3):
-    return Summary(name, life, number, epoch, demand, (HostsOf(room, 0.0, hosts, 0, tried, broke),) * zones)
+    return FrontSummary(name, life, number, epoch, demand, (ZoneHosts(room, 0.0, hosts, 0, tried, broke),) * zones)
 
 
 class Cell:
@@ -121,14 +121,14 @@
             self.epochs[name] = max(self.epochs[name], self.committed - rng.randrange(2))
         self.numbers[name] += 1
         pool = 4 if draw % 2 else 1000
-        one = Summary(
+        one = FrontSummary(
             name,
             self.lives[name],
             self.numbers[name],
             self.epochs[name],
             (rng.random() * 100, rng.random()),
             tuple(
-                HostsOf(float(rng.randrange(pool)), 0.0, int(rng.random() < 0.9), 0, 4 + n, rng.randrange(4))
+                ZoneHosts(float(rng.randrange(pool)), 0.0, int(rng.random() < 0.9), 0, 4 + n, rng.randrange(4))
                 for n in range(self.terms.zones)
             ),
         )
@@ -644,7 +644,9 @@
     council = CellReportTable({(z, 0): (7, 3) for z in range(3)}, terms())
     for z, rooms in ((0, (100.0, 50.0, 80.0)), (1, (10.0, 90.0, 80.0))):
         book = CellAggregate(z, 0, ["a", "b", "c"], 7, terms())
-        book.update(0, Summary("a", 1, 1, 1, (1.0, 0.0), tuple(HostsOf(room, 0.0, 1, 0, 8, z) for room in rooms)))
+        book.update(
+            0, FrontSummary("a", 1, 1, 1, (1.0, 0.0), tuple(ZoneHosts(room, 0.0, 1, 0, 8, z) for room in rooms))
+        )
         council.update(0, book.report(0, "a", 1, {}, (UNASKED,) * 3))
     assert council.rooms(0) == [100.0, 90.0, 80.0] and council.path_healths(0)[1] == [0.875] * 3
     assert council.path_healths(0)[2] == [1.0] * 3 and council.rooms(SILENT + 1) == [0.0] * 3
@@ -722,13 +724,13 @@
     for n, one in enumerate(names):
         assert book.update(
             1000 * SECOND - n,
-            Summary(
+            FrontSummary(
                 one,
                 1764650000000,
                 90000,
                 70000,
                 (rng.random() * 1e6, 0.3),
-                tuple(HostsOf(rng.random() * 1e6, 1.0, 40, 0, 300, 7) for _ in range(zones)),
+                tuple(ZoneHosts(rng.random() * 1e6, 1.0, 40, 0, 300, 7) for _ in range(zones)),
             ),
         )
     return book.report(1001 * SECOND, names[3], 1764650000000, {names[0]: 1, names[-1]: 2}, ((72, 70, 71, 3),) * zones)
@@ -736,7 +738,7 @@
 
 def test_reports_go_through_frames_and_back():
     report = full()
-    for one in (report, report.zones[0], Gathered(((report, 12345), (report, 0)))):
+    for one in (report, report.zones[0], CellReportBatch(((report, 12345), (report, 0)))):
         assert CODEC.read(CODEC.body(one)) == one
 
 
--- a/tests/gateway/node/sockets.py
+++ b/tests/gateway/node/sockets.py
@@ -263,7 +263,7 @@
             or controller.sessions
             or controller.held
             or controller.seats
-            or any(server.link.own for server in controller.servers.values())
+            or any(server.link.own_kb for server in controller.servers.values())
         )
 
 
--- a/tests/gateway/node/test_repeats.py
+++ b/tests/gateway/node/test_retries.py
@@ -123,7 +123,7 @@
                 client.send(setup(sid(1 + n + 100 * window), patience="300"))
                 await client.answers(1)
                 for server in controller.servers.values():  # trust in the host is not tested here
-                    server.bad = 0.0
+                    server.failure_rate = 0.0
             left = len(harness.setups) - before - taken
             assert left == further, (window, left)
             # SIGHUP with the same configuration resets nothing
--- a/tests/gateway/peers/test_neighbours.py
+++ b/tests/gateway/peers/test_neighbours.py
@@ -7,17 +7,17 @@
 
 import trio
 
-from copperyard.control.common import CommonPlace
-from copperyard.control.neighbours import WAITING
+from copperyard.control.coordinator import CoordinatorConfig
+from copperyard.control.peer_limits import MAX_PENDING_WRITES
 from copperyard.control.zones.facts import Gauge
 from copperyard.control.zones.plan import Terms
 from copperyard.gateway.net import now
-from copperyard.gateway.peers.neighbours import Neighbourhood, Neighbours
+from copperyard.gateway.peers.service import PeerService, PeerSettings
 from copperyard.lab import virtual
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.sites.shelf import MemoryShelf, Plate
 from copperyard.membership.gateways.cells import CellMap
-from copperyard.state.agreement.messages import Since
+from copperyard.state.agreement.messages import FetchRequest
 
 SECOND = 1_000_000_000
 NAMES = ("a", "b", "c")
@@ -35,9 +35,9 @@
         server = {
             z: SimpleNamespace(
                 gone=False,
-                bad=0.0,
+                failure_rate=0.0,
                 entry=SimpleNamespace(zone=z),
-                link=SimpleNamespace(cap=1000.0, load=lambda when: 0.1),
+                link=SimpleNamespace(capacity_kb=1000.0, load=lambda when: 0.1),
             )
             for z in range(3)
         }
@@ -45,10 +45,10 @@
 
     async def start(self, nursery, name):
         self.lives += 1
-        place = CommonPlace.of(name, CellMap(ROSTER, 3), NAMES, NAMES, TERMS)
-        hood = Neighbourhood(place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name]))
+        place = CoordinatorConfig.of(name, CellMap(ROSTER, 3), NAMES, NAMES, TERMS)
+        hood = PeerSettings(place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name]))
         gauge = Gauge(name, self.lives, 3, (SECOND,), TERMS, now())
-        made = Neighbours(
+        made = PeerService(
             hood,
             gauge,
             lambda: self.controller,
@@ -71,7 +71,7 @@
             (
                 n
                 for n, one in self.running.items()
-                if one.common.council.lease(now()) and not self.scopes[n].cancel_called
+                if one.common.council.holds_lease(now()) and not self.scopes[n].cancel_called
             ),
             None,
         )
@@ -148,11 +148,11 @@
         name = next(n for n in NAMES if n != world.leader())
         world.plates[name].full = 0
         common = world.running[name].common
-        common.council._vow(common.council.term + 1, "")  # something that has to become durable
+        common.council._set_term(common.council.term + 1, "")  # something that has to become durable
         for _ in range(2):  # the first ones are taken by the durable task, which then waits for the disk
-            for _ in range(4 * WAITING):
-                common.hear(now(), "a" if name != "a" else "b", Since(0))
-            assert common.disk_behind and len(common._durable_actions) < WAITING + 10
+            for _ in range(4 * MAX_PENDING_WRITES):
+                common.hear(now(), "a" if name != "a" else "b", FetchRequest(0))
+            assert common.disk_behind and len(common._durable_actions) < MAX_PENDING_WRITES + 10
             await trio.sleep(15)
         assert common.disk_behind
         world.plates[name].full = None
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -63,7 +63,7 @@
         not_reading, other = await connect(fleet), await connect(fleet)
         await opened(not_reading)
         await opened(other)
-        visitors = list(core.visits.visitors.values())
+        visitors = list(core.rtsp_server.connections.values())
         most, frames = 0, 0
         with trio.move_on_after(5):
             while True:
@@ -74,8 +74,8 @@
         seen.update(
             most=most,
             frames=frames,
-            sessions=len(core.visits.sessions),
-            plays=len(core.plays.plays),
+            sessions=len(core.rtsp_server.sessions),
+            plays=len(core.session_table.requests),
             hosts=sum(len(h.sessions) for h in fleet.hosts),
         )
 
@@ -140,7 +140,7 @@
         fleet.lists.later(fleet.hosts[0], "draining")
         await trio.sleep(2)
         core = fleet.gateways[0].gateway.core
-        assert not core.plays.hosts.may_start(core.roster.numbers["h0"])
+        assert not core.session_table.hosts.may_start(core.roster.numbers["h0"])
 
     run_site(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
     assert any(event == "list not taken" and "two hosts" in fields["text"] for event, fields in lines)
@@ -152,10 +152,10 @@
         fleet.lists.publish(fleet.hosts[1], "draining")
         await trio.sleep(5)
         core = fleet.gateways[0].gateway.core
-        assert core.plays.hosts.may_start(core.roster.numbers["h1"])  # the list service is down
+        assert core.session_table.hosts.may_start(core.roster.numbers["h1"])  # the list service is down
         fleet.lists.fail(False)
         await trio.sleep(2)
-        assert not core.plays.hosts.may_start(core.roster.numbers["h1"])
+        assert not core.session_table.hosts.may_start(core.roster.numbers["h1"])
 
     run_site(site(), body)
 
@@ -166,7 +166,7 @@
             host.crash()  # not yet known to the list service
         _, answer = await opened(await connect(fleet))
         assert answer.status in (200, 453)
-        assert fleet.gateways[0].gateway.core.plays.counts.outcomes.get("RESET", 0) == 0
+        assert fleet.gateways[0].gateway.core.session_table.counts.outcomes.get("RESET", 0) == 0
 
     assert_rules_kept(run_site(site(), body))
 
@@ -190,7 +190,7 @@
             except ConnectionRefusedError:
                 pass
             assert (await client.call("TEARDOWN", f"rtsp://{client.stream.peer}/f/0", named)).status == 200
-        assert not gateway.core.plays.plays
+        assert not gateway.core.session_table.requests
 
     run_site(site(), body)
 
@@ -220,7 +220,7 @@
         client = await connect(fleet)
         _, answer = await opened(client)
         core = fleet.gateways[0].gateway.core
-        original, core.visits.received = core.visits.received, lambda *words: 1 / 0
+        original, core.rtsp_server.received = core.rtsp_server.received, lambda *words: 1 / 0
         bad = await connect(fleet)
         await bad.write(b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n")
         try:
@@ -228,7 +228,7 @@
             raise AssertionError("the connection went on")
         except Broken:
             pass
-        core.visits.received = original
+        core.rtsp_server.received = original
         assert (await client.call("OPTIONS", "*")).status == 200
 
     run_site(site(), body, log=lambda event, fields: lines.append((event, dict(fields))))
