--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -6,14 +6,14 @@
 import pytest
 import trio
 
-from copperyard.control.plays import Plays
+from copperyard.control.session_table import SessionTable
 from copperyard.gateway.daemon import StateRefused
 from copperyard.lab import virtual
 from copperyard.lab.audit import Auditor
 from copperyard.lab.fleet import Fleet
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.viewers import Broken, Client
-from copperyard.state.book import Append
+from copperyard.state.journal_writer import Append
 from tests.gateway.test_gateway import opened
 from tests.lab.helpers import MS, site_text
 
@@ -137,13 +137,13 @@
 
 def test_a_set_up_sent_before_its_intent_is_durable_is_found(monkeypatch):
     # defect: the set-up is sent at once, without waiting until its intent is on disk
-    whole = Plays._leave
+    whole = SessionTable._start_setup
 
     def at_once(self, now, attempt):
-        attempt.intent = 0
+        attempt.intent_sequence = 0
         return whole(self, now, attempt)
 
-    monkeypatch.setattr(Plays, "_leave", at_once)
+    monkeypatch.setattr(SessionTable, "_start_setup", at_once)
 
     async def body(scenario):
         scenario.disk.pause = 0.5
@@ -300,17 +300,17 @@
 def test_a_planned_stop_keeps_the_spent_retry_budget():
     async def body(scenario):
         def budget():
-            return scenario.gateway.gateway.core.plays.budget
+            return scenario.gateway.gateway.core.session_table.budget
 
-        budget()._spent.extend([round(trio.current_time() * 1e9)] * 2)
+        budget()._spent_times.extend([round(trio.current_time() * 1e9)] * 2)
         await scenario.gateway.gateway.drain(1.0)
         await trio.sleep(0.1)
         scenario.gateway.gateway = None
         await scenario.restart()
-        assert len(budget()._spent) == 2
+        assert len(budget()._spent_times) == 2
         scenario.fleet.kill_gateway(scenario.gateway)
         await scenario.restart()
-        assert len(budget()._spent) == 3  # unknown after a kill, so all of it counts as spent
+        assert len(budget()._spent_times) == 3  # unknown after a kill, so all of it counts as spent
 
     run(body)
 
@@ -352,12 +352,15 @@
             for gateway in fleet.gateways:
                 nursery.start_soon(fleet.start_gateway, gateway)
             await trio.sleep(0.01)
-            unclear = [len(g.gateway.core.plays.settler) for g in fleet.gateways]
+            unclear = [len(g.gateway.core.session_table.unresolved_codes) for g in fleet.gateways]
             assert max(unclear) > 4
-            assert all(g.gateway.core.plays.settler._out <= 4 for g in fleet.gateways)
-            assert all(not g.gateway.core.plays.budget.spend(round(trio.current_time() * 1e9)) for g in fleet.gateways)
+            assert all(g.gateway.core.session_table.unresolved_codes._queries_out <= 4 for g in fleet.gateways)
+            assert all(
+                not g.gateway.core.session_table.budget.try_spend(round(trio.current_time() * 1e9))
+                for g in fleet.gateways
+            )
         await trio.sleep(2)
-        assert all(len(g.gateway.core.plays.settler) == 0 for g in fleet.gateways)
+        assert all(len(g.gateway.core.session_table.unresolved_codes) == 0 for g in fleet.gateways)
 
     scenario = run(body, one)
     breaks = Auditor(one.rules, scenario.fleet.tap, 5 * MS, 10 * MS, True).check()
@@ -393,9 +396,9 @@
         assert await scenario.ask() == 200
         await trio.sleep(45)
         await scenario.restart()
-        assert len(scenario.gateway.gateway.core.plays.codes) == 1
+        assert len(scenario.gateway.gateway.core.session_table.codes) == 1
         await trio.sleep(130)
-        assert len(scenario.gateway.gateway.core.plays.codes) == 0
+        assert len(scenario.gateway.gateway.core.session_table.codes) == 0
         assert not scenario.gateway.gateway._store.book.state.codes
 
     run(body, parse(text.encode()))
@@ -427,7 +430,7 @@
             scenario.disk.operations, scenario.disk.crash_at = 0, operation
             crashed = scenario.disk.crashed
             book.compact()
-            scenario.gateway.gateway._store.look()
+            scenario.gateway.gateway._store.notify()
             with trio.move_on_after(1):
                 await crashed.wait()
             assert crashed.is_set()
@@ -435,7 +438,7 @@
             await trio.sleep(0.3)
             assert len(scenario.gateway.gateway._store.book.state.codes) == 6
         scenario.gateway.gateway._store.book.compact()
-        scenario.gateway.gateway._store.look()
+        scenario.gateway.gateway._store.notify()
         await trio.sleep(1)
         assert not [name for name in scenario.disk.names() if name.endswith(".part")]
         assert [name for name in scenario.disk.names() if name.endswith(".snap")]
@@ -451,7 +454,7 @@
     if rule == "taken out":
         from copperyard.control.attempt import Attempt
 
-        monkeypatch.setattr(Attempt, "hold", property(lambda self: False, lambda self, value: None), raising=False)
+        monkeypatch.setattr(Attempt, "hold_play", property(lambda self: False, lambda self, value: None), raising=False)
 
     async def body(scenario):
         scenario.disk.pause = 0.1
@@ -471,7 +474,7 @@
     from copperyard.gateway.listing import Follower
 
     steps = []
-    look, leave = Follower.catch_up, Plays.stored
+    look, leave = Follower.catch_up, SessionTable.journal_advanced
 
     async def looked(self, most):
         await look(self, most)
@@ -482,7 +485,7 @@
         leave(self, now)
 
     monkeypatch.setattr(Follower, "catch_up", looked)
-    monkeypatch.setattr(Plays, "stored", left)
+    monkeypatch.setattr(SessionTable, "journal_advanced", left)
 
     async def body(scenario):
         steps.clear()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,14 +25,14 @@
     cells=4,
     racks=1,
     uplink_kb=100_000.0,
-    weight_kb=1000.0,
+    kb_per_weight=1000.0,
     places_by_kind=(20,),
-    full_from=1.0,
-    join_adds=0.15,
-    told_late=500 * MS,
-    told_every=0,
+    full_threshold=1.0,
+    join_ratio=0.15,
+    notice_delay=500 * MS,
+    notice_interval=0,
     shortfall_cost=8.0,
-    switch_s=0.5,
+    switch_cost_s=0.5,
     max_attempts=3,
     max_retry_after=1000 * MS,
     retry_after=True,
@@ -40,15 +40,15 @@
     cancelling=True,
     connect_timeout=250 * MS,
     subscribe=False,
-    ask_every=0,
-    cold_from=0.4,
-    warm_within=12 * SECOND,
+    list_poll_interval=0,
+    cold_ratio=0.4,
+    warm_up_time=12 * SECOND,
     drain_grace=250 * MS,
-    fall_multiple=3.0,
-    fall=3 * SECOND,
-    free_resends=None,
-    further_ratio=0.0,
-    ratio_span=0,
+    cold_budget_multiple=3.0,
+    cold_window=3 * SECOND,
+    free_retries=None,
+    retry_ratio=0.0,
+    retry_window=0,
     price_cross_zone=0.0,
     price_late_fail=0.05,
     price_move=0.2,
@@ -79,7 +79,7 @@
     """A front that knows four servers, all warm, and has one carried session at server 3."""
     controller = Controller(settings(**changes), 5)
     controller.handle(0, full_list())
-    controller.handle(0, api.Carried(request(1 << 40, home=3, holders=1, title=99), 3))
+    controller.handle(0, api.CarriedSession(request(1 << 40, home=3, holders=1, title=99), 3))
     return controller
 
 
@@ -87,5 +87,5 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def only(actions: list[api.Action], kind: type) -> list[Any]:
+def of_type(actions: list[api.Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -3,9 +3,9 @@
 import pytest
 
 from copperyard.control.hosts import HostBook
-from copperyard.control.plays import Plays
-from copperyard.control.redemption import Redemptions, Verdict
-from copperyard.control.visits import Session
+from copperyard.control.redemption import ClaimResult, Redemptions
+from copperyard.control.rtsp_server import RtspSession
+from copperyard.control.session_table import SessionTable
 from copperyard.interface import Effect, ListKind, ServerState
 from copperyard.lab.audit import Auditor, Tap
 from tests.lab.helpers import MS, SECOND, classes, day, fault, play, site, weakened
@@ -27,20 +27,20 @@
 def test_detects_missing_answer(monkeypatch):
     script = day(fault("errors", 0.0, 5.0, 0, 1, 2, 3, hard=1.0), paid=1.0)
     assert not play(site(), script).breaks
-    monkeypatch.setattr(Session, "failed", lambda self, now, code: None)
+    monkeypatch.setattr(RtspSession, "failed", lambda self, now, code: None)
     assert 1 in broken(play(site(), script))
 
 
 def test_detects_duplicate_answer(monkeypatch):
     assert not play(site(), CROWD).breaks
-    whole = Session.played
+    whole = RtspSession.played
 
     def twice(self, now, infos):
-        (slot,) = self.slots
+        (slot,) = self.pending_responses
         whole(self, now, infos)
-        self.visitor.outbox.put(slot.data)
+        self.connection.outbox.put(slot.data)
 
-    monkeypatch.setattr(Session, "played", twice)
+    monkeypatch.setattr(RtspSession, "played", twice)
     assert broken(play(site(), CROWD)) == {1}
 
 
@@ -48,7 +48,7 @@
     one = site(further="")
     script = day(fault("hang", 1.0, 7.0, 0, 1, 2, 3))
     slow = tuple(10**10 if c.effect == Effect.SAFE else c.deadline for c in one.rules.settings.classes)
-    changed = classes(one, deadline=slow[0], aim=8 * 10**9)
+    changed = classes(one, deadline=slow[0], answer_target=8 * 10**9)
     assert 1 in both(one, script, weakened(classes=changed))
 
 
@@ -61,38 +61,38 @@
 def test_detects_code_sent_twice(monkeypatch):
     script = day(misbehave=0.9, paid=1.0, rate=8.0)
     assert not play(site(), script).breaks
-    monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: Verdict.REDEEM)
+    monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: ClaimResult.REDEEM)
     assert 2 in broken(play(site(), script))
 
 
 def test_detects_concurrent_attempts(monkeypatch):
     script = day(fault("answers-lost", 1.0, 6.0, 0, 1), paid=0.0)
     assert not play(site(), script).breaks
-    whole = Plays._send
+    whole = SessionTable._send
 
     def doubled(self, now, action):
         whole(self, now, action)
-        first = self.plays[action.ref].attempt if action.ref in self.plays else None
+        first = self.requests[action.ref].attempt if action.ref in self.requests else None
         if first is not None:
-            from copperyard.control.orders import Start
+            from copperyard.control.io_actions import StartAttempt
 
-            second = type(first)(first.plan, first.limits, first.splices, now, first.limit)
-            self.orders.append(Start(second))
+            second = type(first)(first.plan, first.limits, first.splices, now, first.deadline)
+            self.io_actions.append(StartAttempt(second))
 
-    monkeypatch.setattr(Plays, "_send", doubled)
+    monkeypatch.setattr(SessionTable, "_send", doubled)
     assert 2 in broken(play(site(), script))
 
 
 def test_detects_setup_on_draining_host(monkeypatch):
     script = day(fault("drain", 2.0, 8.0, 0))
     assert not play(site(), script).breaks
-    whole = Plays.listed
+    whole = SessionTable.list_updated
 
     def deaf(self, now, news, addresses):
         if news.kind != ListKind.DELTA or all(e.state == ServerState.READY for e in news.entries):
             whole(self, now, news, addresses)
 
-    monkeypatch.setattr(Plays, "listed", deaf)
+    monkeypatch.setattr(SessionTable, "list_updated", deaf)
     assert broken(play(site(), script)) == {3}
 
 
@@ -119,7 +119,7 @@
 def test_detects_overloaded_cold_host():
     one = site(hosts=2, gateways=3, places=24, link="90MB/s", scale="0.001", warm="6s")
     script = day(fault("crash", 1.0, 3.0, 0, 1), rate=24.0, seconds=9.0, paid=0.0)
-    assert 4 in both(one, script, weakened(warm_within=1))
+    assert 4 in both(one, script, weakened(warm_up_time=1))
 
 
 def test_detects_violated_floor_and_seats():
@@ -131,7 +131,7 @@
 def test_detects_exceeded_retry_budget():
     one = site(hosts=24)
     script = day(fault("errors", 2.0, 5.0, *range(24), hard=1.0), paid=0.0)
-    assert both(one, script, weakened(free_resends=None)) == {6}
+    assert both(one, script, weakened(free_retries=None)) == {6}
 
 
 @pytest.mark.parametrize("seed", [2, 3])
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -33,7 +33,7 @@
 )
 from copperyard.lab.sites.scale_faults import ScaleFault, default_faults, read_scale_faults
 from copperyard.lab.sites.site_settings import AddressBlock, add_gateways, generate_site, with_addresses
-from copperyard.protocol.peers import Hello, hello
+from copperyard.protocol.peers import Hello, encode_hello
 
 ROOT = Path(__file__).parents[2]
 SITES = ROOT / "examples" / "sites.xml"
@@ -473,7 +473,7 @@
         one.close()
     address = {name: one for one, name in names.items()}
     listener = await networks["b"].listen(address["b"])
-    first = hello(Hello(b"f", "a", "b", 1, 1))
+    first = encode_hello(Hello(b"f", "a", "b", 1, 1))
 
     async def link():
         out = await networks["a"].connect(address["b"])
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -5,9 +5,9 @@
 
 from copperyard.cli.main import app
 from copperyard.control.hosts import HostBook
-from copperyard.control.plays import Plays
 from copperyard.control.redemption import Redemptions
-from copperyard.control.visits import Session
+from copperyard.control.rtsp_server import RtspSession
+from copperyard.control.session_table import SessionTable
 from copperyard.lab import world
 from copperyard.lab.memnet import MemoryNetwork
 
@@ -65,24 +65,24 @@
 
 
 def test_finds_missing_answer_after_failure(monkeypatch):
-    monkeypatch.setattr(Session, "failed", lambda self, now, code: None)
+    monkeypatch.setattr(RtspSession, "failed", lambda self, now, code: None)
     assert found_within(range(1, 60)) is not None
 
 
 def test_finds_code_that_is_never_bound(monkeypatch):
-    from copperyard.control.redemption import Verdict
+    from copperyard.control.redemption import ClaimResult
 
-    monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: Verdict.REDEEM)
+    monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: ClaimResult.REDEEM)
     seed, found = found_within(range(1, 60))
     assert "rule 2" in found["breaks"][0]
 
 
 def test_finds_ignored_list_updates(monkeypatch):
     monkeypatch.setattr(HostBook, "may_start", lambda self, server, decided=None: True)
-    whole = Plays.listed
+    whole = SessionTable.list_updated
     monkeypatch.setattr(
-        Plays,
-        "listed",
+        SessionTable,
+        "list_updated",
         lambda self, now, news, addresses: whole(self, now, news, addresses) if news.kind != 3 else None,
     )
     seed, found = found_within(range(1, 80))
@@ -101,12 +101,12 @@
 
 
 def test_finds_missing_check_of_host_uptime(monkeypatch):
-    monkeypatch.setattr(HostBook, "sure", lambda self, now, server: True)
+    monkeypatch.setattr(HostBook, "heard_recently", lambda self, now, server: True)
     assert any("rule 4" in text for seed in (1265, *range(1000, 1060)) for text in breaks(seed))
 
 
 def test_finds_session_request_that_is_never_removed(monkeypatch):
-    monkeypatch.setattr(Plays, "leave", lambda self, now, ref: None)
+    monkeypatch.setattr(SessionTable, "viewer_left", lambda self, now, ref: None)
     seed, found = found_within(range(1, 20))
     assert found["left"] or found["breaks"]
 
--- a/tests/membership/test_gateways.py
+++ b/tests/membership/test_gateways.py
@@ -4,8 +4,8 @@
 
 from copperyard.lab.sites.events import Manner
 from copperyard.lab.sites.simulated import World
-from copperyard.membership.gateways.members import Members, Pace, Say
-from copperyard.membership.gateways.messages import GossipUpdate, Life, Look, Nothing, Ping, ReachabilityRow
+from copperyard.membership.gateways.members import Membership, ProbeTiming, SendMessage
+from copperyard.membership.gateways.messages import GossipUpdate, MemberState, Nack, Ping, PingRequest, ReachabilityRow
 from copperyard.membership.gateways.reachability import PathState, Reachability, ZoneReachability
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -25,7 +25,7 @@
     begin = world.net.now
     world.net.kill("g3")
     world.run(20)
-    assert world.all_hold("g3", Life.DEAD)
+    assert world.all_hold("g3", MemberState.DEAD)
     assert max(at for at, _, _ in world.deaths()) - begin < 14 * SECOND
 
 
@@ -39,7 +39,7 @@
             for name in world.of(2)[:kill]:
                 world.net.kill(name)
             world.run(30)
-            assert all(world.all_hold(name, Life.DEAD) for name in world.of(2)[:kill])
+            assert all(world.all_hold(name, MemberState.DEAD) for name in world.of(2)[:kill])
             found.append(max(at for at, _, _ in world.deaths()) - begin)
     assert sorted(zone)[3] < 1.5 * sorted(one)[3]
 
@@ -61,8 +61,8 @@
     before = len([1 for _, who, _, _ in world.changes if who == "g5"])
     world.run(30)
     assert [1 for _, who, _ in world.deaths() if who == "g5"] == []
-    assert len([1 for _, who, _, life in world.changes if who == "g5" and life is Life.SUSPECT]) <= before + 2
-    assert world.all_hold("g5", Life.ALIVE)
+    assert len([1 for _, who, _, life in world.changes if who == "g5" and life is MemberState.SUSPECT]) <= before + 2
+    assert world.all_hold("g5", MemberState.ALIVE)
 
 
 def test_a_member_held_dead_returns_by_itself_and_after_a_restart_with_an_old_clock():
@@ -71,15 +71,15 @@
     rest = [name for name in world.roster if name != "g1"]
     world.net.part(["g1"], rest)
     world.run(25)
-    assert all(world.core(name).members["g1"].life is Life.DEAD for name in rest)
+    assert all(world.core(name).members["g1"].state is MemberState.DEAD for name in rest)
     world.net.heal()
     world.run(30)
-    assert world.all_hold("g1", Life.ALIVE)
+    assert world.all_hold("g1", MemberState.ALIVE)
     world.net.kill("g1")
     world.run(25)
     world.start("g1", 10)  # its incarnation is below that of its earlier life
     world.run(30)
-    assert world.all_hold("g1", Life.ALIVE)
+    assert world.all_hold("g1", MemberState.ALIVE)
 
 
 def test_a_planned_end_is_announced_and_raises_no_suspicion():
@@ -90,8 +90,10 @@
     world.run(0.5)
     world.net.kill("g2")
     world.run(20)
-    assert world.all_hold("g2", Life.LEFT)
-    assert not [1 for _, _, whom, life in world.changes if whom == "g2" and life in (Life.SUSPECT, Life.DEAD)]
+    assert world.all_hold("g2", MemberState.LEFT)
+    assert not [
+        1 for _, _, whom, life in world.changes if whom == "g2" and life in (MemberState.SUSPECT, MemberState.DEAD)
+    ]
 
 
 def test_a_zone_restarted_in_one_second_is_alive_again_soon():
@@ -103,7 +105,7 @@
     for name in world.of(1):
         world.start(name, 2000)
     world.run(15)
-    assert all(world.all_hold(name, Life.ALIVE) for name in world.of(1))
+    assert all(world.all_hold(name, MemberState.ALIVE) for name in world.of(1))
     assert world.deaths() == []
 
 
@@ -175,16 +177,18 @@
 
 def test_a_duplicate_nack_does_not_shorten_suspicions():
     """A nack counted twice made the local health multiplier -1 and every suspicion zero long."""
-    core = Members("a", {"a": 0, "b": 0, "c": 0, "d": 1}, 2, Pace(), 1, 0, 5)
+    core = Membership("a", {"a": 0, "b": 0, "c": 0, "d": 1}, 2, ProbeTiming(), 1, 0, 5)
     now, looked = 0, None
     while looked is None:
         now = core.next_wake()
         core.wake(now)
-        looked = next((x for x in core.take() if isinstance(x, Say) and isinstance(x.message, Look)), None)
+        looked = next(
+            (x for x in core.take_actions() if isinstance(x, SendMessage) and isinstance(x.message, PingRequest)), None
+        )
     for helper in "bcd" * 3:
-        core.hear(now, helper, Nothing(looked.message.number))
+        core.hear(now, helper, Nack(looked.message.number))
     target = looked.message.target
-    while core.members[target].life is Life.ALIVE:
+    while core.members[target].state is MemberState.ALIVE:
         core.wake(core.next_wake())
     assert core.local_health == 0
     assert core.members[target].suspicion_ends_at - core.next_wake() > 2 * SECOND
@@ -197,21 +201,29 @@
     for name in lost:
         world.net.kill(name)
     world.run(25)
-    known = [world.core(x).members[name].life for x in world.net.nodes for name in lost]
-    assert known.count(Life.DEAD) > 0.98 * len(known)
+    known = [world.core(x).members[name].state for x in world.net.nodes for name in lost]
+    assert known.count(MemberState.DEAD) > 0.98 * len(known)
     assert sum(world.core(x).local_health for x in world.net.nodes) < len(world.net.nodes)
 
 
 def test_updates_on_unknown_gateways_change_nothing():
-    core = Members("a", {"a": 0, "b": 0}, 1, Pace(), 1, 0, 5)
-    core.hear(0, "b", Ping(1, 7, (GossipUpdate("x", Life.DEAD, 9, "b"), GossipUpdate("a", Life.DEAD, 5, "b")), ()))
+    core = Membership("a", {"a": 0, "b": 0}, 1, ProbeTiming(), 1, 0, 5)
+    core.hear(
+        0,
+        "b",
+        Ping(1, 7, (GossipUpdate("x", MemberState.DEAD, 9, "b"), GossipUpdate("a", MemberState.DEAD, 5, "b")), ()),
+    )
     assert core.incarnation == 6 and core.members["b"].incarnation == 7
 
 
 def test_an_absurd_incarnation_is_not_adopted():
-    core = Members("a", {"a": 0, "b": 0}, 1, Pace(), 1, 0, 5)
+    core = Membership("a", {"a": 0, "b": 0}, 1, ProbeTiming(), 1, 0, 5)
     most = (1 << 63) - 1
     core.hear(
-        0, "b", Ping(1, 7, (GossipUpdate("a", Life.DEAD, most, "b"), GossipUpdate("b", Life.DEAD, most, "b")), ())
+        0,
+        "b",
+        Ping(
+            1, 7, (GossipUpdate("a", MemberState.DEAD, most, "b"), GossipUpdate("b", MemberState.DEAD, most, "b")), ()
+        ),
     )
     assert core.incarnation == 5 and core.members["b"].incarnation == 7
--- a/tests/membership/test_asking.py
+++ b/tests/membership/test_query_pacer.py
@@ -2,7 +2,7 @@
 
 import random
 
-from copperyard.membership.asking import (
+from copperyard.membership.query_pacer import (
     FAST_RETRIES,
     MS,
     QUERY_INTERVAL,
--- a/tests/state/test_book.py
+++ b/tests/state/test_journal_writer.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from copperyard.state.book import Append, Book, Create, Remove, Rename
-from copperyard.state.facts import Carried, Cleared, Fact, Passed, Redeemed, digest
+from copperyard.state.facts import CodeCleared, CodeRedeemed, CodeSent, Fact, TimeAdvanced, digest
+from copperyard.state.journal_writer import Append, Create, JournalWriter, Remove, Rename
 from copperyard.state.recovery import recover
 
 SECOND = 1_000_000_000
@@ -42,7 +42,7 @@
 def open_journal(folder=None, now=0):
     folder = folder or Folder()
     found = folder.recover(folder.files)
-    return folder, Book(found, f"gw.{found.state.lives}", "g", now, 0)
+    return folder, JournalWriter(found, f"gw.{found.state.lives}", "g", now, 0)
 
 
 def run_steps(folder, book, now=0, queues=("commit", "chore")):
@@ -51,7 +51,7 @@
     while more:
         more = False
         for queue in queues:
-            step = {"commit": book.commit, "chore": book.chore}[queue](now)
+            step = {"commit": book.commit_step, "chore": book.background_step}[queue](now)
             if step is not None:
                 folder.do(step)
                 book.done(queue, now)
@@ -59,23 +59,23 @@
 
 
 def carried(n, at=1):
-    return Carried(at, digest(str(n)), f"gw/{n}", "h")
+    return CodeSent(at, digest(str(n)), f"gw/{n}", "h")
 
 
 def test_facts_become_durable_with_their_sync():
     folder, book = open_journal()
     numbers = [book.write(0, carried(n)) for n in range(5)]
     assert not any(book.durable(n) for n in numbers)
-    step = book.commit(0)
-    assert isinstance(step, Create) and book.commit(0) is None  # one step in flight per queue
+    step = book.commit_step(0)
+    assert isinstance(step, Create) and book.commit_step(0) is None  # one step in flight per queue
     folder.do(step)
     assert not book.done("commit", 0)
-    step = book.commit(0)
+    step = book.commit_step(0)
     late = book.write(0, carried(9))  # written during a sync: belongs to the next one
     folder.do(step)
     assert book.done("commit", 0) and all(book.durable(n) for n in numbers) and not book.durable(late)
     run_steps(folder, book)
-    assert book.durable(late) and book.tally.commits == 2 and book.tally.facts == 7
+    assert book.durable(late) and book.stats.commits == 2 and book.stats.facts == 7
     assert len(folder.recover().state.codes) == 6
 
 
@@ -96,14 +96,16 @@
     folder, book = open_journal()
     run_steps(folder, book)
     first = book.write(0, carried(1))
-    step = book.commit(0)
+    step = book.commit_step(0)
     folder.do(step, half=True)
     book.failed("commit", "EIO", 0)
-    assert not book.well and not book.durable(first) and book.commit(0) is None and book.chore(0) is None
+    assert (
+        not book.healthy and not book.durable(first) and book.commit_step(0) is None and book.background_step(0) is None
+    )
     later = book.write(0, carried(2))
     folder.log.clear()
     run_steps(folder, book, now=SECOND)
-    assert book.well and book.durable(later)
+    assert book.healthy and book.durable(later)
     assert step.name not in {
         s.name for s in folder.log if isinstance(s, Append)
     }  # the file in doubt is not written again
@@ -119,14 +121,14 @@
     tries, now = 0, 0
     while now < 200 * SECOND:
         for queue in ("commit", "chore"):
-            if {"commit": book.commit, "chore": book.chore}[queue](now) is not None:
+            if {"commit": book.commit_step, "chore": book.background_step}[queue](now) is not None:
                 book.failed(queue, "ENOSPC", now)
                 tries += 1
         now += SECOND // 2
-    assert 5 < tries < 16 and not book.well
+    assert 5 < tries < 16 and not book.healthy
     number = book.write(now, carried(1))
     run_steps(folder, book, now + 40 * SECOND)
-    assert book.well and book.durable(number) and len(folder.recover().state.codes) == 1
+    assert book.healthy and book.durable(number) and len(folder.recover().state.codes) == 1
 
 
 @pytest.mark.parametrize("end", ["done", "failed"])
@@ -135,12 +137,12 @@
     monkeypatch.setattr("copperyard.state.book.MAX_PENDING_BYTES", 2000)
     folder, book = open_journal()
     if out is Append:
-        folder.do(book.commit(0))
+        folder.do(book.commit_step(0))
         book.done("commit", 0)
-    step = book.commit(0)
+    step = book.commit_step(0)
     assert isinstance(step, out)
     numbers = [book.write(0, carried(n)) for n in range(500)]  # the step hangs
-    assert len(book._pending) < 2200 and not book.well and book.chore(40 * SECOND) is None
+    assert len(book._pending) < 2200 and not book.healthy and book.background_step(40 * SECOND) is None
     folder.do(step)
     if end == "done":
         book.done("commit", 50 * SECOND)
@@ -148,7 +150,7 @@
         book.failed("commit", "EIO", 50 * SECOND)
     assert not any(book.durable(n) for n in numbers)
     run_steps(folder, book, 99 * SECOND)
-    assert book.well and all(book.durable(n) for n in numbers)
+    assert book.healthy and all(book.durable(n) for n in numbers)
     found = folder.recover()
     assert len(found.state.codes) == 500 and not found.harm
     last = book.write(99 * SECOND, carried(777))
@@ -162,9 +164,9 @@
         book.write(0, carried(n))
     run_steps(folder, book)
     book.compact()
-    step = book.chore(0)
+    step = book.background_step(0)
     book.failed("chore", "EIO", 0)
-    assert step is not None and book.well
+    assert step is not None and book.healthy
     number = book.write(0, carried(99))
     run_steps(folder, book)
     assert book.durable(number) and len(folder.recover().state.codes) == 51
@@ -175,14 +177,14 @@
     for n in range(300):
         book.write(0, carried(n))
         if n % 2:
-            book.write(0, Redeemed(2, digest(str(n)), "r"))
+            book.write(0, CodeRedeemed(2, digest(str(n)), "r"))
         if n % 3 == 0:
-            book.write(0, Cleared(3, digest(str(n))))
+            book.write(0, CodeCleared(3, digest(str(n))))
         if n % 50 == 0:
             run_steps(folder, book)
             book.compact()
     book._segment_size = 1 << 30  # the segment is full
-    book.write(0, Passed(9))
+    book.write(0, TimeAdvanced(9))
     run_steps(folder, book)
     book.compact()
     run_steps(folder, book)
@@ -201,14 +203,16 @@
         for _ in range(rng.randint(0, 3)):
             n += 1
             code = rng.randrange(12)
-            one = rng.choice((carried(code, n), Redeemed(n, digest(str(code)), f"r{n}"), Cleared(n, digest(str(code)))))
+            one = rng.choice(
+                (carried(code, n), CodeRedeemed(n, digest(str(code)), f"r{n}"), CodeCleared(n, digest(str(code))))
+            )
             promised[book.write(turn_, one)] = one
         if turn_ in (11, 23):
             book.compact()
         if turn_ == 17:
             book._segment_size = 1 << 30
         for queue in ("commit", "chore", "chore"):
-            step = {"commit": book.commit, "chore": book.chore}[queue](turn_ * SECOND)
+            step = {"commit": book.commit_step, "chore": book.background_step}[queue](turn_ * SECOND)
             if step is None:
                 continue
             operations += 1
@@ -251,7 +255,7 @@
                 allowed = [one for _, one in told[max(0, durable) :]]
                 kept = found.state.codes.get(code)
                 if kept is None:
-                    assert durable < 0 or any(isinstance(one, Cleared) for one in allowed)
+                    assert durable < 0 or any(isinstance(one, CodeCleared) for one in allowed)
                 else:
                     assert any(one.at == kept.at for one in allowed), (stop_at, kept, allowed)
             # and the next run can go on from there
@@ -272,7 +276,7 @@
     folder, book = open_journal()
     run_steps(folder, book)
     number = book.write(0, carried(1))
-    step = book.commit(0)
+    step = book.commit_step(0)
     folder.do(Append(step.name, step.data, sync=False))
     book.done("commit", 0)
     assert book.durable(number) and not folder.recover().state.codes
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -6,43 +6,43 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from copperyard.state import facts, frames
+from copperyard.state import facts, file_format
 from copperyard.state.clock import MAX_DOWNTIME, ServiceClock
+from copperyard.state.durable_state import CodeRecord, DurableState
 from copperyard.state.facts import (
-    Began,
-    Carried,
-    Cleared,
-    Ended,
-    Listed,
-    Passed,
-    Redeemed,
+    CodeCleared,
+    CodeRedeemed,
+    CodeSent,
+    HostListStored,
+    ProcessStarted,
+    ProcessStopped,
+    TimeAdvanced,
     digest,
 )
-from copperyard.state.ledger import Kept, State
 from copperyard.state.recovery import recover
 
 A, B, C = digest("A"), digest("B"), digest("C")
 LIFE = [
-    Began(1, "gw.1", "g", 1),
-    Carried(2, A, "gw.1/1", "h0"),
-    Redeemed(3, A, "r-A"),
-    Carried(4, B, "gw.1/2", "h1"),
-    Carried(5, C, "gw.1/3", "h1"),
-    Cleared(6, C),
+    ProcessStarted(1, "gw.1", "g", 1),
+    CodeSent(2, A, "gw.1/1", "h0"),
+    CodeRedeemed(3, A, "r-A"),
+    CodeSent(4, B, "gw.1/2", "h1"),
+    CodeSent(5, C, "gw.1/3", "h1"),
+    CodeCleared(6, C),
 ]
 
 
 def segment(number, first, some):
-    return frames.segment_head(number, first) + b"".join(
-        frames.record(first + n, facts.encode(one)) for n, one in enumerate(some)
+    return file_format.segment_head(number, first) + b"".join(
+        file_format.record(first + n, facts.encode(one)) for n, one in enumerate(some)
     )
 
 
 def snapshot(last, some):
     return (
-        frames.snapshot_head(last)
-        + b"".join(frames.record(n, facts.encode(one)) for n, one in enumerate(some, 1))
-        + frames.snapshot_tail(len(some))
+        file_format.snapshot_head(last)
+        + b"".join(file_format.record(n, facts.encode(one)) for n, one in enumerate(some, 1))
+        + file_format.snapshot_tail(len(some))
     )
 
 
@@ -50,14 +50,14 @@
     return recover(files, files.__getitem__)
 
 
-SEG1, SEG2, SEG3 = (frames.segment_name(n) for n in (1, 2, 3))
+SEG1, SEG2, SEG3 = (file_format.segment_name(n) for n in (1, 2, 3))
 TWO = {SEG1: segment(1, 1, LIFE[:3]), SEG2: segment(2, 4, LIFE[3:])}
 
 
 def test_all_facts_are_recovered():
     whole = found(TWO)
     assert whole.sequence == 6 and not whole.dropped and whole.refusal(False) is None
-    assert whole.state.codes == {A: Kept(3, "r-A"), B: Kept(4, None, "gw.1/2", "h1")}
+    assert whole.state.codes == {A: CodeRecord(3, "r-A"), B: CodeRecord(4, None, "gw.1/2", "h1")}
     assert not whole.state.ended and whole.state.lives == 1 and whole.state.service_time == 6
 
 
@@ -70,13 +70,13 @@
 @given(
     st.sampled_from(
         [
-            Began(0, "l", "g", 3),
-            Carried(1 << 60, A, "r" * 99, ""),
-            Redeemed(0, B, "ü"),
-            Cleared(3, C),
-            Listed(1, b"\x00" * 5000),
-            Ended(2, (1, 2, 3)),
-            Passed(9),
+            ProcessStarted(0, "l", "g", 3),
+            CodeSent(1 << 60, A, "r" * 99, ""),
+            CodeRedeemed(0, B, "ü"),
+            CodeCleared(3, C),
+            HostListStored(1, b"\x00" * 5000),
+            ProcessStopped(2, (1, 2, 3)),
+            TimeAdvanced(9),
         ]
     )
 )
@@ -97,20 +97,22 @@
     import msgpack
 
     new_kind, new_field = msgpack.packb([99, 1]), msgpack.packb([7, 5, "more", None])
-    data = frames.segment_head(1, 1) + frames.record(1, new_kind) + frames.record(2, new_field)
+    data = file_format.segment_head(1, 1) + file_format.record(1, new_kind) + file_format.record(2, new_field)
     got = found({SEG1: data})
     assert got.unknown == 1 and got.state.service_time == 5 and not got.harm
 
 
-@pytest.mark.parametrize("magic,name", [(frames.MAGIC_S, SEG1), (frames.SNAPSHOT_MAGIC, frames.snapshot_name(9))])
+@pytest.mark.parametrize(
+    "magic,name", [(file_format.SEGMENT_MAGIC, SEG1), (file_format.SNAPSHOT_MAGIC, file_format.snapshot_name(9))]
+)
 def test_a_newer_major_schema_is_refused_even_if_losses_are_accepted(magic, name):
-    data = frames._head(magic, 1, 1, major=facts.MAJOR + 1)
+    data = file_format._head(magic, 1, 1, major=facts.MAJOR + 1)
     assert "newer" in found({name: data, SEG2: TWO[SEG2]}).refusal(True)
 
 
 def test_a_last_segment_cut_anywhere_keeps_the_longest_prefix_without_harm():
     data = segment(1, 1, LIFE)
-    ends = [one.offset for one in frames.records(data) if not isinstance(one, str)] + [len(data)]
+    ends = [one.offset for one in file_format.records(data) if not isinstance(one, str)] + [len(data)]
     for size in range(len(data) + 1):
         got = found({SEG1: data[:size]})
         assert not got.harm, (size, got.dropped)
@@ -122,7 +124,7 @@
 
 def test_a_flipped_bit_is_harm_and_nothing_behind_it_is_used():
     data = segment(1, 1, LIFE)
-    ends = [one.offset for one in frames.records(data) if not isinstance(one, str)][1:] + [len(data)]
+    ends = [one.offset for one in file_format.records(data) if not isinstance(one, str)][1:] + [len(data)]
     rng = random.Random(1)
     for at in range(len(data)):
         bad = bytearray(data)
@@ -131,7 +133,7 @@
         if at + 1 in ends:  # only the end byte is hit: the record is still complete
             assert got.sequence == 6 and not got.dropped
             continue
-        assert got.sequence == (sum(1 for end in ends if end <= at) if at >= frames.HEAD_SIZE else 0)
+        assert got.sequence == (sum(1 for end in ends if end <= at) if at >= file_format.HEAD_SIZE else 0)
         # a damaged length of the last record looks like a torn write; everything else must be reported
         in_last_length = ends[-2] <= at < ends[-2] + 4
         assert got.refusal(False) is not None or in_last_length, (at, got.dropped)
@@ -139,7 +141,7 @@
 
 
 def test_a_segment_that_is_missing_is_harm():
-    three = {**TWO, SEG3: segment(3, 7, [Passed(9)])}
+    three = {**TWO, SEG3: segment(3, 7, [TimeAdvanced(9)])}
     for name in (SEG1, SEG2):
         got = found({n: d for n, d in three.items() if n != name})
         assert "missing" in got.refusal(False)
@@ -161,7 +163,7 @@
 
 def test_a_snapshot_replaces_earlier_segments_and_a_bad_one_is_ignored():
     state = found({SEG1: TWO[SEG1]}).state
-    name = frames.snapshot_name(3)
+    name = file_format.snapshot_name(3)
     whole = snapshot(3, list(state.facts()))
     got = found({name: whole, SEG2: TWO[SEG2]})
     assert got.snapshot == name and got.state.codes == found(TWO).state.codes and got.sequence == 6
@@ -174,27 +176,27 @@
 def test_a_snapshot_may_be_written_while_facts_come():
     rng = random.Random(4)
     for _ in range(200):
-        plain, fuzzy = State(), State()
+        plain, fuzzy = DurableState(), DurableState()
         written: list[facts.Fact] = []
         log: list[facts.Fact] = []
         codes = [digest(str(n)) for n in range(6)]
         for n in range(10):
-            fuzzy.apply(Carried(n, rng.choice(codes), f"r{n}", "h"))
+            fuzzy.apply(CodeSent(n, rng.choice(codes), f"r{n}", "h"))
         begun = list(fuzzy.facts())
         making = fuzzy.facts()
         for n in range(10, 60):
             one: facts.Fact = rng.choice(
                 (
-                    Carried(n, rng.choice(codes), f"r{n}", "h"),
-                    Redeemed(n, rng.choice(codes), f"q{n}"),
-                    Cleared(n, rng.choice(codes)),
+                    CodeSent(n, rng.choice(codes), f"r{n}", "h"),
+                    CodeRedeemed(n, rng.choice(codes), f"q{n}"),
+                    CodeCleared(n, rng.choice(codes)),
                 )
             )
             fuzzy.apply(one)
             log.append(one)
             written += [f for f in (next(making, None),) if f is not None]
         written += making
-        again = State()
+        again = DurableState()
         for fact in [*written, *log]:
             again.apply(fact)
         for fact in [*begun, *log]:
@@ -203,10 +205,10 @@
 
 
 def test_codes_expire_oldest_first_and_up_to_a_limit():
-    state = State()
+    state = DurableState()
     for n in range(10):
-        state.apply(Redeemed(n, digest(str(n)), "r"))
-    state.apply(Redeemed(50, digest("0"), "r"))  # used again
+        state.apply(CodeRedeemed(n, digest(str(n)), "r"))
+    state.apply(CodeRedeemed(50, digest("0"), "r"))  # used again
     assert state.expire(5, 2) == [digest("1"), digest("2")]
     assert state.expire(5, 100) == [digest("3"), digest("4")] and state.expire(5, 100) == []
     assert digest("0") in state.codes
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -18,7 +18,7 @@
 
 
 def test_fronts_that_ignore_each_other_exceed_the_allowance(monkeypatch):
-    monkeypatch.setattr(Controller, "_turn", lambda *_: True)
+    monkeypatch.setattr(Controller, "_may_send_cold", lambda *_: True)
     assert World(Case(30, 60, multiple=1.0, **HARD), 1).run().worst() > 1
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 from copperyard import interface as api
 from copperyard.decide import MAX_DRAWS, Controller, Server
-from tests.helpers import MS, SECOND, entry, only, request, sends, settings
+from tests.helpers import MS, SECOND, entry, of_type, request, sends, settings
 
 WARM, FALL = 12 * SECOND, 3 * SECOND
 BUDGET = 3.0 * 20 / 12 * 0.4 * 3  # multiple x places / warm-up x cold share x window
@@ -18,7 +18,7 @@
     for seed in range(fronts):
         controller = Controller(made, seed)
         controller.handle(0, api.ServerList(api.ListKind.CACHED, entries))
-        controller.handle(0, api.Carried(request(1, home=seed % servers, holders=1, title=99), seed % servers))
+        controller.handle(0, api.CarriedSession(request(1, home=seed % servers, holders=1, title=99), seed % servers))
         found.append(controller)
     return found
 
@@ -37,25 +37,25 @@
             ref += 1
             due += [
                 (t.at, controller, t.token)
-                for t in only(controller.handle(at - SECOND, request(ref, home=0, holders=3, top=0)), api.SetTimer)
+                for t in of_type(controller.handle(at - SECOND, request(ref, home=0, holders=3, top=0)), api.SetTimer)
             ]
     for controller in controllers:
         sent += [at for _ in sends(controller.handle(at, restarted))]
     for step in range(120):
         now = at + step * 100 * MS
         work: list[tuple[Controller, api.Event]] = []
-        work += [(controller, api.Wake(token)) for t, controller, token in due if t <= now]
+        work += [(controller, api.TimerDue(token)) for t, controller, token in due if t <= now]
         due = [x for x in due if x[0] > now]
         for _ in range(sum(rng.random() < per_second / 100 for _ in range(10))):
             ref += 1
             work.append((rng.choice(controllers), request(ref, home=rng.randrange(servers), holders=3, top=0)))
         for controller, event in work:
             actions = controller.handle(now, event)
-            due += [(t.at, controller, t.token) for t in only(actions, api.SetTimer)]
+            due += [(t.at, controller, t.token) for t in of_type(actions, api.SetTimer)]
             for s in sends(actions):
                 if s.server == 0:
                     sent.append(now)
-                controller.handle(now, api.Opened(s.ref, 0, s.server, MS))
+                controller.handle(now, api.SessionOpened(s.ref, 0, s.server, MS))
     return sent
 
 
@@ -93,7 +93,7 @@
         for ref in range(200, 230):
             controller.handle(SECOND, request(ref, home=0, holders=servers, title=ref))
         for k in range(servers):  # all full: more holders are considered, but not all
-            controller.handle(SECOND, api.Probed(k, api.Code.OK, MS, api.Report(2.0, 2.0)))
+            controller.handle(SECOND, api.ProbeResult(k, api.OutcomeCode.OK, MS, api.Report(2.0, 2.0)))
         looked.clear()
         controller.handle(2 * SECOND, request(900, home=0, holders=servers))
         most[servers] = len(looked)
@@ -104,7 +104,7 @@
 def test_an_idle_front_sets_no_timer():
     controller = fleet(250, 150)[0]
     for k in range(20):
-        assert not controller.handle(k * SECOND, api.Probed(k, api.Code.OK, MS, api.Report(0.5, 0.5)))
+        assert not controller.handle(k * SECOND, api.ProbeResult(k, api.OutcomeCode.OK, MS, api.Report(0.5, 0.5)))
 
 
 def test_replaced_servers_leave_memory_and_the_choice():
@@ -120,7 +120,7 @@
         controller.handle(now + SECOND, api.ServerList(api.ListKind.DELTA, made))
         sent = sends(controller.handle(now + SECOND, request(10 * wave + 1, home=1, holders=29)))
         assert [s.server // 1000 for s in sent] == [wave]
-        controller.handle(now + SECOND, api.Outcome(sent[0].ref, 0, sent[0].server, api.Code.OK, MS, True))
+        controller.handle(now + SECOND, api.Outcome(sent[0].ref, 0, sent[0].server, api.OutcomeCode.OK, MS, True))
         assert len(controller.servers) == 30 and sum(map(len, controller.cells.values())) == 30
 
 
@@ -136,25 +136,25 @@
         controller.handle(SECOND, event)
     assert list(controller.servers) == [1]
     assert sends(controller.handle(2 * SECOND, request(7, home=0, holders=4)))[0].server == 1
-    controller.handle(3 * SECOND, api.Outcome(7, 0, 5002, api.Code.RESET, MS, True))
-    controller.handle(3 * SECOND, api.Note(1, 0, 5002, api.NoteKind.SHARE, 0.1))
+    controller.handle(3 * SECOND, api.Outcome(7, 0, 5002, api.OutcomeCode.RESET, MS, True))
+    controller.handle(3 * SECOND, api.SessionNotice(1, 0, 5002, api.NoticeKind.SHARE, 0.1))
 
 
 def test_a_server_that_changes_rack_takes_its_sessions_along():
     controller = Controller(settings(cells=4, racks=2), 1)
     controller.handle(0, api.ServerList(api.ListKind.CACHED, tuple(entry(k) for k in range(4))))
-    controller.handle(0, api.Carried(request(1, home=0, holders=1), 0))
+    controller.handle(0, api.CarriedSession(request(1, home=0, holders=1), 0))
     controller.handle(SECOND, api.ServerList(api.ListKind.DELTA, (entry(0, cell=1),)))
-    assert [controller.racks[k].own for k in (0, 1)] == [0.0, 100.0]
+    assert [controller.racks[k].own_kb for k in (0, 1)] == [0.0, 100.0]
 
 
 def test_each_request_of_a_stalled_front_is_answered_in_time_or_at_once():
     """After a stall, events come late and all at once: overdue requests are answered with the first of them."""
     controller = fleet(200, 10)[0]
     controller.handle(SECOND, api.ServerList(api.ListKind.FULL, ()))
-    timers = only(controller.handle(SECOND, request(5, deadline=2 * SECOND)), api.SetTimer)
-    woken = [a for t in timers for a in controller.handle(9 * SECOND, api.Wake(t.token))]
-    assert [a.ref for a in only(woken, api.Refuse)] == [5]
+    timers = of_type(controller.handle(SECOND, request(5, deadline=2 * SECOND)), api.SetTimer)
+    woken = [a for t in timers for a in controller.handle(9 * SECOND, api.TimerDue(t.token))]
+    assert [a.ref for a in of_type(woken, api.Refuse)] == [5]
     late = controller.handle(9 * SECOND, request(6, deadline=8 * SECOND))
     assert not sends(late)
-    assert only(late, api.SetTimer)[0].at <= 9 * SECOND or only(late, api.Refuse)
+    assert of_type(late, api.SetTimer)[0].at <= 9 * SECOND or of_type(late, api.Refuse)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -11,7 +11,7 @@
     entry,
     front,
     full_list,
-    only,
+    of_type,
     request,
     sends,
     settings,
@@ -19,39 +19,39 @@
 
 
 def note(ref, server, kind, value):
-    return api.Note(ref, 0, server, kind, value)
+    return api.SessionNotice(ref, 0, server, kind, value)
 
 
 def play(controller, ref, now=SECOND, **changes):
     """Start a session; returns the server that it plays at."""
     sent = sends(controller.handle(now, request(ref, **changes)))
     assert sent, "the session was expected to be sent"
-    controller.handle(now + MS, api.Opened(ref, 0, sent[0].server, MS))
+    controller.handle(now + MS, api.SessionOpened(ref, 0, sent[0].server, MS))
     return sent[0].server
 
 
 def load(controller, now, server, link=0.0, uplink=0.0):
     """Report a server's load to the front by a probe result."""
-    controller.handle(now, api.Probed(server, api.Code.OK, MS, api.Report(link, uplink)))
+    controller.handle(now, api.ProbeResult(server, api.OutcomeCode.OK, MS, api.Report(link, uplink)))
 
 
 def test_a_request_goes_to_a_holder_at_the_highest_rung_that_fits():
     actions = front().handle(SECOND, request(1))
-    assert [type(a) for a in actions] == [api.Rate, api.Send]
-    assert only(actions, api.Rate)[0].rung == 2
+    assert [type(a) for a in actions] == [api.SetRung, api.Send]
+    assert of_type(actions, api.SetRung)[0].rung == 2
     assert sends(actions)[0].server in (0, 1, 2)
 
 
 def test_a_rung_never_passes_the_viewers_limit():
     actions = front().handle(SECOND, request(1, top=1))
-    assert only(actions, api.Rate)[0].rung == 1
+    assert of_type(actions, api.SetRung)[0].rung == 1
 
 
 def test_less_room_gives_a_lower_rung():
     controller = front()
     for k in range(3):
         load(controller, SECOND, k, 0.7)
-    assert only(controller.handle(2 * SECOND, request(1)), api.Rate)[0].rung < 2
+    assert of_type(controller.handle(2 * SECOND, request(1)), api.SetRung)[0].rung < 2
 
 
 def test_a_full_link_holds_the_session_and_a_report_of_room_lets_it_in():
@@ -60,7 +60,7 @@
         load(controller, SECOND, k, 1.0)
     assert not sends(controller.handle(2 * SECOND, request(1)))
     load(controller, 3 * SECOND, 1, 0.1)
-    controller.handle(3 * SECOND, api.Wake(0))
+    controller.handle(3 * SECOND, api.TimerDue(0))
     assert not controller.held
 
 
@@ -80,13 +80,13 @@
 def test_carried_sessions_count():
     controller = front()
     for k in range(9):
-        controller.handle(SECOND, api.Carried(request(100 + k, home=0, holders=1), 0))
-        controller.handle(SECOND, note(100 + k, 0, api.NoteKind.RUNG, 0.0))
-    assert controller.servers[0].link.own == 900.0
+        controller.handle(SECOND, api.CarriedSession(request(100 + k, home=0, holders=1), 0))
+        controller.handle(SECOND, note(100 + k, 0, api.NoticeKind.RUNG, 0.0))
+    assert controller.servers[0].link.own_kb == 900.0
 
 
 def test_no_more_streams_than_places():
-    controller = front(places_by_kind=(2,), weight_kb=100_000.0)
+    controller = front(places_by_kind=(2,), kb_per_weight=100_000.0)
     sent = [sends(controller.handle(SECOND, request(k, home=0, holders=1))) for k in (1, 2, 3)]
     assert [len(s) for s in sent] == [1, 1, 0]
 
@@ -104,10 +104,10 @@
     controller = front()
     play(controller, 1, cls=1, top=1, home=0, holders=1)
     assert sends(controller.handle(2 * SECOND, request(2, home=0, holders=1, top=0)))
-    back = controller.handle(2 * SECOND + MS, api.Outcome(2, 0, 0, api.Code.FULL, MS, False))
-    assert not sends(back) and not only(back, api.Refuse)
-    assert not sends(controller.handle(3 * SECOND, api.Wake(0)))
-    ended = controller.handle(4 * SECOND, api.Outcome(1, 0, 0, api.Code.OK, SECOND, True))
+    back = controller.handle(2 * SECOND + MS, api.Outcome(2, 0, 0, api.OutcomeCode.FULL, MS, False))
+    assert not sends(back) and not of_type(back, api.Refuse)
+    assert not sends(controller.handle(3 * SECOND, api.TimerDue(0)))
+    ended = controller.handle(4 * SECOND, api.Outcome(1, 0, 0, api.OutcomeCode.OK, SECOND, True))
     assert [s.ref for s in sends(ended)] == [2]
 
 
@@ -121,27 +121,27 @@
 def test_short_delivery_lowers_one_rung_and_no_session_twice_within_the_step_interval():
     controller = front()
     server = play(controller, 1, home=0, holders=1)
-    lowered = only(controller.handle(3 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5)), api.Rate)
+    lowered = of_type(controller.handle(3 * SECOND, note(1, server, api.NoticeKind.SHARE, 0.5)), api.SetRung)
     assert [(a.ref, a.rung) for a in lowered] == [(1, 1)]
     again = [
-        controller.handle(3 * SECOND + k * 400 * MS, note(1, server, api.NoteKind.SHARE, 0.5)) for k in range(1, 5)
+        controller.handle(3 * SECOND + k * 400 * MS, note(1, server, api.NoticeKind.SHARE, 0.5)) for k in range(1, 5)
     ]
-    assert not any(only(actions, api.Rate) for actions in again)
-    assert only(controller.handle(9 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5)), api.Rate)[0].rung == 0
+    assert not any(of_type(actions, api.SetRung) for actions in again)
+    assert of_type(controller.handle(9 * SECOND, note(1, server, api.NoticeKind.SHARE, 0.5)), api.SetRung)[0].rung == 0
 
 
 def test_link_and_uplink_notices_over_the_mark_lower_too():
-    for kind in (api.NoteKind.LINK, api.NoteKind.UPLINK):
+    for kind in (api.NoticeKind.LINK, api.NoticeKind.UPLINK):
         controller = front()
         server = play(controller, 1, home=0, holders=1)
-        assert only(controller.handle(4 * SECOND, note(1, server, kind, 3.0)), api.Rate)
+        assert of_type(controller.handle(4 * SECOND, note(1, server, kind, 3.0)), api.SetRung)
 
 
 def test_a_playing_session_is_lowered_to_let_a_held_one_in():
-    controller = front(weight_kb=270.0, rung_worth=(0.3, 0.5, 1.0))
+    controller = front(kb_per_weight=270.0, rung_worth=(0.3, 0.5, 1.0))
     play(controller, 1, home=0, holders=1)
     actions = controller.handle(7 * SECOND, request(2, home=0, holders=1))
-    assert only(actions, api.Rate)[0].ref == 1 and sends(actions)
+    assert of_type(actions, api.SetRung)[0].ref == 1 and sends(actions)
 
 
 def test_lasting_room_raises_a_playing_session():
@@ -150,7 +150,7 @@
     server = play(controller, 1, 2 * SECOND, home=0, holders=1, hint=100 * SECOND)
     before = controller.sessions[1].rung
     for k in range(4):
-        controller.handle((30 + k) * SECOND, api.Wake(0))
+        controller.handle((30 + k) * SECOND, api.TimerDue(0))
     assert controller.sessions[1].rung == before  # without new evidence there is no step
     load(controller, 34 * SECOND, server, 0.1)
     assert controller.sessions[1].rung == before + 1
@@ -162,12 +162,14 @@
     """How many of the fronts, each with one session at the same server, step in `step` on the same report."""
     count = 0
     for seed in range(fronts):
-        controller = Controller(settings(fronts=fronts, weight_kb=100.0 * fronts), seed)
+        controller = Controller(settings(fronts=fronts, kb_per_weight=100.0 * fronts), seed)
         controller.handle(0, full_list())
-        controller.handle(0, api.Carried(request(1, home=0, holders=1, hint=100 * SECOND), 0))
-        controller.handle(0, note(1, 0, api.NoteKind.RUNG, 1.0))
+        controller.handle(0, api.CarriedSession(request(1, home=0, holders=1, hint=100 * SECOND), 0))
+        controller.handle(0, note(1, 0, api.NoticeKind.RUNG, 1.0))
         report = api.Report(reported, reported)
-        for a in only(controller.handle(9 * SECOND, api.Probed(0, api.Code.OK, MS, report)), api.Rate):
+        for a in of_type(
+            controller.handle(9 * SECOND, api.ProbeResult(0, api.OutcomeCode.OK, MS, report)), api.SetRung
+        ):
             count += a.rung == 1 + step
     return count
 
@@ -182,25 +184,25 @@
 
 
 def test_the_reserve_for_newcomers_is_kept_where_one_found_no_room_and_falls_while_none_waits():
-    controller = front(weight_kb=1000.0, probes=True, reports_in_answers=False)
+    controller = front(kb_per_weight=1000.0, probes=True, reports_in_answers=False)
     server = controller.servers[0]
 
     def mark(at):
-        server.link.seen_at = at * SECOND
-        return controller._mark(at * SECOND, controller.set.classes[0], 2, 1.0, server)
+        server.link.others_at = at * SECOND
+        return controller._mark(at * SECOND, controller.settings.classes[0], 2, 1.0, server)
 
     calm = mark(0)
-    server.link.seen_at = 0
-    stale = controller._mark(20 * SECOND, controller.set.classes[0], 2, 1.0, server)
+    server.link.others_at = 0
+    stale = controller._mark(20 * SECOND, controller.settings.classes[0], 2, 1.0, server)
     controller.no_room_at = 0
     marks = [mark(at) for at in (0, 7, 60)]
     assert stale <= marks[0] + 0.01 and marks[0] < marks[1] < marks[2] <= calm and calm - marks[2] < 0.01
     controller.probe_credit = 0.0  # it cannot probe, and decides on the evidence that it has
     for k in range(2, 40):  # more than fit on the link: the last ones wait, and the reserve is back
         controller.handle(100 * SECOND, request(k, home=0, holders=1, title=k))
-        controller.handle(100 * SECOND, api.Probed(0, api.Code.OK, MS, api.Report(0.97, 0.5)))
+        controller.handle(100 * SECOND, api.ProbeResult(0, api.OutcomeCode.OK, MS, api.Report(0.97, 0.5)))
     assert controller.held and controller.no_room_at == 100 * SECOND
-    without_probes = front(weight_kb=1000.0)
+    without_probes = front(kb_per_weight=1000.0)
     assert without_probes._spread(0, without_probes.servers[0]) == without_probes._spread(
         1 << 50, without_probes.servers[0]
     )
@@ -213,20 +215,20 @@
     controller = front(
         fronts=2,
         places_by_kind=(311,),
-        warm_within=12 * SECOND,
-        cold_from=0.4,
-        fall_multiple=3.0,
-        fall=3 * SECOND,
-        weight_kb=1e6,
+        warm_up_time=12 * SECOND,
+        cold_ratio=0.4,
+        cold_budget_multiple=3.0,
+        cold_window=3 * SECOND,
+        kb_per_weight=1e6,
         uplink_kb=1e7,
     )
-    controller.carried = False  # as far as it knows, it started after the servers
+    controller.has_carried = False  # as far as it knows, it started after the servers
     sent, now = [], SECOND
     for k in range(60):
         sent += [now] * len(sends(controller.handle(now, request(k, home=0, holders=1, title=k, deadline=60 * SECOND))))
     while now < 10 * SECOND:
         now += HOLD_RETRY_INTERVAL
-        sent += [now] * len(sends(controller.handle(now, api.Wake(0))))
+        sent += [now] * len(sends(controller.handle(now, api.TimerDue(0))))
     gap = controller._cold_interval(controller.servers[0]) / SECOND
     assert 0.12 < gap < 0.14
     most = max(sum(1 for t in sent if at <= t < at + 3 * SECOND) for at in sent)
@@ -239,7 +241,7 @@
     first = play(controller, 1, cls=2)
     for k in range(2, 5):
         assert play(controller, k, cls=2) == first
-    assert controller.servers[first].link.own == 400.0 * (1 + 3 * 0.15)
+    assert controller.servers[first].link.own_kb == 400.0 * (1 + 3 * 0.15)
 
 
 def test_own_zone_is_preferred_where_crossing_costs():
@@ -251,10 +253,12 @@
 def test_where_only_probes_report_the_drawn_server_is_probed_before_the_send():
     controller = front(probes=True, reports_in_answers=False)
     actions = controller.handle(10 * SECOND, request(1))
-    probed = only(actions, api.Probe)
+    probed = of_type(actions, api.Probe)
     assert probed and not sends(actions)
-    answer = controller.handle(10 * SECOND + MS, api.Probed(probed[0].server, api.Code.OK, MS, api.Report(0.2, 0.2)))
-    later = answer + controller.handle(11 * SECOND, api.Wake(0))
+    answer = controller.handle(
+        10 * SECOND + MS, api.ProbeResult(probed[0].server, api.OutcomeCode.OK, MS, api.Report(0.2, 0.2))
+    )
+    later = answer + controller.handle(11 * SECOND, api.TimerDue(0))
     assert sends(later)
 
 
@@ -277,7 +281,7 @@
     controller = front()
     load(controller, SECOND, 0, 1.0)
     for k in range(400):
-        controller.handle(10 * SECOND + k * SECOND // 4, api.Wake(0))
+        controller.handle(10 * SECOND + k * SECOND // 4, api.TimerDue(0))
     assert sends(controller.handle(120 * SECOND, request(1, home=0, holders=1)))
 
 
@@ -292,7 +296,7 @@
         controller.handle(SECOND, full_list())
         for k, reported in enumerate(loads):
             load(controller, SECOND, k, reported, reported)
-        return only(controller.handle(2 * SECOND, request(1, home=3, holders=1)), api.Rate)[0].rung
+        return of_type(controller.handle(2 * SECOND, request(1, home=3, holders=1)), api.SetRung)[0].rung
 
     assert rung() == 0
     assert rung(0.1, 0.1, 0.1) == 2  # evidence on some servers says something about the others
@@ -304,19 +308,19 @@
     controller = front(fronts=80)
     before = controller.link_mean.value
     server = play(controller, 1, home=0, holders=1)
-    controller.handle(2 * SECOND, note(1, server, api.NoteKind.SHARE, 0.5))
+    controller.handle(2 * SECOND, note(1, server, api.NoticeKind.SHARE, 0.5))
     sent = sends(controller.handle(3 * SECOND, request(2, home=1, holders=1)))
-    controller.handle(3 * SECOND, api.Outcome(2, 0, sent[0].server, api.Code.FULL, MS, False))
+    controller.handle(3 * SECOND, api.Outcome(2, 0, sent[0].server, api.OutcomeCode.FULL, MS, False))
     assert controller.link_mean.value == before
 
 
 def test_where_notices_are_expected_a_probe_is_sent_only_once_evidence_is_old():
-    controller = front(probes=True, told_every=2 * SECOND)
+    controller = front(probes=True, notice_interval=2 * SECOND)
     for k in range(3):
         load(controller, 20 * SECOND, k, 0.2, 0.2)
     assert sends(controller.handle(21 * SECOND, request(1)))  # the evidence is fresh: no probe
     late = controller.handle(40 * SECOND, request(2, title=8))
-    assert only(late, api.Probe) and not sends(late)
+    assert of_type(late, api.Probe) and not sends(late)
 
 
 def test_a_joining_viewer_gets_a_higher_rung_than_its_full_rate_would_allow():
@@ -326,12 +330,12 @@
     for k in range(3):
         load(controller, 2 * SECOND, k, 0.8, 0.8)
     joined = controller.handle(3 * SECOND, request(2, cls=2))
-    assert sends(joined)[0].server == first and only(joined, api.Rate)[0].rung == 2
-    assert only(controller.handle(3 * SECOND, request(3)), api.Rate)[0].rung < 2
+    assert sends(joined)[0].server == first and of_type(joined, api.SetRung)[0].rung == 2
+    assert of_type(controller.handle(3 * SECOND, request(3)), api.SetRung)[0].rung < 2
 
 
 def test_many_set_ups_at_a_warm_server_do_not_block_it_once_it_is_cold():
-    controller = front(weight_kb=1e6, uplink_kb=1e7, places_by_kind=(311,), fronts=2)
+    controller = front(kb_per_weight=1e6, uplink_kb=1e7, places_by_kind=(311,), fronts=2)
     for k in range(100):  # 20 a second, far over its share of a cold server
         assert sends(controller.handle(SECOND + k * 50 * MS, request(k, home=0, holders=1, title=k)))
     now = SECOND + 5 * SECOND
@@ -348,14 +352,16 @@
     for ref in range(requests):
         now = SECOND + 2 * ref * SECOND
         actions = controller.handle(now, request(ref, hint=SECOND))
-        while probes := only(actions, api.Probe):
+        while probes := of_type(actions, api.Probe):
             probed += len(probes)
             actions = []
             for probe in probes:
-                actions += controller.handle(now + MS, api.Probed(probe.server, api.Code.OK, MS, api.Report(0.1, 0.1)))
+                actions += controller.handle(
+                    now + MS, api.ProbeResult(probe.server, api.OutcomeCode.OK, MS, api.Report(0.1, 0.1))
+                )
         for sent in sends(actions):
-            controller.handle(now + 2 * MS, api.Opened(ref, 0, sent.server, MS))
-            controller.handle(now + SECOND, api.Outcome(ref, 0, sent.server, api.Code.OK, SECOND, True))
+            controller.handle(now + 2 * MS, api.SessionOpened(ref, 0, sent.server, MS))
+            controller.handle(now + SECOND, api.Outcome(ref, 0, sent.server, api.OutcomeCode.OK, SECOND, True))
     return probed / requests
 
 
@@ -371,7 +377,7 @@
     def mark(price):
         controller = front(probes=True, reports_in_answers=False, price_probe=price)
         for k in range(4):
-            controller.handle(SECOND, api.Probed(k, api.Code.OK, MS, api.Report(0.3, 0.3)))
+            controller.handle(SECOND, api.ProbeResult(k, api.OutcomeCode.OK, MS, api.Report(0.3, 0.3)))
         return controller._mark(5 * SECOND, SAFE, 2, 1.0, controller.servers[0])
 
     assert mark(0.08) > mark(0.01) + 0.05
@@ -381,7 +387,7 @@
     # 200 fronts without evidence once asked for 1.09 of the uplinks within five seconds
     controller = front(probes=True, reports_in_answers=False, price_probe=0.08, fronts=200)
     assert controller._mark(SECOND, SAFE, 2, 1.0, controller.servers[0]) <= 0.7501
-    assert len(only(controller.handle(SECOND, request(1)), api.Probe)) == 2
+    assert len(of_type(controller.handle(SECOND, request(1)), api.Probe)) == 2
 
 
 def test_a_single_sample_does_not_raise_the_mark_where_probes_are_few():
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -12,21 +12,21 @@
 from tests.helpers import settings as make
 
 KEYED = replace(SAFE, effect=api.Effect.KEYED, name="keyed")
-NOT_RUN = (api.Code.FULL, api.Code.CONNECT_FAILED, api.Code.MOOT)
+NOT_RUN = (api.OutcomeCode.FULL, api.OutcomeCode.CONNECT_FAILED, api.OutcomeCode.MOOT)
 VARIANTS = [
     {},
     {"probes": True, "reports_in_answers": False},
-    {"free_resends": 2.0, "further_ratio": 0.2, "ratio_span": 5 * SECOND},
-    {"fronts": 4, "fall_multiple": 2.0},
-    {"told_every": SECOND, "probes": True},
+    {"free_retries": 2.0, "retry_ratio": 0.2, "retry_window": 5 * SECOND},
+    {"fronts": 4, "cold_budget_multiple": 2.0},
+    {"notice_interval": SECOND, "probes": True},
     {"uplink_kb": 0.0, "racks": 3},
     {"subscribe": True},
-    {"weight_kb": 300.0, "max_attempts": 5},
-    {"cold_from": 0.0},
-    {"warm_within": 0},
+    {"kb_per_weight": 300.0, "max_attempts": 5},
+    {"cold_ratio": 0.0},
+    {"warm_up_time": 0},
     {"fronts": 80, "probes": True, "reports_in_answers": False},
     {"fronts": 250, "cells": 150, "racks": 17},
-    {"fronts": 250, "told_every": 2 * SECOND, "probes": True},
+    {"fronts": 250, "notice_interval": 2 * SECOND, "probes": True},
 ]
 
 
@@ -79,25 +79,25 @@
                 self.may_have_run.get(a.ref) and kind.effect != api.Effect.SAFE
             ), "a set-up sent again though it may have run"
             assert kind.floor <= self.rung.get(a.ref, kind.floor) <= r.top
-            assert self.now < a.not_past < min(r.deadline, self.began[a.ref] + kind.deadline)
-            if self.attempts.get(a.ref, 0) and s.free_resends is not None:
-                since = self.now - s.ratio_span
+            assert self.now < a.deadline < min(r.deadline, self.began[a.ref] + kind.deadline)
+            if self.attempts.get(a.ref, 0) and s.free_retries is not None:
+                since = self.now - s.retry_window
                 self.retry_times = [t for t in self.retry_times if t > since] + [self.now]
                 requests = sum(t > since for t in self.request_times)
-                assert len(self.retry_times) <= s.free_resends + s.further_ratio * requests, "retry budget"
+                assert len(self.retry_times) <= s.free_retries + s.retry_ratio * requests, "retry budget"
             seat = (r.cls, r.title)
             self.seats[seat] = self.seats.get(seat, 0) + 1
             assert not kind.seats or self.seats[seat] <= kind.seats, "seats"
             start = self.cold_since.get(a.server)
             sent = self.sent.setdefault(a.server, [])
             sent.append(self.now)
-            if start is not None and self.now < start + s.warm_within:
-                budget = s.fall_multiple * 20 / s.warm_within * s.cold_from * s.fall / s.fronts
-                recent = [t for t in sent if t >= max(start, self.now - s.fall)]
+            if start is not None and self.now < start + s.warm_up_time:
+                budget = s.cold_budget_multiple * 20 / s.warm_up_time * s.cold_ratio * s.cold_window / s.fronts
+                recent = [t for t in sent if t >= max(start, self.now - s.cold_window)]
                 assert len(recent) <= max(1.0, budget), "over the budget of a cold server"
             n = self.attempts[a.ref] = self.attempts.get(a.ref, 0) + 1
-            self.pending[a.ref] = (n - 1, a.server, a.not_past)
-        elif isinstance(a, api.Rate):
+            self.pending[a.ref] = (n - 1, a.server, a.deadline)
+        elif isinstance(a, api.SetRung):
             kind = s.classes[(self.open.get(a.ref) or self.playing[a.ref][0]).cls]
             assert kind.floor <= a.rung <= min(kind.top, (self.open.get(a.ref) or self.playing[a.ref][0]).top)
             self.rung[a.ref] = a.rung
@@ -112,7 +112,7 @@
         elif isinstance(a, api.Probe):
             assert s.probes and a.server in self.servers
         else:
-            assert isinstance(a, api.Log | api.Watch)
+            assert isinstance(a, api.Log | api.Subscribe)
 
     def advance(self, step):
         """Advance the clock; timers that are due fire, and attempts at their limit time out."""
@@ -121,11 +121,11 @@
             self.now += min(50 * MS, end - self.now)
             for ref, (n, server, limit) in list(self.pending.items()):
                 if limit <= self.now:
-                    self.finish(ref, n, server, api.Code.TIMEOUT)
+                    self.finish(ref, n, server, api.OutcomeCode.TIMEOUT)
             due = [t for t in self.timers if t[0] <= self.now]
             self.timers = [t for t in self.timers if t[0] > self.now]
             for _, token in due:
-                self.feed(api.Wake(token))
+                self.feed(api.TimerDue(token))
             slack = 40 * MS + 50 * MS
             for ref, r in self.open.items():
                 last = min(r.deadline, self.began[ref] + self.settings.classes[r.cls].deadline)
@@ -172,21 +172,21 @@
             ref, (n, server, _) = rng.choice(pending)
             self.playing[ref] = (self.open.pop(ref), n, server)
             del self.pending[ref]
-            self.feed(api.Opened(ref, n, server, rng.randrange(SECOND)))
+            self.feed(api.SessionOpened(ref, n, server, rng.randrange(SECOND)))
         elif op <= 8 and pending:
             ref, (n, server, _) = rng.choice(pending)
             self.finish(ref, n, server, rng.choice([2, 3, 4, 5, 6, 8]))
         elif op == 9 and playing:
             ref, (r, n, server) = rng.choice(playing)
             if rng.random() < 0.3:
-                self.feed(api.Left(ref))
+                self.feed(api.ViewerLeft(ref))
             self.seats[(r.cls, r.title)] -= 1
             del self.playing[ref]
             self.feed(api.Outcome(ref, n, server, rng.choice([1, 6, 7]), SECOND, True, self.report()))
         elif op == 10 and playing:
             ref, (_, n, server) = rng.choice(playing)
             value = rng.choice([0.0, 0.1, 0.5, 0.9, 1.0, 1.7, -1.0, float("nan"), float("inf")])
-            self.feed(api.Note(ref, n, server, rng.choice([1, 3, 4, 7]), value))
+            self.feed(api.SessionNotice(ref, n, server, rng.choice([1, 3, 4, 7]), value))
         elif op == 11:
             k = rng.randrange(4)
             started = rng.choice([self.servers[k].started, self.now])
@@ -197,14 +197,14 @@
             self.feed(api.ServerList(rng.choice([0, 2, 4]), tuple(kept)))
         elif op == 13:
             k = rng.randrange(4)
-            self.feed(api.Probed(k, rng.choice([1, 4, 5]), MS, self.report()))
+            self.feed(api.ProbeResult(k, rng.choice([1, 4, 5]), MS, self.report()))
         elif op == 14:
             for event in (
-                api.Left(10**6),
+                api.ViewerLeft(10**6),
                 api.Outcome(10**6, 0, 1, 1, MS, True),
-                api.Opened(10**6, 0, 1, MS),
-                api.Note(10**6, 0, 77, 1, 0.5),
-                api.Wake(10**9),
+                api.SessionOpened(10**6, 0, 1, MS),
+                api.SessionNotice(10**6, 0, 77, 1, 0.5),
+                api.TimerDue(10**9),
             ):
                 self.feed(event)
         elif op == 15 and rng.random() < 0.2:
@@ -224,7 +224,7 @@
         world.act(op)
     world.advance(12 * SECOND)
     assert not world.open and not world.front.held
-    assert all(server.link.own >= 0 for server in world.front.servers.values())
+    assert all(server.link.own_kb >= 0 for server in world.front.servers.values())
 
 
 @given(seed=st.integers(0, 10**6))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 from copperyard import interface as api
 from copperyard.decide import Controller
-from tests.helpers import MS, SAFE, SECOND, entry, front, full_list, only, request, sends, settings
+from tests.helpers import MS, SAFE, SECOND, entry, front, full_list, of_type, request, sends, settings
 
 
 def end_attempt(controller, ref, code, now, attempt=0, server=0, over=False):
@@ -15,47 +15,47 @@
     controller = Controller(settings(), 1)
     controller.handle(0, api.ServerList(api.ListKind.CACHED))
     actions = controller.handle(SECOND, request(1, deadline=3 * SECOND))
-    timers = [t for t in only(actions, api.SetTimer) if t.token]
+    timers = [t for t in of_type(actions, api.SetTimer) if t.token]
     assert timers and timers[0].at < 3 * SECOND
-    end = controller.handle(timers[0].at, api.Wake(timers[0].token))
-    assert [a.ref for a in only(end, api.Refuse)] == [1]
-    assert only(end, api.Refuse)[0].retry_after == 1000 * MS
-    assert not controller.handle(4 * SECOND, api.Wake(timers[0].token))
+    end = controller.handle(timers[0].at, api.TimerDue(timers[0].token))
+    assert [a.ref for a in of_type(end, api.Refuse)] == [1]
+    assert of_type(end, api.Refuse)[0].retry_after == 1000 * MS
+    assert not controller.handle(4 * SECOND, api.TimerDue(timers[0].token))
 
 
 def test_the_clients_own_deadline_counts_when_earlier_than_the_class():
     actions = front().handle(SECOND, request(1, deadline=SECOND + 500 * MS))
-    assert sends(actions)[0].not_past < SECOND + 500 * MS
+    assert sends(actions)[0].deadline < SECOND + 500 * MS
 
 
 def test_a_timeout_at_the_deadline_is_still_answered():
     controller = front(max_attempts=1)
     server = sends(controller.handle(SECOND, request(1)))[0].server
-    assert only(end_attempt(controller, 1, api.Code.TIMEOUT, 5 * SECOND, server=server), api.Refuse)
+    assert of_type(end_attempt(controller, 1, api.OutcomeCode.TIMEOUT, 5 * SECOND, server=server), api.Refuse)
 
 
 def test_unsafe_classes_are_sent_again_only_when_nothing_ran():
-    for code in api.Code:
+    for code in api.OutcomeCode:
         controller = front()
         server = sends(controller.handle(SECOND, request(1, cls=1)))[0].server
-        actions = end_attempt(controller, 1, code, SECOND + 10 * MS, server=server, over=code == api.Code.OK)
-        if code in (api.Code.FULL, api.Code.CONNECT_FAILED, api.Code.MOOT):
-            assert not only(actions, api.Fail)
-        elif code != api.Code.OK:
-            assert only(actions, api.Fail) and not sends(actions) and not only(actions, api.Refuse)
+        actions = end_attempt(controller, 1, code, SECOND + 10 * MS, server=server, over=code == api.OutcomeCode.OK)
+        if code in (api.OutcomeCode.FULL, api.OutcomeCode.CONNECT_FAILED, api.OutcomeCode.MOOT):
+            assert not of_type(actions, api.Fail)
+        elif code != api.OutcomeCode.OK:
+            assert of_type(actions, api.Fail) and not sends(actions) and not of_type(actions, api.Refuse)
 
 
 def test_an_unsafe_attempt_waits_to_the_deadline_and_a_safe_one_leaves_time_for_another():
     controller = front()
-    assert sends(controller.handle(SECOND, request(1, cls=1)))[0].not_past == 4 * SECOND - 25 * MS
-    assert sends(controller.handle(SECOND, request(2)))[0].not_past <= 2 * SECOND - 250 * MS
+    assert sends(controller.handle(SECOND, request(1, cls=1)))[0].deadline == 4 * SECOND - 25 * MS
+    assert sends(controller.handle(SECOND, request(2)))[0].deadline <= 2 * SECOND - 250 * MS
 
 
 def test_never_two_attempts_at_once():
     controller = front()
     assert sends(controller.handle(SECOND, request(1)))
     for k in range(8):
-        assert not sends(controller.handle(SECOND + k * 250 * MS, api.Wake(0)))
+        assert not sends(controller.handle(SECOND + k * 250 * MS, api.TimerDue(0)))
 
 
 def test_nothing_new_goes_to_a_server_that_drains_or_is_gone():
@@ -74,8 +74,8 @@
         now = start + k * 100 * MS
         for s in sends(controller.handle(now, request(1000 + k, home=0, holders=1, top=0))):
             count += 1
-            controller.handle(now, api.Opened(s.ref, 0, 0, MS))
-            controller.handle(now, api.Outcome(s.ref, 0, 0, api.Code.OK, MS, True))
+            controller.handle(now, api.SessionOpened(s.ref, 0, 0, MS))
+            controller.handle(now, api.Outcome(s.ref, 0, 0, api.OutcomeCode.OK, MS, True))
     return count
 
 
@@ -90,8 +90,8 @@
 def test_a_server_seen_to_fail_counts_as_cold_before_the_list_says_so():
     controller = front(fronts=3)
     server = sends(controller.handle(SECOND, request(1, home=0, holders=1)))[0].server
-    controller.handle(SECOND, api.Opened(1, 0, server, MS))
-    end_attempt(controller, 1, api.Code.RESET, 9 * SECOND, server=server, over=True)
+    controller.handle(SECOND, api.SessionOpened(1, 0, server, MS))
+    end_attempt(controller, 1, api.OutcomeCode.RESET, 9 * SECOND, server=server, over=True)
     assert cold_sends(controller, 10 * SECOND, 3) <= 2
 
 
@@ -105,37 +105,39 @@
     controller = front()
     actions = controller.handle(SECOND, request(1, cls=1))
     server = sends(actions)[0].server
-    controller.handle(SECOND, api.Opened(1, 0, server, MS))
+    controller.handle(SECOND, api.SessionOpened(1, 0, server, MS))
     for k in range(3, 60, 6):
-        for a in only(controller.handle(k * SECOND, api.Note(1, 0, server, api.NoteKind.SHARE, 0.4)), api.Rate):
+        for a in of_type(
+            controller.handle(k * SECOND, api.SessionNotice(1, 0, server, api.NoticeKind.SHARE, 0.4)), api.SetRung
+        ):
             assert a.rung >= 1
     assert controller.sessions[1].rung == 1
 
 
 def test_a_viewer_that_cannot_use_the_floor_is_refused_at_once():
-    assert only(front().handle(SECOND, request(1, cls=1, top=0)), api.Refuse)
+    assert of_type(front().handle(SECOND, request(1, cls=1, top=0)), api.Refuse)
 
 
 def test_seats_count_set_ups_and_carried_sessions():
     controller = front()
-    controller.handle(SECOND, api.Carried(request(1, cls=1), 0))
+    controller.handle(SECOND, api.CarriedSession(request(1, cls=1), 0))
     assert sends(controller.handle(SECOND, request(2, cls=1)))
     assert not sends(controller.handle(SECOND, request(3, cls=1)))
     assert sends(controller.handle(SECOND, request(4, cls=1, title=8)))
-    controller.handle(2 * SECOND, api.Left(1))  # the viewer left, but its attempt has no outcome yet
+    controller.handle(2 * SECOND, api.ViewerLeft(1))  # the viewer left, but its attempt has no outcome yet
     assert not sends(controller.handle(2 * SECOND, request(5, cls=1)))
-    ended = controller.handle(2 * SECOND, api.Outcome(1, 0, 0, api.Code.OK, SECOND, True))
+    ended = controller.handle(2 * SECOND, api.Outcome(1, 0, 0, api.OutcomeCode.OK, SECOND, True))
     assert [s.ref for s in sends(ended)] == [3]
 
 
 def test_retries_keep_to_the_retry_budget():
-    controller = front(free_resends=2.0, further_ratio=0.0, ratio_span=5 * SECOND, max_attempts=9)
+    controller = front(free_retries=2.0, retry_ratio=0.0, retry_window=5 * SECOND, max_attempts=9)
     retries = 0
     for ref in range(1, 9):
         sent = sends(controller.handle(SECOND + ref * MS, request(ref, title=ref)))
         if sent:
             retries += len(
-                sends(end_attempt(controller, ref, api.Code.ERROR, SECOND + ref * MS, server=sent[0].server))
+                sends(end_attempt(controller, ref, api.OutcomeCode.ERROR, SECOND + ref * MS, server=sent[0].server))
             )
     assert retries == 2
 
@@ -143,26 +145,26 @@
 def test_attempts_stop_at_the_limit():
     controller = front(max_attempts=2)
     first = sends(controller.handle(SECOND, request(1)))[0]
-    second = sends(end_attempt(controller, 1, api.Code.ERROR, SECOND + MS, server=first.server))
+    second = sends(end_attempt(controller, 1, api.OutcomeCode.ERROR, SECOND + MS, server=first.server))
     if second:
-        last = end_attempt(controller, 1, api.Code.ERROR, SECOND + 2 * MS, attempt=1, server=second[0].server)
-        assert not sends(last) and only(last, api.Refuse)
+        last = end_attempt(controller, 1, api.OutcomeCode.ERROR, SECOND + 2 * MS, attempt=1, server=second[0].server)
+        assert not sends(last) and of_type(last, api.Refuse)
 
 
 def test_late_repeated_and_unknown_events_change_nothing():
     controller = front()
     server = sends(controller.handle(SECOND, request(1)))[0].server
-    controller.handle(SECOND, api.Opened(1, 0, server, MS))
-    end_attempt(controller, 1, api.Code.OK, 2 * SECOND, server=server, over=True)
+    controller.handle(SECOND, api.SessionOpened(1, 0, server, MS))
+    end_attempt(controller, 1, api.OutcomeCode.OK, 2 * SECOND, server=server, over=True)
     for event in (
         api.Outcome(1, 0, server, 1, MS, True),
         api.Outcome(77, 0, 99, 4, MS, False),
-        api.Left(1),
-        api.Left(78),
-        api.Opened(1, 0, server, MS),
-        api.Note(1, 0, 99, 1, 0.5),
-        api.Wake(12345),
-        api.Probed(99, 1, MS, api.Report(1.0)),
+        api.ViewerLeft(1),
+        api.ViewerLeft(78),
+        api.SessionOpened(1, 0, server, MS),
+        api.SessionNotice(1, 0, 99, 1, 0.5),
+        api.TimerDue(12345),
+        api.ProbeResult(99, 1, MS, api.Report(1.0)),
         api.ServerList(9, (entry(7),)),
     ):
         assert not controller.handle(3 * SECOND, event)
@@ -172,24 +174,24 @@
 def test_a_failed_subscription_is_requested_again():
     controller = Controller(settings(subscribe=True), 1)
     first = controller.handle(0, full_list())
-    assert only(first, api.Watch)
-    timers = only(controller.handle(SECOND, api.ServerList(api.ListKind.FAILED)), api.SetTimer)
-    assert only(controller.handle(timers[0].at, api.Wake(timers[0].token)), api.Watch)
+    assert of_type(first, api.Subscribe)
+    timers = of_type(controller.handle(SECOND, api.ServerList(api.ListKind.FAILED)), api.SetTimer)
+    assert of_type(controller.handle(timers[0].at, api.TimerDue(timers[0].token)), api.Subscribe)
 
 
 def test_no_retry_advice_where_the_settings_give_none():
     controller = front(retry_after=False, classes=(replace(SAFE, floor=1),))
-    assert only(controller.handle(SECOND, request(1, top=0)), api.Refuse)[0].retry_after == 0
+    assert of_type(controller.handle(SECOND, request(1, top=0)), api.Refuse)[0].retry_after == 0
 
 
 def test_a_viewer_that_left_during_set_up_is_not_touched_when_the_set_up_completes():
     controller = front()
     server = sends(controller.handle(SECOND, request(1, home=0, holders=1)))[0].server
-    controller.handle(SECOND + MS, api.Left(1))
-    assert not controller.handle(SECOND + 2 * MS, api.Opened(1, 0, server, MS))
+    controller.handle(SECOND + MS, api.ViewerLeft(1))
+    assert not controller.handle(SECOND + 2 * MS, api.SessionOpened(1, 0, server, MS))
     for k in range(4):
-        loaded = api.Probed(server, api.Code.OK, MS, api.Report(2.0, 2.0))
-        assert not only(controller.handle((3 + k) * SECOND, loaded), api.Rate)
+        loaded = api.ProbeResult(server, api.OutcomeCode.OK, MS, api.Report(2.0, 2.0))
+        assert not of_type(controller.handle((3 + k) * SECOND, loaded), api.SetRung)
 
 
 def test_a_refusal_is_early_enough_to_reach_the_viewer():
@@ -197,8 +199,8 @@
     # after it
     controller = front()
     for k in range(3):
-        controller.handle(SECOND, api.Probed(k, api.Code.OK, MS, api.Report(1.2, 1.2)))
+        controller.handle(SECOND, api.ProbeResult(k, api.OutcomeCode.OK, MS, api.Report(1.2, 1.2)))
     held = controller.handle(SECOND, request(1, deadline=2 * SECOND))
     last = [a for a in held if isinstance(a, api.SetTimer) and a.token == 3]
     assert last and last[0].at <= 2 * SECOND - 20 * MS
-    assert only(controller.handle(last[0].at, api.Wake(3)), api.Refuse)
+    assert of_type(controller.handle(last[0].at, api.TimerDue(3)), api.Refuse)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -101,7 +101,7 @@
             at = at[key]
         del at[place[-1]]
     made = parse_settings(raw)
-    assert made.free_resends is None and not made.probes and not made.retry_after and made.uplink_kb == 0
+    assert made.free_retries is None and not made.probes and not made.retry_after and made.uplink_kb == 0
     assert parse_platform(raw).zones == ()
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,9 @@
 from tests.helpers import MS, SECOND, entry, request, sends, settings
 
 WINDOW, WARM_UP, CONNECT_TIMEOUT = 3 * SECOND, 40 * SECOND, 250 * MS
-COLD_RULES = dict(fall=WINDOW, warm_within=WARM_UP, fall_multiple=1.0, cold_from=1.0, connect_timeout=CONNECT_TIMEOUT)
+COLD_RULES = dict(
+    cold_window=WINDOW, warm_up_time=WARM_UP, cold_budget_multiple=1.0, cold_ratio=1.0, connect_timeout=CONNECT_TIMEOUT
+)
 
 
 def arrivals(fronts, budget, ranked, seed=1, skew=CONNECT_TIMEOUT // 2, seconds=30, start=0):
@@ -18,26 +20,26 @@
     front always has one to send. `skew` is the most that a clock is off; an attempt travels for up to twice the connect
     timeout. Without `ranked`, fronts draw their turns."""
     rng = random.Random(seed)
-    base = settings(fronts=fronts, places_by_kind=(1,), uplink_kb=1e9, weight_kb=1e9, **COLD_RULES)
-    # with one place, cold_from sets the budget a second: multiple * places * cold_from / warm-up
-    base = replace(base, cold_from=budget * WARM_UP / SECOND, places_by_kind=(1,))
+    base = settings(fronts=fronts, places_by_kind=(1,), uplink_kb=1e9, kb_per_weight=1e9, **COLD_RULES)
+    # with one place, cold_ratio sets the budget a second: multiple * places * cold_ratio / warm-up
+    base = replace(base, cold_ratio=budget * WARM_UP / SECOND, places_by_kind=(1,))
     times = []
     for n in range(fronts):
         clock_offset = rng.randint(-skew, skew)
         controller = Controller(
-            replace(base, turn=(n, 100 * SECOND - clock_offset) if ranked else None), rng.getrandbits(32)
+            replace(base, rank_and_offset=(n, 100 * SECOND - clock_offset) if ranked else None), rng.getrandbits(32)
         )
         server = entry(0, started=1)
         controller.handle(max(1, start + clock_offset), api.ServerList(api.ListKind.FULL, (server,)))
         ref = 1
         for shared in range(start, seconds * SECOND, 250 * MS):
             now = max(1, shared + clock_offset)
-            controller.handle(now, api.Left(ref))
+            controller.handle(now, api.ViewerLeft(ref))
             ref += 1
             for action in sends(controller.handle(now, request(ref, holders=4))):
                 times.append(shared + rng.randint(0, 2 * CONNECT_TIMEOUT))
                 # it ends at once, so that the place is free and the front has another to send
-                controller.handle(now, api.Outcome(action.ref, 0, 0, api.Code.CANCELLED, 0, True))
+                controller.handle(now, api.Outcome(action.ref, 0, 0, api.OutcomeCode.CANCELLED, 0, True))
     return sorted(times)
 
 
@@ -77,9 +79,9 @@
 
 
 def test_a_server_that_reports_its_own_start_is_cold_from_then():
-    controller = Controller(settings(turn=(0, 0), **{**COLD_RULES, "cold_from": 0.01}), 1)
+    controller = Controller(settings(rank_and_offset=(0, 0), **{**COLD_RULES, "cold_ratio": 0.01}), 1)
     controller.handle(SECOND, api.ServerList(api.ListKind.FULL, (entry(0),)))
     assert sends(controller.handle(SECOND, request(1)))  # up for long: the start of this front does not make it cold
-    controller.handle(SECOND, api.Outcome(1, 0, 0, api.Code.MOOT, 0, True))
+    controller.handle(SECOND, api.Outcome(1, 0, 0, api.OutcomeCode.MOOT, 0, True))
     controller.handle(SECOND, api.ServerList(api.ListKind.DELTA, (entry(0, started=SECOND - 1),)))
     assert not sends(controller.handle(SECOND, request(2)))
