--- a/copperyard/cli/common.py
+++ b/copperyard/cli/common.py
@@ -52,7 +52,7 @@
         with trio.move_on_after(timeout_s):
             async for _ in signals:
                 break
-        # a second signal cancels the shutdown
+        # a second signal cancels all tasks at once, without waiting for the drain
         async with trio.open_nursery() as ending:
             ending.start_soon(_cancel_on_signal, signals, nursery.cancel_scope)
             await shutdown()
--- a/copperyard/cli/lab.py
+++ b/copperyard/cli/lab.py
@@ -42,14 +42,14 @@
     async def main() -> None:
         fleet = Fleet(site, TcpNetwork(), seed, logs)
 
-        async def end() -> None:
+        async def shutdown() -> None:
             await trio.lowlevel.checkpoint()
 
         async with trio.open_nursery() as nursery:
             await nursery.start(fleet.run)
             with trio.move_on_after(10):
                 await fleet.ready()
-            await nursery.start(wait_for_end, nursery, timeout_s, end)
+            await nursery.start(wait_for_end, nursery, timeout_s, shutdown)
             typer.echo(
                 json.dumps(
                     {
--- a/copperyard/cli/main.py
+++ b/copperyard/cli/main.py
@@ -59,7 +59,7 @@
         nonlocal site
         # the clocks of the machines are synchronized; the offset is taken once and kept while this process runs
         rules = site.rules_of(gateway_settings.name, time.time_ns() - now())
-        station = Station(
+        config = Station(
             gateway_settings.name,
             gateway_settings.listen,
             rules,
@@ -69,21 +69,21 @@
         )
         unix_ms = time.time_ns() // 1_000_000
         if site.common is not None:
-            hood = neighbourhood(site.common, gateway_settings.name, path.parent, trust_votes)
-            station = replace(station, hood=hood, lengths=site.common.lengths, unix_ms=unix_ms)
+            peer_settings = neighbourhood(site.common, gateway_settings.name, path.parent, trust_votes)
+            config = replace(config, hood=peer_settings, lengths=site.common.lengths, unix_ms=unix_ms)
         if site.state is not None:
             disk = FolderDisk(path.parent / site.state.folder / gateway_settings.name)
-            station = replace(station, disk=disk, generation=site.state.generation, accept_loss=accept_loss)
+            config = replace(config, disk=disk, generation=site.state.generation, accept_loss=accept_loss)
         del site  # frees the names of all gateways, of which this one needs few
-        gateway = Gateway(station, TcpNetwork(), secrets.randbits(64), random.SystemRandom(), logs)
+        gateway = Gateway(config, TcpNetwork(), secrets.randbits(64), random.SystemRandom(), logs)
 
-        async def end() -> None:
+        async def shutdown() -> None:
             logs("draining", {"front": gateway_settings.name})
             await gateway.drain(drain_s)
 
         async with trio.open_nursery() as nursery:
             address = await nursery.start(gateway.run)
-            await nursery.start(wait_for_end, nursery, float("inf"), end)
+            await nursery.start(wait_for_end, nursery, float("inf"), shutdown)
             peers = {"peers": gateway.neighbours.links.address} if gateway.neighbours is not None else {}
             typer.echo(json.dumps({"event": "ready", "gateways": [f"rtsp://{address}"], "list": list_url, **peers}))
 
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -152,7 +152,7 @@
     def _recover(self) -> None:
         """Restore the state that an earlier process left.
 
-        Raises an error that refuses the state, LockedError where another process holds it, or OSError.
+        Raises an error if the state must not be used, LockedError if another process holds it, or OSError.
         """
         disk, core = self.station.disk, self.core
         if disk is None:
