--- a/copperyard/telemetry/logs.py
+++ b/copperyard/telemetry/logs.py
@@ -21,6 +21,7 @@
         self._counts: dict[str, tuple[int, int]] = {}
 
     def __call__(self, logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        """Return the event, with the number of dropped lines if any; raise DropEvent over the limit."""
         name, second = str(event.get("event", ""))[:64], int(time.monotonic())
         if len(self._counts) > 256:
             self._counts.clear()
@@ -58,4 +59,5 @@
         )
 
     def __call__(self, event: str, fields: Mapping[str, str | int]) -> None:
+        """Write one line; a field named `event` is left out."""
         self._log.info(event, **{key: value for key, value in fields.items() if key != "event"})
