--- a/copperyard/lab/rehearsal.py
+++ b/copperyard/lab/rehearsal.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowd:
-    """Extra viewers of one title, who arrive from `at` on within `within` s."""
+    """Extra viewers of one title, who arrive from `at` on within `within` s: say a class of thirty in ten seconds."""
 
     at: float
     within: float
