--- a/copperyard/config/load.py
+++ b/copperyard/config/load.py
@@ -89,7 +89,7 @@
         settings = self.rules.settings
         # the ranks of gateways that are listed in other files are not known here
         rank_and_offset = (rank, shared) if settings.fronts == len(self.gateways) else None
-        return replace(self.rules, settings=replace(settings, zone=self.gateways[rank].zone, turn=rank_and_offset))
+        return replace(self.rules, settings=replace(settings, zone=self.gateways[rank].zone, rank_and_offset=rank_and_offset))
 
     def catalogue(self) -> Catalogue:
         """Return the catalogue of all titles."""
