--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -60,7 +60,7 @@
     sent: dict[int, list[int]] = field(default_factory=dict)
     budget: float = 0.0
 
-    def worst(self) -> float:
+    def worst_excess(self) -> float:
         """The largest excess of any window over its budget, as a part of the allowance for chance."""
         case, found = self.case, 0.0
         for times in self.sent.values():
@@ -71,12 +71,12 @@
                 found = max(found, (n - budget) / (2 * math.sqrt(budget) + 2))
         return found
 
-    def mean(self) -> float:
+    def mean_setups(self) -> float:
         """The mean number of set-ups at a new host."""
         return sum(map(len, self.sent.values())) / len(self.sent)
 
 
-class World:
+class Simulation:
     """Discrete-event simulation of fronts, hosts and arriving session requests."""
 
     def __init__(self, case: Case, seed: int) -> None:
@@ -273,7 +273,7 @@
 def run_case(job: tuple[Case, int]) -> HostArrivals:
     """Run one case with one seed."""
     case, seed = job
-    return World(case, seed).run()
+    return Simulation(case, seed).run()
 
 
 def cases() -> list[Case]:
@@ -302,12 +302,12 @@
             found = pool.map(
                 run_case, [(case, seed) for seed in range(max(2, seeds // 5) if case.fronts > 100 else seeds)]
             )
-            worst = [one.worst() for one in found]
+            worst = [one.worst_excess() for one in found]
             print(
                 f"| {case.fronts} | {found[0].budget:.1f} | {'even' if not case.uneven else 'uneven'}"
                 f"{', all restart' if case.restarts else ''} | {case.load} | {max(worst):.2f} "
                 f"| {sum(one > 1 for one in worst)} of {len(worst)} "
-                f"| {sum(one.mean() for one in found) / len(found):.1f} |",
+                f"| {sum(one.mean_setups() for one in found) / len(found):.1f} |",
                 flush=True,
             )
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -23,12 +23,12 @@
 from trio import TaskStatus
 
 from copperyard.config import Site, load
-from copperyard.gateway.daemon import Gateway, Station
-from copperyard.gateway.listing import list_place
+from copperyard.gateway.daemon import Gateway, GatewayConfig
+from copperyard.gateway.listing import parse_list_url
 from copperyard.gateway.net import Stream, TcpNetwork
-from copperyard.lab.audit import Side
+from copperyard.lab.audit import TappedConnection
 from copperyard.lab.viewers import Client
-from copperyard.protocol.rtp import Packet, pack
+from copperyard.protocol.rtp import RtpHeader, encode_packet
 from copperyard.protocol.rtsp import Connection, Limits, Request, Response
 from copperyard.protocol.rtsp.messages import Headers
 
@@ -79,7 +79,7 @@
         headers: Headers = (("Session", "s;timeout=60"), ("Load-Report", "link=0.01; uplink=0.01"))
         if request.method == "SETUP":
             headers += (("Transport", request.header("Transport") or ""),)
-        await send(stream, Connection.answer(request, Response(200, headers)))
+        await send(stream, Connection.encode_response(request, Response(200, headers)))
         if request.method == "PLAY" and (self.writes or self.interval_s):
             nursery.start_soon(self._media, stream)
 
@@ -88,7 +88,9 @@
             seq = 0
             while True:
                 seq += 1
-                await send(stream, Connection.frame(0, pack(Packet(26, seq, seq * 3600, 9), b"x" * 200)))
+                await send(
+                    stream, Connection.encode_frame(0, encode_packet(RtpHeader(26, seq, seq * 3600, 9), b"x" * 200))
+                )
                 await trio.sleep(self.interval_s)
         for data in self.writes:
             await send(stream, data)
@@ -101,7 +103,9 @@
     for _ in range(size // (per * (FRAME_BYTES + 4))):
         frames = []
         for _ in range(per):
-            frames.append(Connection.frame(0, pack(Packet(26, seq, seq * 90, 9), b"x" * (FRAME_BYTES - 12))))
+            frames.append(
+                Connection.encode_frame(0, encode_packet(RtpHeader(26, seq, seq * 90, 9), b"x" * (FRAME_BYTES - 12)))
+            )
             seq += 1
         writes.append(b"".join(frames))
     return writes
@@ -156,8 +160,8 @@
     site = one_host_site()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(host.run)
-        place = list_place(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
-        station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
+        place = parse_list_url(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
+        station = GatewayConfig("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
         gateway = Gateway(station, TcpNetwork(), 1, random.Random(1), lambda event, fields: None)
         where = await nursery.start(gateway.run)
         while not gateway.core.roster.addresses:  # noqa: ASYNC110
@@ -169,7 +173,7 @@
 async def play_as_viewer(address: str, path: str = "/classes/1") -> Client:
     """Connect a viewer and start a title; exits if PLAY is refused."""
     stream = await TcpNetwork().connect(address)
-    client = Client(stream, Side("x"))
+    client = Client(stream, TappedConnection("x"))
     url = f"rtsp://{address}{path}"
     answer = await client.call("SETUP", f"{url}/track1", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),))
     session = (answer.header("Session") or "").split(";")[0]
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -31,12 +31,12 @@
 
 from copperyard.control.coordinator import MESSAGE_CODEC, Coordinator, CoordinatorConfig, LogLine
 from copperyard.control.zones.plan import ZoneStatus
-from copperyard.lab.sites.events import Manner
-from copperyard.lab.sites.simulated import MS, SECOND, Broken, Front, Site, spread
+from copperyard.lab.sites.simulated_network import LinkConditions
+from copperyard.lab.sites.simulated_site import MS, SECOND, InvariantError, SimulatedFront, SimulatedSite, spread_voters
 from copperyard.membership.gateways.messages import MemberState
 
 ZONES, REGIONS = 5, [0, 0, 0, 1, 1]
-LINKS = Manner(loss=0.01, delay=(1 * MS, 60 * MS))
+LINKS = LinkConditions(loss=0.01, delay=(1 * MS, 60 * MS))
 # The operators' budget for a gateway: ms of a core and bytes, each per second.
 CPU_BUDGET_MS_PER_S, BUDGET_BYTES_PER_S = 12.0, 18_000.0
 SESSIONS_PER_GATEWAY, SESSION_KB_PER_S = 4, 100.0  # sessions of a gateway, kB/s of a session
@@ -50,7 +50,7 @@
 LIMIT_CHECK_INTERVAL_S = 0.25  # virtual seconds between checks of the wall-clock and memory limits
 
 
-class Stopped(Exception):
+class RunStoppedError(Exception):
     """The run hit its wall-clock or memory limit before its scenarios ended; the message says which."""
 
 
@@ -71,7 +71,7 @@
     return type(thing).__module__.startswith("copperyard.") and not isinstance(thing, Enum | type)
 
 
-def census(thing: object, shared: set[int]) -> Counter[str]:
+def count_entries(thing: object, shared: set[int]) -> Counter[str]:
     """The number of entries of each container reachable from an object, by attribute path.
 
     Objects whose ids are in `shared` are skipped. A frozen message counts as one entry, whatever it contains.
@@ -119,7 +119,7 @@
     return size
 
 
-def settings(site: Site, name: str) -> set[int]:
+def settings_ids(site: SimulatedSite, name: str) -> set[int]:
     """Object ids of what a gateway has from its settings: its place, all names, zones, terms."""
     place = site.place(name)
     found = {id(place)} | {id(getattr(place, field.name)) for field in fields(place)}
@@ -129,7 +129,7 @@
 # ---- queries about the control mechanism
 
 
-def is_relay(front: Front) -> bool:
+def is_relay(front: SimulatedFront) -> bool:
     """Whether a gateway relays between others and the voters. A flat site has no relays."""
     duty: Any = getattr(front.core, "delegate_role", None)
     return duty is not None and front.name in duty.delegates(front.site.time(front.name))
@@ -141,7 +141,7 @@
     return member is not None and member.state >= MemberState.DEAD
 
 
-def reported_dead(site: Site, message: Any) -> Iterator[str]:
+def reported_dead(site: SimulatedSite, message: Any) -> Iterator[str]:
     """Gateways that a message's cell reports declare dead: set bits over the sorted names of a cell."""
     reports = [one for one, _ in message.reports] if hasattr(message, "reports") else [message]
     for one in reports:
@@ -187,14 +187,14 @@
         self.begun = time.monotonic()
         self.simulation_s = 0.0  # real seconds spent in simulation
         self.random = random.Random(seed)
-        self.site = Site(
+        self.site = SimulatedSite(
             seed,
             ZONES,
             sizes[0],
             REGIONS,
             LINKS,
             sizes=sizes,
-            voters=spread(voters, ZONES),
+            voters=spread_voters(voters, ZONES),
             notes=0,
             measured=True,
             begin=False,
@@ -202,8 +202,8 @@
         self.site.demand = [size * SESSIONS_PER_GATEWAY * SESSION_KB_PER_S for size in sizes]
         self.site.rooms = [ROOM_RATIO * kb for kb in self.site.demand]
         self.full_rooms = list(self.site.rooms)
-        assert self.site.tallies is not None
-        self.tallies = self.site.tallies
+        assert self.site.costs is not None
+        self.tallies = self.site.costs
         self.sampled: set[str] = set()
         self.windows: list[dict[str, tuple[float, float]]] = []  # per second: ms and bytes of each sampled gateway
         self.recording = False
@@ -211,21 +211,21 @@
         self.sent_by_kind: dict[str, list[int]] = {}  # by message kind: number sent, bytes
         self.dead_at: dict[str, dict[str, int]] = {}  # by watched gateway: when each other first held it dead
         self.reported_at: dict[tuple[str, str], int] = {}  # (voter, watched gateway): first cell report of its death
-        self.wrong: dict[str, set[str]] = {}  # running gateways that were held dead, and by whom
+        self.false_deaths: dict[str, set[str]] = {}  # running gateways that were held dead, and by whom
         self.changed_at: dict[str, int] = {}  # when a gateway last started, was killed or was cut off
         self.adopted_at: dict[int, dict[str, int]] = {}  # by epoch: when each gateway adopted it
         self.at: dict[str, int] = {}  # when each gateway adopted its newest plan
         self.epoch: dict[str, int] = {}
         net = self.site.net
-        net.sending, net.arriving, self.site.noted = self._sending, self._arriving, self._noted
+        net.on_send, net.on_deliver, self.site.on_note = self._sending, self._arriving, self._noted
 
     # ---- callbacks of the site
 
     def _sending(self, sender: str, to: str, message: Any) -> None:
         tally = self.tallies[sender]
         tally.sent += 1
-        tally.peers.add(to)
-        if tally.weighed:
+        tally.recipients.add(to)
+        if tally.measured:
             size = len(MESSAGE_CODEC.frame(message))
             tally.sent_bytes += size
             sort = self.sent_by_kind.setdefault(getattr(type(message), "OUTER_NAME", type(message).__name__), [0, 0])
@@ -234,15 +234,15 @@
 
     def _arriving(self, sender: str, to: str, message: Any) -> None:
         tally = self.tallies[to]
-        tally.got += 1
-        tally.callers.add(sender)
-        if tally.weighed:
-            tally.got_bytes += len(MESSAGE_CODEC.frame(message))
+        tally.received += 1
+        tally.senders.add(sender)
+        if tally.measured:
+            tally.received_bytes += len(MESSAGE_CODEC.frame(message))
         if self.dead_at and to in self.site.voters:
             for name in reported_dead(self.site, message):
                 self.reported_at.setdefault((to, name), self.site.net.now)
 
-    def _noted(self, front: Front, note: LogLine) -> None:
+    def _noted(self, front: SimulatedFront, note: LogLine) -> None:
         now = self.site.net.now
         if note.event == "plan":
             epoch = int(dict(note.fields)["epoch"])
@@ -255,7 +255,7 @@
             if name in self.dead_at:
                 self.dead_at[name].setdefault(front.name, now)
             if name in self.site.net.nodes and now - self.changed_at.get(name, -1 << 62) > 60 * SECOND:
-                self.wrong.setdefault(name, set()).add(front.name)
+                self.false_deaths.setdefault(name, set()).add(front.name)
 
     # ---- time
 
@@ -269,11 +269,11 @@
 
     def _limits(self, so_far: str) -> None:
         if resident_mb() > self.memory:
-            raise Stopped(f"memory: {resident_mb():.0f} MB of {self.memory:.0f} taken; {so_far}")
+            raise RunStoppedError(f"memory: {resident_mb():.0f} MB of {self.memory:.0f} taken; {so_far}")
         if time.monotonic() - self.begun > self.wall:
-            raise Stopped(f"time: {self.wall:.0f} real seconds are over; {so_far}")
+            raise RunStoppedError(f"time: {self.wall:.0f} real seconds are over; {so_far}")
 
-    def step(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advance virtual time; while `recording`, keep each second's cost."""
         net, end = self.site.net, self.site.net.now + round(seconds * SECOND)
         while net.now < end:
@@ -300,11 +300,15 @@
     def _costs(self) -> dict[str, tuple[int, int]]:
         if not self.recording:
             return {}
-        return {name: (one.spent, one.sent_bytes + one.got_bytes) for name, one in self.tallies.items() if one.weighed}
+        return {
+            name: (one.cpu_ns, one.sent_bytes + one.received_bytes)
+            for name, one in self.tallies.items()
+            if one.measured
+        }
 
     def align(self) -> None:
         """Advance to a whole second, so that recorded windows start there."""
-        self.step(-self.site.net.now % SECOND / SECOND)
+        self.advance(-self.site.net.now % SECOND / SECOND)
 
     def run_until(self, done: Callable[[], bool], most: float, step: float = LIMIT_CHECK_INTERVAL_S) -> float | None:
         """Virtual seconds until the condition held; None if it did not within `most` seconds."""
@@ -312,7 +316,7 @@
         while not done():
             if self.site.net.now - begin >= most * SECOND:
                 return None
-            self.step(step)
+            self.advance(step)
         return round((self.site.net.now - begin) / SECOND, 3)
 
     # ---- operations on the site and queries
@@ -355,7 +359,7 @@
         out = set(self.site.voters) | set(self.relays())
         return [name for name in self.site.net.nodes if name not in out]
 
-    def weigh(self, more: Iterable[str] = ()) -> None:
+    def draw_sample(self, more: Iterable[str] = ()) -> None:
         """Draw the gateways whose time and frames are measured from now on; `more` are among them."""
         plain, between = self.plain(), self.relays()
         self.sampled = {
@@ -365,7 +369,7 @@
             *self.random.sample(between, min(SAMPLED_GATEWAYS // 4, len(between))),
         }
         for name, tally in self.tallies.items():
-            tally.weighed = name in self.sampled
+            tally.measured = name in self.sampled
 
     def by_role(self, of: dict[str, float]) -> dict[str, float | None]:
         """Quantiles over plain gateways, the leader's value, and the medians of relays and of other voters."""
@@ -415,12 +419,12 @@
         """Messages that sampled gateways sent, by kind: their number and mean size in bytes."""
         return {kind: [count, round(size / count)] for kind, (count, size) in sorted(self.sent_by_kind.items())}
 
-    def counts(self, names: list[str]) -> dict[str, int]:
+    def max_entries(self, names: list[str]) -> dict[str, int]:
         """By container, the most entries that any of these gateways holds."""
         found: Counter[str] = Counter()
         for name in names:
             if name in self.site.net.nodes:
-                found |= census(self.site.front(name).core, settings(self.site, name))
+                found |= count_entries(self.site.front(name).core, settings_ids(self.site, name))
         return dict(sorted(found.items()))
 
 
@@ -429,18 +433,18 @@
 
 def calm(run: Run, seconds: float) -> dict[str, Any]:
     """Cost and memory over some seconds (--calm) in which nothing happens."""
-    run.weigh()
+    run.draw_sample()
     run.align()
     run.sent_by_kind.clear()
-    before = {name: (t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes) for name, t in run.tallies.items()}
-    run.step(run.calm_s)
+    before = {name: (t.cpu_ns, t.sent, t.received, t.sent_bytes, t.received_bytes) for name, t in run.tallies.items()}
+    run.advance(run.calm_s)
     part = {
         name: tuple(
             (a - b) / run.calm_s
-            for a, b in zip((t.spent, t.sent, t.got, t.sent_bytes, t.got_bytes), before[name], strict=True)
+            for a, b in zip((t.cpu_ns, t.sent, t.received, t.sent_bytes, t.received_bytes), before[name], strict=True)
         )
         for name, t in run.tallies.items()
-        if t.weighed
+        if t.measured
     }
     leader = run.site.leader()
     held: dict[str, float] = {}
@@ -450,7 +454,7 @@
         + list(run.site.voters)
     )
     for name in sample:
-        held[name] = round(held_bytes(run.site.front(name).core, settings(run.site, name)) / 1e6, 4)
+        held[name] = round(held_bytes(run.site.front(name).core, settings_ids(run.site, name)) / 1e6, 4)
     roles = run.by_role(held)
     plain = [name for name in sample if name not in run.site.voters]
     return {
@@ -462,8 +466,8 @@
         "control_mb": max((held[name] for name in plain), default=None),
         "held_mb": roles,
         "settings_mb": round(held_bytes(run.site.place(plain[0]), set()) / 1e6, 3),
-        "held": run.counts(plain),
-        "held_leader": run.counts([leader]) if leader else {},
+        "held": run.max_entries(plain),
+        "held_leader": run.max_entries([leader]) if leader else {},
         "resident_mb": round(resident_mb()),
         "resident_mb_each": round(resident_mb() / run.gateways, 3),
     }
@@ -473,7 +477,9 @@
     """Three gateways die, one in each of three zones."""
     names = []
     for zone in (0, 1, 4):
-        here = [name for name in run.site.of(zone) if name not in run.site.voters]  # all may be relays in a small zone
+        here = [
+            name for name in run.site.gateways_in(zone) if name not in run.site.voters
+        ]  # all may be relays in a small zone
         plain = set(run.plain())
         names.append(run.random.choice([name for name in here if name in plain] or here))
     holders = {name: [one.name for one in run.site.fronts() if name in one.core.members.members] for name in names}
@@ -538,7 +544,7 @@
         if number >= epoch:
             for name, at in run.adopted_at[number].items():
                 first.setdefault(name, at)
-    run.step(3)
+    run.advance(3)
     return [(at - begin) / SECOND for name, at in first.items() if name in run.site.net.nodes], all_took
 
 
@@ -579,45 +585,45 @@
 
 def quiet(run: Run, seconds: float) -> dict[str, Any]:
     """Nothing dies for --for seconds: each gateway that is held dead is a false positive."""
-    run.wrong = {}
-    run.step(seconds)
+    run.false_deaths = {}
+    run.advance(seconds)
     return {
-        "false_deaths": len(run.wrong),
-        "false_verdicts": sum(map(len, run.wrong.values())),
+        "false_deaths": len(run.false_deaths),
+        "false_verdicts": sum(map(len, run.false_deaths.values())),
         "false_deaths_in_s": seconds,
     }
 
 
 def slow(run: Run, seconds: float) -> dict[str, Any]:
     """As `quiet`, with every tenth plain gateway pausing for 0.3 to 0.9 s about every two seconds."""
-    run.wrong = {}
+    run.false_deaths = {}
     names = run.plain()[::10]
     end, net = run.site.net.now + round(seconds * SECOND), run.site.net
     for name in names:
         at = net.now
         while at < end:
             at += run.random.randint(1000, 3000) * MS
-            net.at(at, partial(net.stop, name, run.random.randint(300, 900) * MS))
-    run.step(seconds)
-    fast = set(run.wrong) - set(names)
+            net.at(at, partial(net.pause, name, run.random.randint(300, 900) * MS))
+    run.advance(seconds)
+    fast = set(run.false_deaths) - set(names)
     found = {
-        "false_deaths_slow": len(run.wrong),
+        "false_deaths_slow": len(run.false_deaths),
         "false_deaths_of_fast": len(fast),
         "slow": len(names),
         "false_deaths_slow_in_s": seconds,
     }
-    run.step(5)
+    run.advance(5)
     return found
 
 
 def zone(run: Run, seconds: float) -> dict[str, Any]:
     """A zone is lost with its hosts; measures the minute after it."""
-    site, lost = run.site, set(run.site.of(3))
-    run.weigh()
+    site, lost = run.site, set(run.site.gateways_in(3))
+    run.draw_sample()
     run.align()
     run.windows, run.recording, begin = [], True, site.net.now
     names = len(lost)
-    site.lose(3)
+    site.lose_zone(3)
     for name in lost:
         run.changed_at[name] = site.net.now
     agreed = run.run_until(lambda: site.standing(3) is ZoneStatus.CLOSED, 60)
@@ -625,7 +631,7 @@
     run.found["zone_known_s"] = agreed
     force = run.run_until(lambda: run.all_follow(epoch), 60) if agreed is not None else None
     run.found["zone_in_force_s"] = None if agreed is None or force is None else agreed + force
-    run.step(max(0.0, 60 - (site.net.now - begin) / SECOND))
+    run.advance(max(0.0, 60 - (site.net.now - begin) / SECOND))
     run.recording = False
     worst, minute = run.worst_window(10), run.worst_window(len(run.windows))
     held = [
@@ -643,11 +649,11 @@
 
 def storm(run: Run, seconds: float) -> dict[str, Any]:
     """All gateways of the lost zone start at once."""
-    site, names = run.site, run.site.of(3)
+    site, names = run.site, run.site.gateways_in(3)
     if any(name in site.net.nodes for name in names):
-        site.lose(3)
-        run.step(40)
-    run.weigh(run.random.sample(names, min(SAMPLED_GATEWAYS, len(names))))
+        site.lose_zone(3)
+        run.advance(40)
+    run.draw_sample(run.random.sample(names, min(SAMPLED_GATEWAYS, len(names))))
     run.align()
     run.windows, run.recording = [], True
     run.sent_by_kind.clear()
@@ -657,7 +663,7 @@
         lambda: all(one.core.plan is not None for one in map(site.front, names)) and min(site.strengths(names)) == 1.0,
         60,
     )
-    run.step(30)
+    run.advance(30)
     run.align()
     run.recording = False
     worst = run.worst_window(1)
@@ -677,13 +683,13 @@
 def regions(run: Run, seconds: float) -> dict[str, Any]:
     """Two regions are partitioned for 3 minutes while demand changes; then the partition heals."""
     site = run.site
-    ones, others = site.of(0, 1, 2), site.of(3, 4)
-    site.net.part(ones, others)
-    run.step(60)
+    ones, others = site.gateways_in(0, 1, 2), site.gateways_in(3, 4)
+    site.net.partition(ones, others)
+    run.advance(60)
     site.demand[1] *= 1.5  # the majority wants room that the minority may still be using
-    run.step(60)
+    run.advance(60)
     site.demand[1] /= 1.5
-    run.step(60)
+    run.advance(60)
     led = site.leader()
     apart = site.strengths(others)
     site.net.heal()
@@ -706,7 +712,7 @@
     plain = run.plain()
     stay = set(run.random.sample(plain, min(MEMORY_SAMPLED_GATEWAYS, len(plain) // 4))) | set(site.voters)
     some = [name for name in site.roster if name not in stay]
-    start = run.counts(sorted(stay))
+    start = run.max_entries(sorted(stay))
     gc.collect()
     began = resident_mb()
     span = 300 * SECOND
@@ -727,13 +733,13 @@
         site.net.at(site.net.now + span // 2, partial(strike, name, 20 * SECOND))
     middle: dict[str, int] = {}
     for n in range(30):
-        run.step(span / SECOND / 30)
+        run.advance(span / SECOND / 30)
         gc.collect()
         if n == 14:
-            middle = run.counts(sorted(stay))
+            middle = run.max_entries(sorted(stay))
     settled = run.run_until(run.settled, 90)
-    run.step(30)
-    end = run.counts(sorted(stay))
+    run.advance(30)
+    end = run.max_entries(sorted(stay))
     # a log is compacted every 256 entries, so its length may be anything up to that at each of the three samples
     grown = {
         name: [start.get(name, 0), middle.get(name, 0), n]
@@ -884,7 +890,7 @@
             f"{resident_mb():.0f} MB",
             flush=True,
         )
-        run.step(warm)
+        run.advance(warm)
         for name in names:
             real, now = time.monotonic(), run.site.net.now
             run.found = {}
@@ -898,11 +904,11 @@
                 flush=True,
             )
             gc.collect()
-    except Stopped as stop:
+    except RunStoppedError as stop:
         result |= run.found
         result["stopped"] = str(stop)
         print(f"stopped: {stop}")
-    except Broken as broken:
+    except InvariantError as broken:
         result["rules"] = str(broken)
         result["histories"] = 2 if "two plans" in str(broken) else 1
         print(f"broken: {broken}")
@@ -911,9 +917,11 @@
         gc.unfreeze()
     net = run.site.net
     result |= {
-        "links_most": max(len(one.peers) for one in run.tallies.values()),
-        "links_both_ways_most": max(len(one.peers | one.callers) for one in run.tallies.values()),
-        "links_voters_most": max(len(run.tallies[name].peers | run.tallies[name].callers) for name in run.site.voters),
+        "links_most": max(len(one.recipients) for one in run.tallies.values()),
+        "links_both_ways_most": max(len(one.recipients | one.senders) for one in run.tallies.values()),
+        "links_voters_most": max(
+            len(run.tallies[name].recipients | run.tallies[name].senders) for name in run.site.voters
+        ),
         "messages": net.sent,
         "epochs": len(run.site.plans),
         "virtual_s": round(net.now / SECOND, 2),
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -15,8 +15,8 @@
 from copperyard.control.coordinator import MESSAGE_CODEC
 from copperyard.control.zones.plan import Terms, ZoneStatus
 from copperyard.control.zones.planner import allocate
-from copperyard.lab.sites.events import Manner
-from copperyard.lab.sites.simulated import Site, World
+from copperyard.lab.sites.simulated_network import LinkConditions
+from copperyard.lab.sites.simulated_site import SimulatedMembership, SimulatedSite
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -83,8 +83,8 @@
 
 def members(count: int) -> None:
     """Membership alone: traffic, false deaths, and the time until one dead gateway and a dead zone are known."""
-    world = World(1, count, 5, Manner(loss=0.01, delay=(1 * MS, 60 * MS)))
-    world.net.sizes = lambda message: len(MESSAGE_CODEC.frame(message))
+    world = SimulatedMembership(1, count, 5, LinkConditions(loss=0.01, delay=(1 * MS, 60 * MS)))
+    world.net.message_size = lambda message: len(MESSAGE_CODEC.frame(message))
     world.run(30)
     begin, sent, size = world.net.now, world.net.sent, world.net.bytes
     world.run(30)
@@ -98,7 +98,7 @@
     first = min(at for at, _, whom in world.deaths(begin) if whom == one) - begin
     last = max(at for at, _, whom in world.deaths(begin) if whom == one) - begin
     begin = world.net.now
-    lost = [name for name in world.of(3) if name in world.net.nodes]
+    lost = [name for name in world.gateways_in(3) if name in world.net.nodes]
     for name in lost:
         world.net.kill(name)
     world.run(60)
@@ -116,14 +116,14 @@
     closed, known, epochs, sizes = [], [], [], []
     begun = time.perf_counter()
     for seed in range(3):
-        site = Site(seed, 5, each)
-        site.net.sizes = lambda message: len(MESSAGE_CODEC.frame(message))
+        site = SimulatedSite(seed, 5, each)
+        site.net.message_size = lambda message: len(MESSAGE_CODEC.frame(message))
         site.run(25)
         site.net.sent = site.net.bytes = 0
         site.run(10)
         sizes.append((site.net.sent / 10 / count, site.net.bytes / 10 / count))
         before, begin = len(site.plans), site.net.now
-        site.lose(3)
+        site.lose_zone(3)
         while site.standing(3) is not ZoneStatus.CLOSED and site.net.now - begin < 60 * SECOND:
             site.run(0.25)
         closed.append((site.net.now - begin) / SECOND)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -28,13 +28,13 @@
 
 from benchmarks.gateway import Host, one_host_site, print_figures, resident_bytes, serve_host_list
 from copperyard.control.scheduler import Scheduler
-from copperyard.gateway.background import Background
-from copperyard.gateway.daemon import Gateway, Station
+from copperyard.gateway.background import BackgroundRunner
+from copperyard.gateway.daemon import Gateway, GatewayConfig
 from copperyard.gateway.disk import FolderDisk
 from copperyard.gateway.journal_runner import JournalRunner
-from copperyard.gateway.listing import list_place
+from copperyard.gateway.listing import parse_list_url
 from copperyard.gateway.net import AutoResetEvent, TcpNetwork, now
-from copperyard.lab.audit import Side
+from copperyard.lab.audit import TappedConnection
 from copperyard.lab.viewers import Client
 from copperyard.state import file_format
 from copperyard.state.durable_state import DurableState
@@ -87,7 +87,7 @@
             while waiting and book.durable(waiting[0][0]):
                 waiting.popleft()[1].set()
 
-        background = Background(Scheduler())
+        background = BackgroundRunner(Scheduler())
         store = JournalRunner(book, disk, background, stored)
 
         async def through_book(n: int) -> None:
@@ -181,7 +181,7 @@
         if request.method == "SETUP" and request.header("Redeem"):
             from copperyard.protocol.rtsp import Connection, Response
 
-            data = Connection.answer(
+            data = Connection.encode_response(
                 request,
                 Response(
                     200,
@@ -215,15 +215,17 @@
     site, host = one_host_site(), PaidHost()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(host.run)
-        place = list_place(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
-        station = replace(Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place), disk=disk)
+        place = parse_list_url(f"http://{await nursery.start(serve_host_list, address)}/", 3600 * 10**9, 7200 * 10**9)
+        station = replace(
+            GatewayConfig("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place), disk=disk
+        )
         gateway = Gateway(station, TcpNetwork(), 1, random.Random(1), lambda event, fields: None)
         where = await nursery.start(gateway.run)
         while not gateway.core.roster.addresses:  # noqa: ASYNC110
             await trio.sleep(0.01)
         for n in range(count):
             stream = await TcpNetwork().connect(where)
-            client, url = Client(stream, Side("x")), f"rtsp://{where}/classes/{n % 8 + 1}"
+            client, url = Client(stream, TappedConnection("x")), f"rtsp://{where}/classes/{n % 8 + 1}"
             query = f"?code=c{n}x{len(took)}"
             answer = await client.call(
                 "SETUP", f"{url}/track1{query}", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -32,12 +32,12 @@
 
 import trio
 
-from copperyard.gateway.daemon import Gateway, Station
-from copperyard.gateway.listing import list_place
+from copperyard.gateway.daemon import Gateway, GatewayConfig
+from copperyard.gateway.listing import parse_list_url
 from copperyard.gateway.net import Stream, TcpNetwork
-from copperyard.lab.audit import Side
-from copperyard.lab.viewers import Broken, Client
-from copperyard.protocol.rtp import Packet, pack
+from copperyard.lab.audit import TappedConnection
+from copperyard.lab.viewers import Client, ConnectionBrokenError
+from copperyard.protocol.rtp import RtpHeader, encode_packet
 from copperyard.protocol.rtsp import Connection
 
 from .gateway import READ_BYTES, Host, one_host_site, send, serve_host_list
@@ -157,8 +157,8 @@
         while True:
             if self.on:
                 number += 1
-                packet = Packet(26, number % 65536, number * 3600 % 2**32, 9)
-                await send(stream, Connection.frame(0, pack(packet, b"x" * (self.size - 12))))
+                packet = RtpHeader(26, number % 65536, number * 3600 % 2**32, 9)
+                await send(stream, Connection.encode_frame(0, encode_packet(packet, b"x" * (self.size - 12))))
                 self.sent += 1
             await trio.sleep(self.frame_interval_s)
 
@@ -208,8 +208,8 @@
     site = replace(
         site, rules=replace(site.rules, settings=replace(settings, kb_per_weight=100 * settings.kb_per_weight))
     )
-    place = list_place(f"http://{where}/", 3600 * 10**9, 7200 * 10**9)
-    station = Station("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
+    place = parse_list_url(f"http://{where}/", 3600 * 10**9, 7200 * 10**9)
+    station = GatewayConfig("gw", "127.0.0.1:0", site.rules, site.catalogue(), site.zones, place)
     front = Gateway(station, TcpNetwork(4096), seed, random.Random(seed), lambda event, fields: None)
     async with trio.open_nursery() as nursery:
         at = await nursery.start(front.run)
@@ -231,14 +231,14 @@
         url, status = f"rtsp://{self.where}/classes/{number % 8 + 1}", 0
         for _ in range(MAX_ATTEMPTS):
             stream = await TcpNetwork().connect(self.where)
-            client = Client(stream, Side("x"))
+            client = Client(stream, TappedConnection("x"))
             try:
                 answer = await client.call(
                     "SETUP", f"{url}/track1", (("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"),)
                 )
                 session = (answer.header("Session") or "").split(";")[0]
                 status = (await client.call("PLAY", url, (("Session", session),))).status
-            except (OSError, Broken):
+            except (OSError, ConnectionBrokenError):
                 status = 0
             if status == 200:
                 return stream
@@ -398,7 +398,7 @@
     listener = await TcpNetwork(4096).listen("127.0.0.1:0")
     print(listener.address, flush=True)
     streams = [await listener.accept() for _ in range(count)]
-    frame = Connection.frame(0, pack(Packet(26, 1, 3600, 9), b"x" * 188))
+    frame = Connection.encode_frame(0, encode_packet(RtpHeader(26, 1, 3600, 9), b"x" * 188))
     cpu, wall = [], []
     for _ in range(FAN_ROUNDS):
         await trio.sleep(0.2)
--- a/copperyard/cli/common.py
+++ b/copperyard/cli/common.py
@@ -12,7 +12,7 @@
 import typer
 from trio import TaskStatus
 
-from ..config import BadSettings, Site, load
+from ..config import SettingsError, Site, load
 
 SettingsPath = Annotated[Path, typer.Argument(help="The site's settings, XML.")]
 LogFormat = Annotated[str, typer.Option("--log", help="json or console.")]
@@ -23,7 +23,7 @@
     """Load settings; on an error print it and exit with status 2."""
     try:
         return load(str(path))
-    except BadSettings as error:
+    except SettingsError as error:
         typer.echo(str(error), err=True)
     except OSError as error:
         typer.echo(f"{path}: {error.strerror}", err=True)
--- a/copperyard/cli/lab.py
+++ b/copperyard/cli/lab.py
@@ -14,15 +14,15 @@
 import trio
 import typer
 
-from ..config import BadSettings, Site, parse
+from ..config import SettingsError, Site, parse
 from ..gateway.net import TcpNetwork
 from ..lab import virtual
 from ..lab.fleet import Fleet
 from ..lab.memnet import MemoryNetwork
 from ..lab.rehearsal import Rehearsal, load_rehearsal
 from ..lab.run import MS, Result, run_rehearsal
-from ..lab.sites.evening import run_evening
-from ..lab.sites.faults import read_evening
+from ..lab.sites.faults import read_scenario
+from ..lab.sites.scenario_run import run_scenario
 from ..telemetry.logs import LogWriter
 from .common import LogFormat, SettingsPath, load_site, parse_seconds, wait_for_end
 
@@ -79,7 +79,7 @@
 def _load_rehearsal(path: Path, site: Site) -> Rehearsal:
     try:
         return load_rehearsal(str(path), site)
-    except BadSettings as error:
+    except SettingsError as error:
         typer.echo(str(error), err=True)
     except OSError as error:
         typer.echo(f"{path}: {error.strerror}", err=True)
@@ -123,7 +123,7 @@
     if report is not None:
         _write_report(report, result)
     typer.echo(json.dumps(result.summary))
-    if result.breaks:
+    if result.violations:
         raise typer.Exit(1)
 
 
@@ -135,22 +135,22 @@
         raise typer.Exit(2)
     try:
         place = faults or Path(str(files("copperyard.lab.sites").joinpath("evenings", f"{name}.xml")))
-        evening = read_evening(place.read_bytes(), site, str(place))
-    except BadSettings as error:
+        evening = read_scenario(place.read_bytes(), site, str(place))
+    except SettingsError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
     except OSError as error:
         typer.echo(f"{faults}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
     outcome = trio.run(
-        run_evening, site, settings.read_bytes(), evening, seed, alone, keep, lambda text: typer.echo(text, err=True)
+        run_scenario, site, settings.read_bytes(), evening, seed, alone, keep, lambda text: typer.echo(text, err=True)
     )
     for one in outcome.breaks[:50]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.3f} s by {one.front}: {one.text}", err=True)
-    for text in outcome.faults:
+    for text in outcome.problems:
         typer.echo(text, err=True)
     typer.echo(json.dumps(outcome.summary))
-    if outcome.breaks or outcome.faults:
+    if outcome.breaks or outcome.problems:
         raise typer.Exit(1)
 
 
@@ -178,21 +178,21 @@
     from rich.progress import Progress
 
     from ..lab.sites import scale as runs
-    from ..lab.sites.layout import Refused, Wish, machine_room, prepare
+    from ..lab.sites.layout import InfeasibleRunError, ScaleOptions, machine_resources, prepare
 
-    wish = Wish(gateways, real, processes, parse_seconds(duration), seed, rate)
+    wish = ScaleOptions(gateways, real, processes, parse_seconds(duration), seed, rate)
     place = settings
     try:
         text = settings.read_bytes() if settings is not None else None
         place = faults
         trouble = faults.read_bytes() if faults is not None else None
         text, site, layout, takes = prepare(
-            text, str(settings or "a drawn site"), wish, trouble, str(faults), machine_room()
+            text, str(settings or "a drawn site"), wish, trouble, str(faults), machine_resources()
         )
-    except BadSettings as error:
+    except SettingsError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
-    except Refused as error:
+    except InfeasibleRunError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
     except OSError as error:
@@ -227,15 +227,15 @@
     if failed:
         typer.echo(failed, err=True)
         raise typer.Exit(1)
-    for words in [*result.rules_broken[:50], *result.faults[:50]]:
+    for words in [*result.rules_broken[:50], *result.problems[:50]]:
         typer.echo(words, err=True)
     typer.echo(json.dumps(result.figures))
-    if not result.good:
+    if not result.passed:
         raise typer.Exit(1)
 
 
 def _print_breaks(result: Result) -> None:
-    for one in result.breaks[:50]:
+    for one in result.violations[:50]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.3f} s by {one.front}: {one.text}", err=True)
 
 
@@ -279,9 +279,9 @@
     site = _load_lab_site(settings)
     rehearsal = _load_rehearsal(path, site)
     try:
-        text = experiment.changed(settings.read_bytes(), change or (), str(settings))
+        text = experiment.apply_changes(settings.read_bytes(), change or (), str(settings))
         parse(text, str(settings))
-    except BadSettings as error:
+    except SettingsError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from None
     folder = str(report) if report is not None else None
@@ -321,9 +321,9 @@
     texts = {}
     for value in values.split(","):
         try:
-            texts[value] = experiment.changed(settings.read_bytes(), [f"{place}={value}"], str(settings))
+            texts[value] = experiment.apply_changes(settings.read_bytes(), [f"{place}={value}"], str(settings))
             parse(texts[value], f"{settings} with {place}={value}")
-        except BadSettings as error:
+        except SettingsError as error:
             typer.echo(str(error), err=True)
             raise typer.Exit(2) from None
     todo = [
@@ -335,7 +335,7 @@
     rows = {value: found[k * repeat : (k + 1) * repeat] for k, value in enumerate(texts)}
     first = next(iter(rows.values()))
     for value, summaries in rows.items():
-        mean, wide = experiment.spread(summaries, "service")
+        mean, wide = experiment.mean_and_error(summaries, "service")
         verdict = experiment.compare(first, summaries)["service"] if summaries is not first else {"verdict": "-"}
         broken = sum(bool(s["breaks"]) for s in summaries)
         typer.echo(
@@ -354,17 +354,17 @@
 
     scenario = world.draw(number)
     result = world.run_scenario(scenario)
-    for strike in scenario.rehearsal.strikes:
+    for strike in scenario.rehearsal.faults:
         typer.echo(f"{strike.at:6.2f} to {strike.until:6.2f} s  {strike.kind}  {strike.whom}")
     typer.echo(f"network: {scenario.manners}")
-    for one in result.breaks[:5]:
+    for one in result.violations[:5]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.4f} s by {one.front}: {one.text}")
         for line in world.explain(result.tap, one):
             typer.echo(f"    {line}")
-    for text in result.left:
+    for text in result.leftovers:
         typer.echo(f"left behind: {text}")
     typer.echo(json.dumps(result.summary))
-    if result.breaks or result.left:
+    if result.violations or result.leftovers:
         raise typer.Exit(1)
 
 
--- a/copperyard/cli/main.py
+++ b/copperyard/cli/main.py
@@ -12,9 +12,9 @@
 import trio
 import typer
 
-from ..gateway.daemon import Gateway, StateRefused, Station
+from ..gateway.daemon import Gateway, GatewayConfig, StateRefusedError
 from ..gateway.disk import FolderDisk
-from ..gateway.listing import list_place
+from ..gateway.listing import parse_list_url
 from ..gateway.net import TcpNetwork, now
 from ..gateway.node.__main__ import main as run_node
 from ..gateway.peers.place import peer_settings
@@ -58,19 +58,21 @@
     async def main() -> None:
         nonlocal site
         # the clocks of the machines are synchronized; the offset is taken once and kept while this process runs
-        rules = site.rules_of(gateway_settings.name, time.time_ns() - now())
-        config = Station(
+        rules = site.rules_for(gateway_settings.name, time.time_ns() - now())
+        config = GatewayConfig(
             gateway_settings.name,
             gateway_settings.listen,
             rules,
             site.catalogue(),
             site.zones,
-            list_place(site.list_url, site.list_wait, site.list_timeout),
+            parse_list_url(site.list_url, site.list_wait, site.list_timeout),
         )
         unix_ms = time.time_ns() // 1_000_000
         if site.common is not None:
             peer_config = peer_settings(site.common, gateway_settings.name, path.parent, trust_votes)
-            config = replace(config, hood=peer_config, lengths=site.common.lengths, unix_ms=unix_ms)
+            config = replace(
+                config, peer_settings=peer_config, session_lengths=site.common.session_lengths, unix_ms=unix_ms
+            )
         if site.state is not None:
             disk = FolderDisk(path.parent / site.state.folder / gateway_settings.name)
             config = replace(config, disk=disk, generation=site.state.generation, accept_loss=accept_loss)
@@ -84,12 +86,12 @@
         async with trio.open_nursery() as nursery:
             address = await nursery.start(gateway.run)
             await nursery.start(wait_for_end, nursery, float("inf"), shutdown)
-            peers = {"peers": gateway.neighbours.links.address} if gateway.neighbours is not None else {}
+            peers = {"peers": gateway.peer_service.links.address} if gateway.peer_service is not None else {}
             typer.echo(json.dumps({"event": "ready", "gateways": [f"rtsp://{address}"], "list": list_url, **peers}))
 
     try:
         trio.run(main)
-    except* StateRefused as refused:
+    except* StateRefusedError as refused:
         typer.echo(
             f"{path}: the state of '{gateway_settings.name}' must not be started on: {refused.exceptions[0]}; "
             "see 'copperyard state verify', or start with --accept-loss",
--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -16,7 +16,7 @@
 from ..membership.gateways.cells import CellMap
 from ..membership.gateways.members import ProbeTiming
 from ..state.agreement.replica import MAX_VOTERS, ElectionTiming
-from .units import duration, parse_rate_kb
+from .units import parse_duration, parse_rate_kb
 
 WILDCARD_ADDRESSES = ("0.0.0.0", "[::]")
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CommonPlan:
+class CoordinationSettings:
     """How the gateways of a site find each other and coordinate.
 
     `cells` says which gateways know each other. Two maps hold, by gateway, the address where its links listen and the
@@ -34,22 +34,22 @@
     cells: CellMap
     zones: tuple[str, ...]
     voters: tuple[str, ...]
-    listen: Mapping[str, str]
-    reach: Mapping[str, str]
+    listen_addresses: Mapping[str, str]
+    dial_addresses: Mapping[str, str]
     terms: Terms
     pace: ProbeTiming
     beat: ElectionTiming
-    lengths: tuple[int, ...]
+    session_lengths: tuple[int, ...]
     folder: str
-    store: str
-    fleet: bytes
+    store_kind: str
+    digest: bytes
 
     @property
     def roster(self) -> Mapping[str, int]:
         """All gateways of the settings, with the number of their zone."""
         return self.cells.roster
 
-    def place(self, name: str) -> CoordinatorConfig:
+    def coordinator_config(self, name: str) -> CoordinatorConfig:
         """Return the part of the settings that one gateway needs."""
         return CoordinatorConfig.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
@@ -61,7 +61,7 @@
     rules: FrontRules,
     titles: Sequence[Title],
     report: ReportMistake,
-) -> CommonPlan | None:
+) -> CoordinationSettings | None:
     """Read <common> and the gateways of a valid document; None without <common>. Mistakes go to `report`."""
     common = root.find("common")
     elements = {str(element.get("name")): element for element in root.iterfind("gateways/gateway")}
@@ -107,14 +107,17 @@
         mark=float(attrs["mark"]),
         pace=float(attrs["pace"]),
         band=float(attrs["band"]),
-        every=duration(attrs["every"]),
-        holds=duration(attrs["holds"]),
-        dwell=duration(attrs["dwell"]),
-        dwell_most=duration(attrs["dwell-most"]),
+        every=parse_duration(attrs["every"]),
+        holds=parse_duration(attrs["holds"]),
+        dwell=parse_duration(attrs["dwell"]),
+        dwell_most=parse_duration(attrs["dwell-most"]),
         drift=float(attrs["drift"]),
     )
     timing = ElectionTiming(
-        duration(attrs["heart"]), duration(attrs["elect-least"]), duration(attrs["elect-most"]), terms.drift
+        parse_duration(attrs["heart"]),
+        parse_duration(attrs["elect-least"]),
+        parse_duration(attrs["elect-most"]),
+        terms.drift,
     )
     if timing.min_election_timeout < 3 * timing.heartbeat_interval:
         report(
@@ -135,7 +138,7 @@
         )
     if terms.drift >= 0.2:
         report(common, f"drift '{attrs['drift']}' is not under 0.2: no lease could be kept")
-    probe_timing = ProbeTiming(duration(attrs["period"]), duration(attrs["answer"]))
+    probe_timing = ProbeTiming(parse_duration(attrs["period"]), parse_duration(attrs["answer"]))
     if probe_timing.timeout * 2 > probe_timing.period:
         report(common, f"answer '{attrs['answer']}' is over half of period '{attrs['period']}'")
     _check_demand(root, zone_elements, terms, settings.kb_per_weight, report)
@@ -158,7 +161,7 @@
         ],
         default=str,
     )
-    return CommonPlan(
+    return CoordinationSettings(
         CellMap(roster, len(zones)),
         zones,
         tuple(_voter_names(elements)),
--- a/copperyard/config/document.py
+++ b/copperyard/config/document.py
@@ -19,7 +19,7 @@
         return f"line {self.line}: {self.text}"
 
 
-class BadSettings(ValueError):
+class SettingsError(ValueError):
     """The settings cannot be used; `mistakes` holds all mistakes found, ordered by line."""
 
     def __init__(self, name: str, mistakes: Iterable[Mistake]) -> None:
@@ -39,9 +39,9 @@
     try:
         root = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as error:
-        raise BadSettings(name, [Mistake(error.lineno or 1, str(error.msg))]) from None
+        raise SettingsError(name, [Mistake(error.lineno or 1, str(error.msg))]) from None
     if root.getroottree().docinfo.doctype:
-        raise BadSettings(name, [Mistake(1, "a document type declaration is not allowed: it could define entities")])
+        raise SettingsError(name, [Mistake(1, "a document type declaration is not allowed: it could define entities")])
     if not schema.validate(root):
-        raise BadSettings(name, [Mistake(e.line, reword(e.message)) for e in schema.error_log])
+        raise SettingsError(name, [Mistake(e.line, reword(e.message)) for e in schema.error_log])
     return root
--- a/copperyard/config/load.py
+++ b/copperyard/config/load.py
@@ -15,9 +15,9 @@
 from ..control.catalogue import Catalogue, Title, Track
 from ..control.rules import AdmissionRule, Bounds, FrontRules
 from ..protocol.rtsp import Limits
-from .common import CommonPlan, read_common
-from .document import BadSettings, Mistake, read_document
-from .units import duration, parse_rate_kb, parse_size
+from .common import CoordinationSettings, read_common
+from .document import Mistake, SettingsError, read_document
+from .units import parse_duration, parse_rate_kb, parse_size
 
 MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 
@@ -48,8 +48,8 @@
     """What the lab starts beside the gateways: hosts, media at a fraction of full size, and a delayed list."""
 
     hosts: tuple[HostSettings, ...]
-    scale: float
-    list_late: int
+    media_scale: float
+    list_delay: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,9 +76,9 @@
     list_timeout: int
     lab: LabSettings | None
     state: StateSettings | None = None
-    common: CommonPlan | None = None
+    common: CoordinationSettings | None = None
 
-    def rules_of(self, name: str, shared: int) -> FrontRules:
+    def rules_for(self, name: str, clock_offset: int) -> FrontRules:
         """Return the rules of one gateway; KeyError if no gateway has that name.
 
         The second parameter is added to the gateway's clock (ns) to give a time that all gateways share.
@@ -88,8 +88,10 @@
             raise KeyError(name)
         settings = self.rules.settings
         # the ranks of gateways that are listed in other files are not known here
-        rank_and_offset = (rank, shared) if settings.fronts == len(self.gateways) else None
-        return replace(self.rules, settings=replace(settings, zone=self.gateways[rank].zone, rank_and_offset=rank_and_offset))
+        rank_and_offset = (rank, clock_offset) if settings.fronts == len(self.gateways) else None
+        return replace(
+            self.rules, settings=replace(settings, zone=self.gateways[rank].zone, rank_and_offset=rank_and_offset)
+        )
 
     def catalogue(self) -> Catalogue:
         """Return the catalogue of all titles."""
@@ -106,12 +108,12 @@
 def parse(data: bytes, name: str = "settings") -> Site:
     """Read settings from bytes; `name` stands for the file in error messages."""
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise BadSettings(name, [Mistake(1, f"more than {MAX_DOCUMENT_BYTES} bytes")])
+        raise SettingsError(name, [Mistake(1, f"more than {MAX_DOCUMENT_BYTES} bytes")])
     root = read_document(data, name, _schema(), _reword_schema_message)
     reader = _Reader()
     site = reader.read_site(root)
     if reader.mistakes:
-        raise BadSettings(name, reader.mistakes)
+        raise SettingsError(name, reader.mistakes)
     assert site is not None
     return site
 
@@ -163,7 +165,7 @@
         url = _attrs(list_element)["url"]
         if not re.fullmatch(r"http://[^/\s?#]+(/[^\s?#]*)?", url):
             self._report(list_element, f"url '{url}' is no http URL without a query")
-        if duration(_attrs(list_element)["timeout"]) <= duration(_attrs(list_element)["wait"]):
+        if parse_duration(_attrs(list_element)["timeout"]) <= parse_duration(_attrs(list_element)["wait"]):
             self._report(list_element, "timeout is not above wait: every poll without news would count as failed")
         fronts = int(_child(root, "gateways").get("fronts", len(gateways)))
         if fronts < len(gateways):
@@ -175,7 +177,7 @@
         state_element = root.find("state")
         state = None
         if state_element is not None:
-            bounds = replace(bounds, code_life=duration(_attrs(state_element)["code-life"]))
+            bounds = replace(bounds, code_life=parse_duration(_attrs(state_element)["code-life"]))
             state = StateSettings(
                 _attrs(state_element)["folder"], hashlib.sha256(etree.tostring(root)).hexdigest()[:12]
             )
@@ -198,8 +200,8 @@
             front_rules,
             titles,
             url,
-            duration(_attrs(list_element)["wait"]),
-            duration(_attrs(list_element)["timeout"]),
+            parse_duration(_attrs(list_element)["wait"]),
+            parse_duration(_attrs(list_element)["timeout"]),
             lab,
             state,
             common,
@@ -262,7 +264,7 @@
                 self._report(element, f"floor '{floor}' is above top '{top}'")
             if top >= rungs:
                 self._report(element, f"top '{top}' is above the ladder's highest rung {rungs - 1}")
-            aim, deadline = duration(attrs["aim"]), duration(attrs["deadline"])
+            aim, deadline = parse_duration(attrs["aim"]), parse_duration(attrs["deadline"])
             if aim <= 0 or deadline < aim:
                 self._report(element, f"aim '{attrs['aim']}' is not above 0 and up to deadline '{attrs['deadline']}'")
             paid = attrs["code"] == "required"
@@ -304,7 +306,7 @@
                 Track(_attrs(t)["kind"], int(_attrs(t)["payload-type"]), _attrs(t)["codec"], int(_attrs(t)["clock"]))
                 for t in element.iterfind("track")
             )
-            length = duration(attrs["length"]) if "length" in attrs else None
+            length = parse_duration(attrs["length"]) if "length" in attrs else None
             titles.append(
                 Title(
                     n,
@@ -341,7 +343,7 @@
                     attrs["name"], int(attrs["cell"]), int(attrs["kind"]), self._zone(element, zones), weight, link
                 )
             )
-        return LabSettings(tuple(hosts), float(_attrs(lab)["media-scale"]), duration(_attrs(lab)["list-late"]))
+        return LabSettings(tuple(hosts), float(_attrs(lab)["media-scale"]), parse_duration(_attrs(lab)["list-late"]))
 
     def _settings(
         self,
@@ -352,12 +354,12 @@
     ) -> api.Settings:
         fleet, rules = _attrs(_child(root, "fleet")), _attrs(_child(root, "rules"))
         reports, prices = _attrs(_child(root, "reports")), _attrs(_child(root, "prices"))
-        max_retry_after = duration(rules["retry-after"])
+        max_retry_after = parse_duration(rules["retry-after"])
         has_retry_budget = "further" in rules
         return api.Settings(
             fronts=fronts,
             zone=0,
-            tick=duration(rules["tick"]),
+            tick=parse_duration(rules["tick"]),
             classes=classes,
             rung_kb=tuple(rate for rate, _ in rungs),
             rung_worth=tuple(worth for _, worth in rungs),
@@ -368,26 +370,26 @@
             places_by_kind=tuple(map(int, fleet["places"].split())),
             full_threshold=float(fleet["full-from"]),
             join_ratio=float(fleet["join-adds"]),
-            notice_delay=duration(reports["told-late"]),
-            notice_interval=duration(reports["told-every"]),
+            notice_delay=parse_duration(reports["told-late"]),
+            notice_interval=parse_duration(reports["told-every"]),
             shortfall_cost=float(prices["shortfall"]),
-            switch_cost_s=duration(prices["switch"]) / 1e9,
+            switch_cost_s=parse_duration(prices["switch"]) / 1e9,
             max_attempts=int(rules["attempts"]),
             max_retry_after=max_retry_after,
             retry_after=max_retry_after > 0,
             probes=reports["probes"] == "yes",
             cancelling=True,
-            connect_timeout=duration(rules["connect"]),
+            connect_timeout=parse_duration(rules["connect"]),
             subscribe=True,
             list_poll_interval=0,
             cold_ratio=float(fleet["cold-from"]),
-            warm_up_time=duration(fleet["warm-within"]),
-            drain_grace=duration(rules["drain-grace"]),
+            warm_up_time=parse_duration(fleet["warm-within"]),
+            drain_grace=parse_duration(rules["drain-grace"]),
             cold_budget_multiple=float(rules["fall-multiple"]),
-            cold_window=duration(rules["fall"]),
+            cold_window=parse_duration(rules["fall"]),
             free_retries=float(rules["further"]) if has_retry_budget else None,
             retry_ratio=float(rules["further-share"]) if has_retry_budget else 0.0,
-            retry_window=duration(rules["further-span"]) if has_retry_budget else 0,
+            retry_window=parse_duration(rules["further-span"]) if has_retry_budget else 0,
             price_cross_zone=float(prices["crossing"]),
             price_late_fail=float(prices["late-fail"]),
             price_move=float(prices["move"]),
@@ -404,10 +406,10 @@
         sessions=int(attrs["sessions"]),
         open_requests=int(attrs["open-requests"]),
         queue=parse_size(attrs["queue"]),
-        stall=duration(attrs["stall"]),
-        idle=duration(attrs["idle"]),
-        silence=duration(attrs["silence"]),
-        dead=duration(attrs["dead"]),
+        stall=parse_duration(attrs["stall"]),
+        idle=parse_duration(attrs["idle"]),
+        silence=parse_duration(attrs["silence"]),
+        dead=parse_duration(attrs["dead"]),
         codes=int(attrs["codes"]),
     )
 
--- a/copperyard/config/units.py
+++ b/copperyard/config/units.py
@@ -15,7 +15,7 @@
     return Decimal(found[1]), found[2]
 
 
-def duration(text: str) -> int:
+def parse_duration(text: str) -> int:
     """Parse a duration; returns ns."""
     number, unit = _split(text)
     return int(number * _NS_BY_UNIT[unit])
--- a/copperyard/control/attempt.py
+++ b/copperyard/control/attempt.py
@@ -11,10 +11,21 @@
 from enum import Enum
 
 from ..interface import NoticeKind, OutcomeCode, Report
-from ..protocol.rtp import App, Block, Bye, ReceiverReport, SenderReport, encode_compound, parse_compound
-from ..protocol.rtsp import Connection, Event, Limits, Malformed, Reply, Request, Response, Run, Unasked, frame_header
+from ..protocol.rtp import App, Bye, ReceiverReport, ReportBlock, SenderReport, encode_compound, parse_compound
+from ..protocol.rtsp import (
+    Connection,
+    Event,
+    FrameBatch,
+    Limits,
+    MalformedInput,
+    MatchedResponse,
+    Request,
+    Response,
+    UnsolicitedResponse,
+    frame_header,
+)
 from ..protocol.rtsp.headers import parse_rtp_info, parse_session, quote_path
-from ..protocol.rtsp.messages import BadHeader, Headers
+from ..protocol.rtsp.messages import HeaderError, Headers
 from .catalogue import Title
 from .host_reports import HOST_UP_HEADER, LOAD_REPORT_HEADER, parse_host_up, parse_note, parse_report
 from .splice import Splice, splice_run
@@ -171,7 +182,7 @@
     _bye_count: int = 0
 
     def __post_init__(self) -> None:
-        self._wire = Connection(self.limits, runs=True)
+        self._wire = Connection(self.limits, batch_frames=True)
         self.rung = self.plan.rung
 
     # ---- requests to the host
@@ -183,8 +194,8 @@
     def _send_request(self, method: str, url: str, headers: Headers = (), body: bytes = b"") -> None:
         if self._session_id:
             headers = (("Session", self._session_id), *headers)
-        if self._wire.waiting < self.limits.pending:
-            self.out += self._wire.ask(method, url, headers, body)[1]
+        if self._wire.pending < self.limits.pending:
+            self.out += self._wire.make_request(method, url, headers, body)[1]
 
     def send_host_check(self, now: int) -> None:
         """Check the host after connecting: send a keep-alive, whose answer tells the host's uptime. Nothing of the
@@ -239,7 +250,7 @@
         """Send a keep-alive, whose answer also carries a load report."""
         self._send_request("GET_PARAMETER", self._url())
 
-    def forward_receiver_report(self, track: int, blocks: tuple[Block, ...]) -> bool:
+    def forward_receiver_report(self, track: int, blocks: tuple[ReportBlock, ...]) -> bool:
         """Forward the viewer's reception blocks of a track (by index) and return whether they were queued. They are
         dropped while the connection is backed up; the next report supersedes them.
         """
@@ -247,7 +258,7 @@
         if self.stage is not Stage.OPEN or not blocks or len(self.out) > MAX_REPORT_BACKLOG_BYTES:
             return False
         payload = encode_compound([ReceiverReport(self.splices[track].ssrc, blocks)], self.splices[track].ssrc)
-        self.out += Connection.frame(2 * track + 1, payload)
+        self.out += Connection.encode_frame(2 * track + 1, payload)
         return True
 
     def tear_down(self) -> None:
@@ -275,14 +286,14 @@
         return OutcomeCode.OK if self._bye_count and self._bye_count >= self._tracks_set_up else OutcomeCode.RESET
 
     def _handle_event(self, now: int, event: Event, found: list[AttemptResult]) -> None:
-        if isinstance(event, Run):
+        if isinstance(event, FrameBatch):
             if self.stage is Stage.OPEN:
                 self._handle_media(now, event.data, found)
-        elif isinstance(event, Reply):
+        elif isinstance(event, MatchedResponse):
             self._handle_reply(now, event, found)
         elif isinstance(event, Request):
             self._handle_request(event)
-        elif isinstance(event, Malformed | Unasked):
+        elif isinstance(event, MalformedInput | UnsolicitedResponse):
             if not self.sent:
                 return self._ended(OutcomeCode.CONNECT_FAILED, 0, found)
             # after a protocol violation it is not known whether the set-up ran
@@ -293,9 +304,9 @@
 
     def _handle_request(self, request: Request) -> None:
         status = 200 if request.method in ("OPTIONS", "GET_PARAMETER") else 501
-        self.out += Connection.answer(request, Response(status))
+        self.out += Connection.encode_response(request, Response(status))
 
-    def _handle_reply(self, now: int, reply: Reply, found: list[AttemptResult]) -> None:
+    def _handle_reply(self, now: int, reply: MatchedResponse, found: list[AttemptResult]) -> None:
         response = reply.response
         report = parse_report(response.header(LOAD_REPORT_HEADER))
         if report is not None:
@@ -324,7 +335,7 @@
         if first:
             try:
                 self._session_id = parse_session(response.header("Session") or "")[0]
-            except BadHeader:
+            except HeaderError:
                 return self._ended(OutcomeCode.ERROR, response.status, found)
             if self.plan.code is not None or self.plan.receipt:
                 found.append(ReceiptReceived(response.header("Receipt") or ""))
@@ -399,14 +410,14 @@
 
     def __init__(self, address: str, limits: Limits, headers: Headers = ()) -> None:
         self._wire = Connection(limits)
-        self.out = self._wire.ask("GET_PARAMETER", f"rtsp://{address}/", headers)[1]
+        self.out = self._wire.make_request("GET_PARAMETER", f"rtsp://{address}/", headers)[1]
 
     def receive(self, data: bytes) -> Response | OutcomeCode | None:
         """Return the response, ERROR for a malformed one, None while there is none."""
         for event in self._wire.receive(data):
-            if isinstance(event, Reply):
+            if isinstance(event, MatchedResponse):
                 return event.response
-            if isinstance(event, Malformed | Unasked):
+            if isinstance(event, MalformedInput | UnsolicitedResponse):
                 return OutcomeCode.ERROR
         return None
 
--- a/copperyard/control/node/core.py
+++ b/copperyard/control/node/core.py
@@ -46,7 +46,7 @@
 from ...protocol.node.fleet import Host
 from ...protocol.node.messages import Cause, Message, MessageError, MessageKind, Param, encode, parse_report
 from ...protocol.node.viewer import SetupRequest
-from ...protocol.rtsp.messages import BadHeader
+from ...protocol.rtsp.messages import HeaderError
 from ...settings import Platform, make_report
 from ..budget import RetryBudget
 from ..controller_driver import ControllerDriver
@@ -274,7 +274,7 @@
         for event in viewer.parser.receive(data):
             if viewer.closing:
                 return
-            if isinstance(event, rtsp.Malformed):
+            if isinstance(event, rtsp.MalformedInput):
                 return self._close_viewer(now, viewer, event.status, event.text)
             if isinstance(event, rtsp.Request):
                 self._handle_request(now, viewer, event)
@@ -364,11 +364,11 @@
             elif request.method == "OPTIONS":
                 self._respond(viewer, request, 200 if self.ready and self._accept_until is None else 503)
             elif request.method not in ("ANNOUNCE", "REDIRECT", "SET_PARAMETER"):
-                raise BadHeader(501, f"no such method: {request.method[:40]!r}")
+                raise HeaderError(501, f"no such method: {request.method[:40]!r}")
             elif viewer_protocol.session_of(request) not in self.sessions_by_id:
-                raise BadHeader(454, f"{request.method} for an unknown session")
+                raise HeaderError(454, f"{request.method} for an unknown session")
             viewer.has_requested = True
-        except BadHeader as error:
+        except HeaderError as error:
             self.log_line("request not taken", viewer=viewer.number, text=str(error))
             self._respond(viewer, request, error.status)
             viewer.errors += 1
@@ -385,7 +385,7 @@
         setup = viewer_protocol.parse_setup(request)
         cls = self.class_numbers.get(setup.class_name)
         if cls is None:
-            raise BadHeader(400, f"no class is named {setup.class_name[:40]!r}")
+            raise HeaderError(400, f"no class is named {setup.class_name[:40]!r}")
         known = self.sessions_by_id.get(setup.session_id)
         if known is None and len(self.sessions) >= self.platform.max_held:
             return self._reject(viewer, setup)  # the settings bound the sessions that a node holds
@@ -398,7 +398,7 @@
                 # two set-ups under one id on one connection: their answers could not be told apart
                 self._answer_setup(known, STATUS_FAILED)
                 self._abandon_setup(now, known)
-            raise BadHeader(400, "the session already exists")
+            raise HeaderError(400, "the session already exists")
         if self._accept_until is not None and now >= self._accept_until:
             return self._reject(viewer, setup)
         self.budget.count_request(now)
@@ -421,13 +421,13 @@
         s = self.settings
         top = len(s.rung_kb) - 1 if setup.top is None else setup.top
         if top >= len(s.rung_kb) or setup.home >= s.cells or not 1 <= setup.copies <= s.cells:
-            raise BadHeader(400, "X-Facts: a figure is out of range")
+            raise HeaderError(400, "X-Facts: a figure is out of range")
         if setup.patience > 2 * s.classes[cls].deadline:
-            raise BadHeader(
+            raise HeaderError(
                 400, f"X-Patience exceeds twice the deadline of the class: {setup.patience // bounds.MS} ms"
             )
         if setup.at is None and not setup.body:
-            raise BadHeader(400, "the set-up has no description")
+            raise HeaderError(400, "the set-up has no description")
         moved = self.moved_viewers.pop(setup.viewer, self) is None
         self._last_ref += 1
         return Request(
@@ -452,7 +452,7 @@
         """Take over a session that already plays at a host."""
         host = self.hosts.get(self.fleet.numbers.get(setup.at or "", -1))
         if host is None:
-            raise BadHeader(400, f"no host is named {str(setup.at)[:40]!r}")
+            raise HeaderError(400, f"no host is named {str(setup.at)[:40]!r}")
         session_request = self._session_request(now, setup, cls)
         session = self._add_session(session_request.ref, setup, viewer)
         session.attempts, session.host, session.established, session.established_at = 1, host, True, now
--- a/copperyard/control/rtsp_server.py
+++ b/copperyard/control/rtsp_server.py
@@ -18,8 +18,17 @@
 
 from ..interface import OutcomeCode
 from ..protocol.rtp import Bye, ReceiverReport, encode_compound, parse_compound
-from ..protocol.rtsp import Connection, Frame, Malformed, Reply, Request, Response, Unasked, frame_header
-from ..protocol.rtsp.connection import supported
+from ..protocol.rtsp import (
+    Connection,
+    Frame,
+    MalformedInput,
+    MatchedResponse,
+    Request,
+    Response,
+    UnsolicitedResponse,
+    frame_header,
+)
+from ..protocol.rtsp.connection import is_supported_version
 from ..protocol.rtsp.headers import (
     Range,
     RtpInfo,
@@ -32,7 +41,7 @@
     parse_url,
     quote_path,
 )
-from ..protocol.rtsp.messages import BadHeader, Headers
+from ..protocol.rtsp.messages import HeaderError, Headers
 from .admission import Admission, Denial, admit, highest_rung
 from .attempt import ForwardedReply, MediaData
 from .catalogue import Catalogue, Title, describe
@@ -171,7 +180,7 @@
     def redirected(self, now: int) -> None:
         """Send the viewer a REDIRECT to the same URL."""
         url = self.base_url + quote_path(self.title.path)
-        data = self.connection.wire.ask("REDIRECT", url, (("Session", self.id), ("Location", url)))[1]
+        data = self.connection.wire.make_request("REDIRECT", url, (("Session", self.id), ("Location", url)))[1]
         self.connection.outbox.put(data)
         self.rtsp_server.output_added(self.connection)
 
@@ -250,10 +259,12 @@
                 self._handle_request(now, connection, event)
             elif isinstance(event, Frame):
                 self._handle_frame(now, connection, event)
-            elif isinstance(event, Malformed):
+            elif isinstance(event, MalformedInput):
                 self._handle_malformed(now, connection, event)
             else:
-                assert isinstance(event, Reply | Unasked)  # a viewer's response to a REDIRECT changes nothing
+                assert isinstance(
+                    event, MatchedResponse | UnsolicitedResponse
+                )  # a viewer's response to a REDIRECT changes nothing
 
     def _handle_frame(self, now: int, connection: ViewerConnection, event: Frame) -> None:
         """Handle an interleaved frame. RTCP from a viewer counts as activity; one receiver report per track is
@@ -281,7 +292,7 @@
                 session.last_reports[track] = now
                 self.session_table.received_by_viewer(session.ref, track, tuple(blocks))
 
-    def _handle_malformed(self, now: int, connection: ViewerConnection, event: Malformed) -> None:
+    def _handle_malformed(self, now: int, connection: ViewerConnection, event: MalformedInput) -> None:
         self.io_actions.append(LogLine("viewer malformed", (("peer", connection.peer), ("text", event.text))))
         pending = PendingResponse(Request("", "*"))
         connection.pending_responses.append(pending)
@@ -302,7 +313,7 @@
         if pending.data is not None or connection.gone:
             return
         headers = (*response.headers, self.server_header)
-        pending.data = connection.wire.answer(pending.request, replace(response, headers=headers))
+        pending.data = connection.wire.encode_response(pending.request, replace(response, headers=headers))
         while connection.pending_responses and connection.pending_responses[0].data is not None:
             connection.outbox.put(connection.pending_responses.popleft().data or b"")
         self.output_added(connection)
@@ -313,12 +324,12 @@
         pending = PendingResponse(request)
         connection.pending_responses.append(pending)
         if len(connection.pending_responses) > self.rules.viewers.pending:
-            pending.data = connection.wire.answer(request, Response(503, (("Connection", "close"),)))
+            pending.data = connection.wire.encode_response(request, Response(503, (("Connection", "close"),)))
             self.close_after_output(connection)
             return
         try:
             response = self._answer(now, connection, pending, request)
-        except BadHeader as error:
+        except HeaderError as error:
             response = Response(error.status, (), b"")
             self.io_actions.append(LogLine("viewer mistaken", (("peer", connection.peer), ("text", str(error)))))
         if response is not None:
@@ -330,7 +341,7 @@
         """Return the response, or None if it follows later."""
         if request.cseq is None:
             return Response(400, (), b"", "CSeq is missing or no number")
-        if not supported(request):
+        if not is_supported_version(request):
             return Response(505)
         require = request.header("Require") or request.header("Proxy-Require")
         if require is not None:
--- a/copperyard/control/session_table.py
+++ b/copperyard/control/session_table.py
@@ -40,7 +40,7 @@
     ViewerLeft,
     ZoneAllocation,
 )
-from ..protocol.rtp import Block
+from ..protocol.rtp import ReportBlock
 from ..state.facts import CodeCleared, CodeRedeemed, CodeSent, digest
 from .attempt import (
     Attempt,
@@ -407,7 +407,7 @@
             # Otherwise the code may be redeemed at this moment. The attempt continues to its deadline, so that the
             # viewer's next request finds the receipt instead of an unclear code.
 
-    def received_by_viewer(self, ref: int, track: int, blocks: tuple[Block, ...]) -> None:
+    def received_by_viewer(self, ref: int, track: int, blocks: tuple[ReportBlock, ...]) -> None:
         """Forward a viewer's RTCP reception blocks to the host. `track` is the index among the request's tracks."""
         state = self.requests.get(ref)
         if state is not None and state.attempt is not None and state.attempt.forward_receiver_report(track, blocks):
--- a/copperyard/control/splice.py
+++ b/copperyard/control/splice.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from ..protocol.rtp import Block, Packet, SenderReport, parse, rewrite
+from ..protocol.rtp import ReportBlock, RtpHeader, SenderReport, parse_header, rewrite_header
 
 SECOND = 1_000_000_000
 _SEQ_TS_SSRC = struct.Struct(">HII")  # sequence number, timestamp, SSRC, from byte 2 of a packet
@@ -51,7 +51,7 @@
 
     def packet(self, now: int, data: bytes) -> bytes | None:
         """Return a host's RTP packet as the viewer gets it, None if it is not RTP."""
-        header = parse(data)
+        header = parse_header(data)
         if header is None:
             return None
         if header.ssrc != self.source:
@@ -64,7 +64,7 @@
             self._rebase(now, seq, ts)
         self.source = source
 
-    def _rewrite(self, now: int, header: Packet, data: bytes) -> bytes:
+    def _rewrite(self, now: int, header: RtpHeader, data: bytes) -> bytes:
         seq = header.seq + self.seq_offset & 0xFFFF
         ts = header.ts + self.ts_offset & 0xFFFFFFFF
         if (seq - self.seq) & 0xFFFF < 0x8000:  # ignore reordered packets
@@ -72,17 +72,17 @@
             self.ts, self.last_packet_at = ts, now
         self.packets_sent += 1
         self.octets_sent += len(data) - 12
-        return rewrite(data, seq, ts, self.ssrc)
+        return rewrite_header(data, seq, ts, self.ssrc)
 
-    def host_blocks(self, blocks: Sequence[Block]) -> tuple[Block, ...]:
+    def host_blocks(self, blocks: Sequence[ReportBlock]) -> tuple[ReportBlock, ...]:
         """Translate a viewer's reception blocks (RFC 3550 section 6.4.1) to the host's SSRC and sequence numbers.
         Blocks about other sources, or from a time when no host fed this track, are dropped.
         """
         found = []
         for one in blocks:
             if one.ssrc == self.ssrc and self.source is not None:
-                highest = one.highest - self.seq_offset & 0xFFFFFFFF
-                found.append(replace(one, ssrc=self.source, highest=highest))
+                highest = one.highest_seq - self.seq_offset & 0xFFFFFFFF
+                found.append(replace(one, ssrc=self.source, highest_seq=highest))
         return tuple(found)
 
     def viewer_report(self, report: SenderReport) -> SenderReport:
--- a/copperyard/gateway/background.py
+++ b/copperyard/gateway/background.py
@@ -8,7 +8,7 @@
 from .net import AutoResetEvent, now, trio_deadline
 
 
-class Background:
+class BackgroundRunner:
     """Runs all background jobs in one task."""
 
     def __init__(self, scheduler: Scheduler) -> None:
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -33,10 +33,10 @@
 from ..interface import OutcomeCode, ZoneAllocation
 from ..state.journal_writer import JournalWriter
 from ..state.recovery import recover
-from .background import Background
+from .background import BackgroundRunner
 from .disk import Disk
 from .journal_runner import JournalRunner
-from .listing import Follower, ListEndpoint
+from .listing import ListEndpoint, ListFollower
 from .net import AutoResetEvent, Listener, Network, Stream, now, trio_deadline
 from .peers.service import PeerService, PeerSettings
 from .upstream import AttemptTask, query_host
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Station:
+class GatewayConfig:
     """What a gateway needs to know at its start; session lengths are means by class, in ns."""
 
     name: str
@@ -53,16 +53,16 @@
     rules: FrontRules
     catalogue: Catalogue
     zones: tuple[str, ...]
-    hosts: ListEndpoint
+    list_endpoint: ListEndpoint
     disk: Disk | None = None
     generation: str = ""
     accept_loss: bool = False
-    hood: PeerSettings | None = None
-    lengths: tuple[int, ...] = ()
+    peer_settings: PeerSettings | None = None
+    session_lengths: tuple[int, ...] = ()
     unix_ms: int = 0
 
 
-class StateRefused(Exception):
+class StateRefusedError(Exception):
     """The state on disk cannot be used to start from; the message says why."""
 
 
@@ -85,19 +85,19 @@
     inside the core at once.
     """
 
-    def __init__(self, config: Station, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
-        self.station, self.network, self.log = config, network, log
+    def __init__(self, config: GatewayConfig, network: Network, seed: int, rng: random.Random, log: Logger) -> None:
+        self.config, self.network, self.log = config, network, log
         self.core = FrontCore(config.rules, config.catalogue, config.zones, seed, rng, config.name)
         self.address = ""
-        self._links: dict[Attempt, AttemptTask] = {}
+        self._attempt_tasks: dict[Attempt, AttemptTask] = {}
         self._viewers: dict[ViewerConnection, ViewerSocket] = {}
         self._list_scope: trio.CancelScope | None = None
-        self._list_follower: Follower | None = None
-        self._store: JournalRunner | None = None
-        self.neighbours: PeerService | None = None
-        if config.hood is not None:
-            self._create_peer_service(config.hood, rng)
-        self.background = Background(Scheduler())
+        self._list_follower: ListFollower | None = None
+        self._journal: JournalRunner | None = None
+        self.peer_service: PeerService | None = None
+        if config.peer_settings is not None:
+            self._create_peer_service(config.peer_settings, rng)
+        self.background = BackgroundRunner(Scheduler())
         self._seen_sequence = -1
         self._journal_failure = ""
         self._timer = AutoResetEvent()
@@ -109,7 +109,7 @@
         """Serve until cancelled; reports the address to `task_status` once it listens."""
         self._recover()
         try:
-            listener = self._listener = await self.network.listen(self.station.listen)
+            listener = self._listener = await self.network.listen(self.config.listen)
         except OSError:
             self._release_disk()
             raise
@@ -117,12 +117,12 @@
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self.background.run)
-                if self._store is not None:
-                    nursery.start_soon(self._store.run)
+                if self._journal is not None:
+                    nursery.start_soon(self._journal.run)
                 self.address = listener.address
                 nursery.start_soon(self._run_timer)
-                if self.neighbours is not None:
-                    await nursery.start(self.neighbours.run)
+                if self.peer_service is not None:
+                    await nursery.start(self.peer_service.run)
                 self.core.start(now())
                 self._run_io_actions()
                 task_status.started(listener.address)
@@ -133,17 +133,17 @@
 
     def _create_peer_service(self, peer_settings: PeerSettings, rng: random.Random) -> None:
         """Create the service that coordinates this gateway with the others of the site."""
-        config, session_table = self.station, self.core.session_table
+        config, session_table = self.config, self.core.session_table
         gauge = Gauge(
             peer_settings.place.name,
             config.unix_ms,
             len(peer_settings.place.zones),
-            config.lengths,
+            config.session_lengths,
             peer_settings.place.terms,
             now(),
         )
         session_table.observer = FrontGauge(gauge, lambda: session_table.controller)
-        self.neighbours = PeerService(
+        self.peer_service = PeerService(
             peer_settings,
             gauge,
             lambda: session_table.controller,
@@ -164,7 +164,7 @@
 
         Raises an error if the state must not be used, LockedError if another process holds it, or OSError.
         """
-        disk, core = self.station.disk, self.core
+        disk, core = self.config.disk, self.core
         if disk is None:
             return
         disk.lock(core.instance_name)
@@ -175,15 +175,15 @@
                 self.log(
                     "state dropped",
                     {
-                        "front": self.station.name,
+                        "front": self.config.name,
                         "file": dropped.name,
                         "text": dropped.text,
                         "harm": "yes" if dropped.harm else "no",
                     },
                 )
-            refusal = recovery.refusal(self.station.accept_loss)
+            refusal = recovery.refusal(self.config.accept_loss)
             if refusal is not None:
-                raise StateRefused(refusal)
+                raise StateRefusedError(refusal)
         except BaseException:
             disk.close()
             raise
@@ -192,7 +192,7 @@
         self.log(
             "state recovered",
             {
-                "front": self.station.name,
+                "front": self.config.name,
                 "codes": len(state.codes),
                 "unclear": len(state.unclear()),
                 "records": recovery.replayed,
@@ -201,9 +201,9 @@
             },
         )
         downtime = disk.wall() - last_write if last_write is not None else 0
-        journal_writer = JournalWriter(recovery, core.instance_name, self.station.generation, now(), downtime)
+        journal_writer = JournalWriter(recovery, core.instance_name, self.config.generation, now(), downtime)
         core.restore(now(), journal_writer, spent_retries)
-        self._store = JournalRunner(journal_writer, disk, self.background, self._journal_advanced)
+        self._journal = JournalRunner(journal_writer, disk, self.background, self._journal_advanced)
         self.background.add("expiry", Priority.LOW, core.session_table.expire_codes, now())
 
     def _save_list(self, time: int) -> None:
@@ -213,8 +213,8 @@
 
     def _release_disk(self) -> None:
         """Close the disk, which unlocks the state folder."""
-        if self._store is not None and self.station.disk is not None:
-            self.station.disk.close()
+        if self._journal is not None and self.config.disk is not None:
+            self.config.disk.close()
 
     async def _journal_advanced(self) -> None:
         """Continue the set-ups that waited for the journal: more of it is durable, or the disk failed.
@@ -222,12 +222,12 @@
         What has arrived of the server list is read first, as before a set-up that waited for a connection.
         """
         await self._catch_up()
-        journal = self._store
+        journal = self._journal
         if journal is not None and journal.book.degraded != self._journal_failure:
             self._journal_failure = journal.book.degraded
             self.log(
                 "journal failed" if self._journal_failure else "journal well again",
-                {"front": self.station.name, "text": self._journal_failure},
+                {"front": self.config.name, "text": self._journal_failure},
             )
         self.core.session_table.journal_advanced(now())
         self._run_io_actions()
@@ -235,8 +235,8 @@
     async def drain(self, timeout_s: float) -> None:
         """Accept nothing new, let sessions play to their end for at most `timeout_s` seconds, then stop."""
         self.core.rtsp_server.draining = True
-        if self.neighbours is not None:
-            self.neighbours.leave()
+        if self.peer_service is not None:
+            self.peer_service.leave()
         if self._listener is not None:
             self._listener.close()
         with trio.move_on_after(timeout_s):
@@ -248,7 +248,7 @@
 
     async def _close_journal(self) -> None:
         """Write the planned end as the last fact; without it the next start takes the end as unplanned."""
-        journal = self._store
+        journal = self._journal
         if journal is None:
             return
         last_sequence = journal.book.close(now(), self.core.session_table.budget.spent_ages(now()))
@@ -268,13 +268,13 @@
             if isinstance(action, FlushViewer):
                 self._flush_viewer(action.connection)
             elif isinstance(action, FlushAttempt):
-                if action.attempt in self._links:
-                    self._links[action.attempt].wake.set()
+                if action.attempt in self._attempt_tasks:
+                    self._attempt_tasks[action.attempt].wake.set()
             elif isinstance(action, StartAttempt):
                 nursery.start_soon(self._run_guarded, "attempt", self._run_attempt, action.attempt)
             elif isinstance(action, StopAttempt):
-                if action.attempt in self._links:
-                    self._links[action.attempt].stop()
+                if action.attempt in self._attempt_tasks:
+                    self._attempt_tasks[action.attempt].stop()
             elif isinstance(action, CloseViewer):
                 viewer = self._viewers.get(action.connection)
                 if viewer is not None:
@@ -288,13 +288,13 @@
                 self._set_list_following(nursery, action.on)
             else:
                 assert isinstance(action, LogLine)
-                self.log(action.event, {"front": self.station.name, **dict(action.fields)})
-        if self._store is not None and self.core.list_changed:
+                self.log(action.event, {"front": self.config.name, **dict(action.fields)})
+        if self._journal is not None and self.core.list_changed:
             self.core.list_changed = False
             self.background.add("list", Priority.NORMAL, self._save_list)
-        if self._store is not None and self._store.book.sequence != self._seen_sequence:
-            self._seen_sequence = self._store.book.sequence
-            self._store.notify()
+        if self._journal is not None and self._journal.book.sequence != self._seen_sequence:
+            self._seen_sequence = self._journal.book.sequence
+            self._journal.notify()
         wake = self.core.next_wake()
         if wake != self._wake_at:
             self._wake_at = wake
@@ -330,7 +330,7 @@
             self.log(
                 "defect",
                 {
-                    "front": self.station.name,
+                    "front": self.config.name,
                     "task": task_name,
                     "error": f"{type(error).__name__}: {error}",
                     "place": f"{raised_at.name}:{raised_at.lineno}",
@@ -361,7 +361,7 @@
 
     async def _follow_list(self, scope: trio.CancelScope) -> None:
         with scope:
-            self._list_follower = Follower(self.network, self.core, self.station.hosts, self._run_io_actions)
+            self._list_follower = ListFollower(self.network, self.core, self.config.list_endpoint, self._run_io_actions)
             await self._list_follower.run()
 
     async def _catch_up(self) -> None:
@@ -389,7 +389,7 @@
         owner = request.owner if request is not None else None
         connection = getattr(owner, "connection", None)
         viewer = self._viewers.get(connection) if connection is not None else None
-        self._links[attempt] = task
+        self._attempt_tasks[attempt] = task
         if owner is not None and viewer is not None:
             task.is_blocked = lambda: connection in self._viewers and owner.blocked()
             viewer.attempt_tasks[task] = None
@@ -398,7 +398,7 @@
                 task.stop()
             await task.run()
         finally:
-            self._links.pop(attempt, None)
+            self._attempt_tasks.pop(attempt, None)
             if viewer is not None:
                 viewer.attempt_tasks.pop(task, None)
 
--- a/copperyard/gateway/journal_runner.py
+++ b/copperyard/gateway/journal_runner.py
@@ -8,7 +8,7 @@
 
 from ..control.scheduler import Priority
 from ..state.journal_writer import JournalWriter, Step
-from .background import Background
+from .background import BackgroundRunner
 from .disk import Disk
 from .net import AutoResetEvent, now
 
@@ -17,7 +17,7 @@
     """The tasks of one gateway's journal. `stored` is called when more facts are durable and when a step failed."""
 
     def __init__(
-        self, book: JournalWriter, disk: Disk, background: Background, stored: Callable[[], Awaitable[None]]
+        self, book: JournalWriter, disk: Disk, background: BackgroundRunner, stored: Callable[[], Awaitable[None]]
     ) -> None:
         self.book, self.disk, self.background, self.stored = book, disk, background, stored
         self._made_steps: list[Step | None] = []
--- a/copperyard/gateway/listing.py
+++ b/copperyard/gateway/listing.py
@@ -26,7 +26,7 @@
     poll_timeout: int
 
 
-def list_place(url: str, wait: int, timeout: int) -> ListEndpoint:
+def parse_list_url(url: str, wait: int, timeout: int) -> ListEndpoint:
     """Parse an http URL; the default port is 80. ValueError for another scheme or a URL without a host."""
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
@@ -35,7 +35,7 @@
     return ListEndpoint(f"{host}:{parts.port or 80}", parts.path or "/", wait, timeout)
 
 
-class Follower:
+class ListFollower:
     """Polls the list service, with one long poll in progress at a time.
 
     The response is read by whichever comes first: the task that waits for it, or a set-up that is about to be sent
@@ -100,7 +100,7 @@
                 continue  # `catch_up` read what this task waited for
             # a timeout that expired while this process did not run says nothing about the service: data that
             # arrived meanwhile is still unread, and closing the connection lost the news of a drain (seed 9000568)
-            if len(deadlines) > 1 or not self._drain():
+            if len(deadlines) > 1 or not self._read_available():
                 raise OSError("no response in time")
             deadlines.append(trio.current_time() + endpoint.poll_timeout / 1e9)
         if self._error is not None:
@@ -111,7 +111,7 @@
 
         The wait is bounded because a service that hangs in the middle of a response must not hold up all sessions.
         """
-        self._drain()
+        self._read_available()
         if not self._response_begun:
             return
         with trio.move_on_after(timeout_s):
@@ -119,7 +119,7 @@
                 await self._response_done.wait()
                 self._response_done.set()  # wakes the next waiting task
 
-    def _drain(self) -> bool:
+    def _read_available(self) -> bool:
         """Read without waiting; returns whether anything was read."""
         any_read = False
         try:
--- a/copperyard/gateway/peers/place.py
+++ b/copperyard/gateway/peers/place.py
@@ -4,17 +4,17 @@
 
 from pathlib import Path
 
-from ...config.common import CommonPlan
+from ...config.common import CoordinationSettings
 from .log_store import FileLogStore, SqliteLogStore
 from .service import PeerSettings
 
 
-def peer_settings(plan: CommonPlan, name: str, base: Path, trusted: bool) -> PeerSettings:
+def peer_settings(plan: CoordinationSettings, name: str, base: Path, trusted: bool) -> PeerSettings:
     """Build the settings of the gateway of that name; log stores are in folders under `base`."""
     folder = base / plan.folder / name
     log_store = None
     if name in plan.voters:
-        log_store = SqliteLogStore(folder) if plan.store == "sqlite" else FileLogStore(folder)
-    place = plan.place(name)
-    addresses = {other: plan.reach[other] for other in sorted(place.peers())}
-    return PeerSettings(place, plan.listen[name], addresses, plan.fleet, log_store, trusted)
+        log_store = SqliteLogStore(folder) if plan.store_kind == "sqlite" else FileLogStore(folder)
+    place = plan.coordinator_config(name)
+    addresses = {other: plan.dial_addresses[other] for other in sorted(place.peers())}
+    return PeerSettings(place, plan.listen_addresses[name], addresses, plan.digest, log_store, trusted)
--- a/copperyard/lab/audit.py
+++ b/copperyard/lab/audit.py
@@ -14,13 +14,23 @@
 from ..control.rules import FrontRules
 from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER, SetupFate
 from ..interface import ClassSettings, Effect
-from ..protocol.rtsp import Connection, Event, Frame, Limits, Reply, Request, Response, Run, Unasked
+from ..protocol.rtsp import (
+    Connection,
+    Event,
+    Frame,
+    FrameBatch,
+    Limits,
+    MatchedResponse,
+    Request,
+    Response,
+    UnsolicitedResponse,
+)
 
 CAPTURE_LIMITS = Limits(1 << 16, 256, 1 << 20, 65535, 1 << 16)
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
+class Violation:
     """A broken rule: when (ns), by which front, and what was observed."""
 
     rule: int
@@ -29,7 +39,7 @@
     text: str
 
 
-class Side:
+class TappedConnection:
     """One tapped connection: its messages in order, each with the time at which it was complete.
 
     `name` is the gateway of a viewer's connection, or the host of a host's connection; `boot` is that host's boot.
@@ -49,7 +59,7 @@
         """Record bytes that the stand-in wrote."""
         self._record(time, True, self._outgoing.receive(data))
 
-    def got(self, time: int, data: bytes) -> None:
+    def received(self, time: int, data: bytes) -> None:
         """Record bytes that the stand-in read."""
         self._record(time, False, self._incoming.receive(data))
 
@@ -60,11 +70,11 @@
 
     def _record(self, time: int, outgoing: bool, events: Iterable[Event]) -> None:
         for event in events:
-            if isinstance(event, Frame | Run):
+            if isinstance(event, Frame | FrameBatch):
                 self.frames += 1
             elif isinstance(event, Request):
                 self.messages.append((time, outgoing, event))
-            elif isinstance(event, Unasked | Reply):
+            elif isinstance(event, UnsolicitedResponse | MatchedResponse):
                 self.messages.append((time, outgoing, event.response))
 
 
@@ -72,32 +82,32 @@
     """Records all traffic and all process events of one rehearsal."""
 
     def __init__(self) -> None:
-        self.viewers: list[Side] = []
-        self.hosts: list[Side] = []
+        self.viewers: list[TappedConnection] = []
+        self.hosts: list[TappedConnection] = []
         self.lists: list[tuple[int, str, bytes]] = []
         self.kills: list[tuple[int, str]] = []
         self.stalls: list[tuple[int, int, str]] = []
         self.host_starts: dict[tuple[str, int], tuple[int, int]] = {}
 
-    def viewer_connection(self, gateway: str) -> Side:
+    def viewer_connection(self, gateway: str) -> TappedConnection:
         """Start recording a viewer's connection to a gateway."""
-        self.viewers.append(Side(gateway))
+        self.viewers.append(TappedConnection(gateway))
         return self.viewers[-1]
 
-    def host_connection(self, host: str, boot: int) -> Side:
+    def host_connection(self, host: str, boot: int) -> TappedConnection:
         """Start recording a connection that a host accepted."""
-        self.hosts.append(Side(host, boot))
+        self.hosts.append(TappedConnection(host, boot))
         return self.hosts[-1]
 
     def list_body(self, time: int, front: str, body: bytes) -> None:
         """Record a body that the list service sent to a front."""
         self.lists.append((time, front, body))
 
-    def front_killed(self, time: int, gateway: str) -> None:
+    def gateway_killed(self, time: int, gateway: str) -> None:
         """Record that a gateway's process was killed."""
         self.kills.append((time, gateway))
 
-    def front_stood(self, begin: int, end: int, gateway: str) -> None:
+    def gateway_stalled(self, begin: int, end: int, gateway: str) -> None:
         """Record that a gateway was stalled from `begin` to `end`: nothing went in or out of it."""
         self.stalls.append((begin, end, gateway))
 
@@ -111,7 +121,7 @@
     """One attempt as seen on a host's connection. `rungs` holds (time, rung) from the SETUP on."""
 
     time: int
-    connection: Side
+    connection: TappedConnection
     request: Request
     end: int = 1 << 62
     status: int | None = None  # of the first SETUP
@@ -162,12 +172,12 @@
         self.keeps_state = keeps_state
         self._never_run = [found for side in tap.hosts for found in _find_never_run(side)]
         self.rules, self.tap, self.slack, self.max_lateness = rules, tap, slack, max_lateness
-        self.violations: list[Break] = []
+        self.violations: list[Violation] = []
         self.play_requests: list[PlayRequest] = []
         self.attempts = [t for side in tap.hosts for t in _find_attempts(side)]
         self.attempts.sort(key=lambda t: t.time)
 
-    def check(self) -> list[Break]:
+    def check(self) -> list[Violation]:
         """Check all rules and return the violations in the order of the rules."""
         for side in self.tap.viewers:
             self._check_viewer(side)
@@ -179,7 +189,7 @@
         return self.violations
 
     def _report(self, rule: int, time: int, front: str, text: str) -> None:
-        self.violations.append(Break(rule, time, front, text))
+        self.violations.append(Violation(rule, time, front, text))
 
     # ---- rule 1: exactly one answer, in time
 
@@ -193,7 +203,7 @@
         )
         return self.rules.settings.classes[entry.cls], code
 
-    def _check_viewer(self, side: Side) -> None:
+    def _check_viewer(self, side: TappedConnection) -> None:
         pending: dict[str, tuple[int, Request, PlayRequest | None]] = {}
         sessions: dict[str, tuple[ClassSettings, str]] = {}
         front = side.name
@@ -238,7 +248,7 @@
 
     def _check_answer(
         self,
-        side: Side,
+        side: TappedConnection,
         time: int,
         front: str,
         response: Response,
@@ -431,7 +441,7 @@
                     )
 
 
-def _find_never_run(side: Side) -> Iterator[tuple[int, str]]:
+def _find_never_run(side: TappedConnection) -> Iterator[tuple[int, str]]:
     """Yield (time, Request-Id) for each set-up that a host confirmed as never run."""
     queried: dict[str, str] = {}
     for time, outgoing, message in side.messages:
@@ -441,7 +451,7 @@
             yield time, queried.get(message.header("CSeq") or "", "")
 
 
-def _find_attempts(side: Side) -> Iterator[Attempt]:
+def _find_attempts(side: TappedConnection) -> Iterator[Attempt]:
     """Yield the attempts on one host connection."""
     current: Attempt | None = None
     pending: dict[str, Request] = {}
@@ -471,7 +481,7 @@
         yield current
 
 
-def redeemed(side: Side) -> Iterator[str]:
+def redeemed(side: TappedConnection) -> Iterator[str]:
     """Yield the codes that a host reported as redeemed on this connection."""
     for attempt in _find_attempts(side):
         if attempt.status == 200 and attempt.request.header("Redeem"):
--- a/copperyard/lab/baselines.py
+++ b/copperyard/lab/baselines.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator, Mapping
 
 from ..decide import Controller, Server, Session
-from ..gateway.daemon import Gateway, Station
+from ..gateway.daemon import Gateway, GatewayConfig
 from ..gateway.net import Network
 from ..interface import Action, Event, Settings
 from .fleet import Fleet, GatewayFactory
@@ -113,7 +113,7 @@
         """Set the fleet whose gateways are created."""
         self.fleet = fleet
 
-    def __call__(self, station: Station, network: Network, seed: int, rng: random.Random) -> Gateway:
+    def __call__(self, station: GatewayConfig, network: Network, seed: int, rng: random.Random) -> Gateway:
         """Create a gateway."""
         assert self.fleet is not None
         gateway = Gateway(station, network, seed, rng, self.fleet.log)
--- a/copperyard/lab/experiment.py
+++ b/copperyard/lab/experiment.py
@@ -12,7 +12,7 @@
 
 from lxml import etree
 
-from ..config import BadSettings, Mistake, Site, parse
+from ..config import Mistake, SettingsError, Site, parse
 from . import baselines, virtual
 from .memnet import MemoryNetwork
 from .rehearsal import parse_rehearsal
@@ -32,15 +32,15 @@
     folder: str | None
 
 
-def changed(settings: bytes, changes: Iterable[str], name: str) -> bytes:
-    """Return settings with `element/attribute=value` changes applied. Raise BadSettings if a path matches nothing."""
+def apply_changes(settings: bytes, changes: Iterable[str], name: str) -> bytes:
+    """Return settings with `element/attribute=value` changes applied. Raise SettingsError if a path matches nothing."""
     root = etree.fromstring(settings)
     for change in changes:
         path, equal, value = change.partition("=")
         place, _, attribute = path.rpartition("/")
         found = root.findall(place) if place and equal else []
         if not found or not attribute:
-            raise BadSettings(name, [Mistake(1, f"'{change}' is no ELEMENT/ATTRIBUTE=VALUE of these settings")])
+            raise SettingsError(name, [Mistake(1, f"'{change}' is no ELEMENT/ATTRIBUTE=VALUE of these settings")])
         for element in found:
             element.set(attribute, value)
     return etree.tostring(root)
@@ -72,7 +72,7 @@
     return {
         **result.summary,
         "policy": job.policy,
-        "breaks": [f"rule {b.rule} at {b.time / 1e9:.3f} s by {b.front}: {b.text}" for b in result.breaks[:20]],
+        "breaks": [f"rule {b.rule} at {b.time / 1e9:.3f} s by {b.front}: {b.text}" for b in result.violations[:20]],
     }
 
 
@@ -99,7 +99,7 @@
     return [found[n] for n in range(len(jobs))]
 
 
-def spread(summaries: list[dict[str, object]], figure: str) -> tuple[float, float]:
+def mean_and_error(summaries: list[dict[str, object]], figure: str) -> tuple[float, float]:
     """Return mean and standard error of a figure over seeds."""
     values = [float(str(s[figure])) for s in summaries]
     error = statistics.stdev(values) / len(values) ** 0.5 if len(values) > 1 else 0.0
--- a/copperyard/lab/strikes.py
+++ b/copperyard/lab/faults.py
@@ -124,7 +124,7 @@
     hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
         host.faults.vanished = True
-        fleet.lists.later(host, "gone")
+        fleet.lists.publish_later(host, "gone")
     await trio.sleep_until(until)
     for host in hosts:
         host.crash()
@@ -144,7 +144,7 @@
     """Drain the hosts as a scheduler does, and at the end replace them with cold ones under new names."""
     hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
-        fleet.lists.later(host, "draining")
+        fleet.lists.publish_later(host, "draining")
     await trio.sleep_until(until)
     for host in hosts:
         await fleet.replace(host)
@@ -153,10 +153,10 @@
 async def _drain(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
     hosts = select_hosts(fleet, fault.whom, rng)
     for host in hosts:
-        fleet.lists.later(host, "draining")
+        fleet.lists.publish_later(host, "draining")
     await trio.sleep_until(until)
     for host in hosts:
-        fleet.lists.later(host, "ready" if host.up else "gone")
+        fleet.lists.publish_later(host, "ready" if host.up else "gone")
 
 
 async def _gateway_crash(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
@@ -178,7 +178,7 @@
     for network in networks:
         network.stalled = False
     for one in gateways:
-        fleet.tap.front_stood(begin, now() + 2 * POLL_INTERVAL_NS, one.name)
+        fleet.tap.gateway_stalled(begin, now() + 2 * POLL_INTERVAL_NS, one.name)
 
 
 async def _weaken_uplinks(fleet: Fleet, fault: Fault, rng: random.Random, until: float) -> None:
--- a/copperyard/lab/fleet.py
+++ b/copperyard/lab/fleet.py
@@ -11,8 +11,8 @@
 
 from ..config import Site
 from ..control.catalogue import Catalogue
-from ..gateway.daemon import Gateway, Station
-from ..gateway.listing import list_place
+from ..gateway.daemon import Gateway, GatewayConfig
+from ..gateway.listing import parse_list_url
 from ..gateway.net import Network, now
 from .audit import Tap
 from .emulator import HostModel, HostSpec, RackModel
@@ -21,7 +21,7 @@
 from .listservice import ListService
 from .memdisk import MemoryDisk
 
-GatewayFactory = Callable[[Station, Network, int, random.Random], Gateway]
+GatewayFactory = Callable[[GatewayConfig, Network, int, random.Random], Gateway]
 
 
 @dataclass(eq=False, slots=True)
@@ -29,7 +29,7 @@
     """A gateway that can be killed and started again; `gateway` is None while it is down."""
 
     name: str
-    station: Station
+    station: GatewayConfig
     address: str = ""
     gateway: Gateway | None = None
     network: FaultNetwork | None = None
@@ -53,10 +53,10 @@
         self.site, self.network, self.seed, self.log = site, network, seed, log
         self.make = make
         self.tap = Tap()
-        self.office = RedemptionService()
+        self.redemption = RedemptionService()
         settings = site.rules.settings
         self.racks = [RackModel(settings.uplink_kb) for _ in range(settings.racks)]
-        self.lists = ListService(network, self.tap, site.lab.list_late, site.zones)
+        self.lists = ListService(network, self.tap, site.lab.list_delay, site.zones)
         catalogue = site.catalogue()
         self.hosts = [
             self._make_host(h.name, h.cell, h.kind, h.zone, h.weight, h.link, n, catalogue)
@@ -83,11 +83,11 @@
             zone,
             weight,
             model,
-            self.office,
+            self.redemption,
             catalogue,
             self.network,
             self.tap,
-            lab.scale,
+            lab.media_scale,
             self.seed * 1009 + n,
         )
 
@@ -114,7 +114,7 @@
         replacement.model.restart(now())
         self.hosts[n] = replacement
         await self._nursery.start(replacement.run)
-        self.lists.later(replacement, "ready")
+        self.lists.publish_later(replacement, "ready")
 
     def remove_host(self, host: StandIn) -> None:
         """Crash a host for good and free its part of the rack's uplink."""
@@ -132,9 +132,11 @@
                 self.lists.publish(host, "ready")
             site = self.site
             path = "/" + site.list_url.split("/", 3)[-1] if site.list_url.count("/") > 2 else "/"
-            place = list_place(f"http://{address}{path}", site.list_wait, site.list_timeout)
+            place = parse_list_url(f"http://{address}{path}", site.list_wait, site.list_timeout)
             for one in site.gateways:
-                station = Station(one.name, one.listen, site.rules_of(one.name, 0), site.catalogue(), site.zones, place)
+                station = GatewayConfig(
+                    one.name, one.listen, site.rules_for(one.name, 0), site.catalogue(), site.zones, place
+                )
                 if site.state is not None:
                     disk = self.disks[one.name] = MemoryDisk(random.Random(self.seed * 31 + len(self.disks)))
                     station = replace(station, disk=disk, generation=site.state.generation)
@@ -183,7 +185,7 @@
 
     def kill_gateway(self, one: GatewayHandle) -> None:
         """Kill a gateway: its sockets close and nothing more is sent."""
-        self.tap.front_killed(now(), one.name)
+        self.tap.gateway_killed(now(), one.name)
         one.gateway = None
         if one.network is not None:
             # end its stall and its cut, which would otherwise keep its tasks and its listener alive (seed 1869)
@@ -196,7 +198,7 @@
     def crash(self, host: StandIn) -> None:
         """Crash a host's process; the list service publishes it after its delay."""
         host.crash()
-        self.lists.later(host, "gone")
+        self.lists.publish_later(host, "gone")
 
     async def revive(self, host: StandIn) -> None:
         """Start a crashed host again, cold, at its address; do nothing if it runs or was replaced."""
@@ -204,4 +206,4 @@
         if not host.up and host in self.hosts:
             host.reset_for_restart()
             await self._nursery.start(host.run, host.address)
-            self.lists.later(host, "ready")
+            self.lists.publish_later(host, "ready")
--- a/copperyard/lab/host.py
+++ b/copperyard/lab/host.py
@@ -15,11 +15,11 @@
 from ..control.unresolved_codes import SETTLE_HEADER, SETTLED_HEADER, SetupFate
 from ..gateway.net import CONNECTION_ERRORS, AutoResetEvent, Listener, Network, Stream, now
 from ..interface import NoticeKind, Report
-from ..protocol.rtp import Bye, Packet, SenderReport, encode_compound, pack
+from ..protocol.rtp import Bye, RtpHeader, SenderReport, encode_compound, encode_packet
 from ..protocol.rtsp import Connection, Limits, Request, Response
 from ..protocol.rtsp.headers import RtpInfo, parse_range, parse_session, parse_transport, parse_url
-from ..protocol.rtsp.messages import BadHeader, Headers
-from .audit import Side, Tap
+from ..protocol.rtsp.messages import HeaderError, Headers
+from .audit import Tap, TappedConnection
 from .emulator import HostModel
 from .emulator import Stream as ModelStream
 from .emulator.model import SAMPLE_INTERVAL
@@ -36,13 +36,13 @@
 
     def __init__(self) -> None:
         self.receipts: dict[str, str] = {}
-        self.asked: list[tuple[int, str, str]] = []
+        self.calls: list[tuple[int, str, str]] = []
         self.refused = 0
         self.receipts_by_request: dict[str, str] = {}
 
     def redeem(self, time: int, code: str, host: str, request: str = "") -> str | None:
         """Return a new receipt, or None if the code is already redeemed or starts with "bad"."""
-        self.asked.append((time, code, host))
+        self.calls.append((time, code, host))
         if code in self.receipts or code.startswith("bad"):
             self.refused += 1
             return None
@@ -224,7 +224,7 @@
                 nursery.start_soon(self._process_requests, requests, wake, writer, own_sessions, nursery)
                 while True:
                     data = await stream.receive_some(65536)
-                    tapped.got(now(), data)
+                    tapped.received(now(), data)
                     if not data:
                         break
                     for event in wire.receive(data):
@@ -271,7 +271,7 @@
             return
         try:
             response, lost = await self._respond(request, writer, own_sessions, nursery)
-        except BadHeader as error:
+        except HeaderError as error:
             response, lost = Response(error.status, (), b"", str(error)), False
         if not lost:
             age = now() - self.model.started if self.model.started else None
@@ -280,7 +280,7 @@
                 (HOST_UP_HEADER, encode_host_up(str(self.boot), age)),
             )
             writer.put(
-                Connection.answer(
+                Connection.encode_response(
                     request, Response(response.status, response.headers + load, response.body, response.reason)
                 )
             )
@@ -447,8 +447,8 @@
     def _send_packet(
         self, session: HostSession, track: int, kind: int, payload: bytes, marker: bool, writer: _Writer
     ) -> None:
-        packet = Packet(kind, session.seq[track], session.ts[track], session.ssrc[track], marker)
-        if writer.frame(session.channels[track], pack(packet, payload)):
+        packet = RtpHeader(kind, session.seq[track], session.ts[track], session.ssrc[track], marker)
+        if writer.frame(session.channels[track], encode_packet(packet, payload)):
             session.seq[track] = session.seq[track] + 1 & 0xFFFF
             session.packets_sent[track] += 1
             session.octets[track] += len(payload)
@@ -459,7 +459,7 @@
 
     MAX_BUFFERED = 262_144
 
-    def __init__(self, stream: Stream, tapped: Side) -> None:
+    def __init__(self, stream: Stream, tapped: TappedConnection) -> None:
         self._stream, self._tapped = stream, tapped
         self._buffer = bytearray()
         self._wake = AutoResetEvent()
@@ -473,7 +473,7 @@
         """Queue an interleaved frame; False if the buffer is full."""
         if len(self._buffer) > self.MAX_BUFFERED:
             return False
-        self.put(Connection.frame(channel, payload))
+        self.put(Connection.encode_frame(channel, payload))
         return True
 
     async def run(self) -> None:
--- a/copperyard/lab/listservice.py
+++ b/copperyard/lab/listservice.py
@@ -50,7 +50,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def later(self, host: StandIn, state: str) -> None:
+    def publish_later(self, host: StandIn, state: str) -> None:
         """Publish a host's state after the delay."""
         self._pending.append((now() + self.delay, host, state))
 
--- a/copperyard/lab/memdisk.py
+++ b/copperyard/lab/memdisk.py
@@ -38,7 +38,7 @@
         self.operations = 0
         self.crash_at: int | None = None
         self.crashed = trio.Event()
-        self._live: dict[str, _File] = {}
+        self._files: dict[str, _File] = {}
         self._durable_files: dict[str, _File] = {}  # by the names in the folder that are synced
         self._lock_owner = ""
         self._written_at: int | None = None
@@ -63,11 +63,11 @@
 
     def names(self) -> list[str]:
         """Return the names of all files."""
-        return list(self._live)
+        return list(self._files)
 
     def read(self, name: str) -> bytes:
         """Return a file's contents."""
-        return bytes(self._live[name].data)
+        return bytes(self._files[name].data)
 
     async def _begin_operation(self, step: Step) -> None:
         """Begin an operation: here it is delayed, fails, or the process dies."""
@@ -84,14 +84,14 @@
         """Perform a step. Raise OSError if it fails."""
         await self._begin_operation(step)
         if isinstance(step, Create):
-            if step.name in self._live:
+            if step.name in self._files:
                 raise FileExistsError(errno.EEXIST, "exists")
-            self._live[step.name] = _File(bytearray(step.data))
+            self._files[step.name] = _File(bytearray(step.data))
             await self._sync(step, step.name)
             await self._begin_operation(step)
-            self._durable_files = dict(self._live)
+            self._durable_files = dict(self._files)
         elif isinstance(step, Append):
-            file = self._live[step.name]
+            file = self._files[step.name]
             # a process that dies during a write leaves a part of it
             file.data += step.data[: len(step.data) // 2]
             await self._begin_operation(step)
@@ -99,16 +99,16 @@
             if step.sync:
                 await self._sync(step, step.name)
         elif isinstance(step, Rename):
-            self._live[step.to] = self._live.pop(step.name)
+            self._files[step.to] = self._files.pop(step.name)
             await self._begin_operation(step)
-            self._durable_files = dict(self._live)
+            self._durable_files = dict(self._files)
         else:
             assert isinstance(step, Remove)
-            self._live.pop(step.name, None)
+            self._files.pop(step.name, None)
 
     async def _sync(self, step: Step, name: str) -> None:
         await self._begin_operation(step)
-        self._live[name].synced = len(self._live[name].data)
+        self._files[name].synced = len(self._files[name].data)
 
     def power_cut(self) -> None:
         """Simulate a power cut.
@@ -116,10 +116,10 @@
         Any part of the unsynced data may survive, or zeros in its place; names that are not synced may be there or not.
         """
         found: dict[str, _File] = {}
-        for name, file in {**self._durable_files, **self._live}.items():
+        for name, file in {**self._durable_files, **self._files}.items():
             if name not in self._durable_files and self.rng.random() < 0.5:
                 continue
-            if name not in self._live and self.rng.random() < 0.5:
+            if name not in self._files and self.rng.random() < 0.5:
                 continue  # the removal reached the disk
             data = bytearray(file.data[: self.rng.randint(file.synced, len(file.data))])
             if len(data) < len(file.data) and self.rng.random() < 0.5:
@@ -127,7 +127,7 @@
                     self.rng.randint(0, len(file.data) - len(data))
                 )  # the size reached the disk, the data did not
             found[name] = _File(data, len(data))
-        self._live, self._durable_files = found, dict(found)
+        self._files, self._durable_files = found, dict(found)
         self.process_died()
 
     def process_died(self) -> None:
--- a/copperyard/lab/rehearsal.py
+++ b/copperyard/lab/rehearsal.py
@@ -9,10 +9,10 @@
 
 from lxml import etree
 
-from ..config import BadSettings, Mistake, Site
+from ..config import Mistake, SettingsError, Site
 from ..config.document import read_document
-from ..config.units import duration
-from .strikes import DEFAULT_STRENGTH, SHARE_KINDS, Fault, Whom
+from ..config.units import parse_duration
+from .faults import DEFAULT_STRENGTH, SHARE_KINDS, Fault, Whom
 
 SECOND = 1_000_000_000
 
@@ -52,7 +52,7 @@
     seconds: float
     load: Load
     crowds: tuple[Crowd, ...] = ()
-    strikes: tuple[Fault, ...] = ()
+    faults: tuple[Fault, ...] = ()
 
 
 @cache
@@ -62,13 +62,13 @@
 
 
 def load_rehearsal(path: str, site: Site) -> Rehearsal:
-    """Read a rehearsal file for a site. Raise BadSettings with all mistakes."""
+    """Read a rehearsal file for a site. Raise SettingsError with all mistakes."""
     with open(path, "rb") as source:
         return parse_rehearsal(source.read(1 << 20), site, path)
 
 
 def parse_rehearsal(data: bytes, site: Site, name: str = "rehearsal") -> Rehearsal:
-    """Parse a rehearsal. Raise BadSettings with all mistakes.
+    """Parse a rehearsal. Raise SettingsError with all mistakes.
 
     Mistakes are unknown or missing targets, times outside the rehearsal, values out of range, and faults of the same
     kind and targets that overlap.
@@ -100,7 +100,7 @@
                 _mistake(other_element, f"{second.kind} strikes the same at the same time as line {one.sourceline}")
             )
     if mistakes:
-        raise BadSettings(name, mistakes)
+        raise SettingsError(name, mistakes)
     return Rehearsal(str(root.attrib["name"]), str(root.attrib["teaches"]), seconds, load, crowds, faults)
 
 
@@ -109,7 +109,7 @@
 
 
 def _seconds(text: str) -> float:
-    return duration(text) / SECOND
+    return parse_duration(text) / SECOND
 
 
 def _mistake(element: etree._Element, text: str) -> Mistake:
--- a/copperyard/lab/report.py
+++ b/copperyard/lab/report.py
@@ -11,7 +11,7 @@
 import matplotlib
 import pyarrow.parquet as pq
 
-from .experiment import FIGURES, spread
+from .experiment import FIGURES, mean_and_error
 
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt  # noqa: E402
@@ -32,7 +32,7 @@
         summaries=summaries,
         broken=[f"{s['policy']}, seed {s['seed']}: {b}" for s in summaries for b in _string_list(s["breaks"])],
         void=sum(bool(s["void"]) for s in summaries),
-        table=[(p, [spread(rows, f) for f in FIGURES]) for p, rows in by_policy.items()],
+        table=[(p, [mean_and_error(rows, f) for f in FIGURES]) for p, rows in by_policy.items()],
         losses=[
             (p, [sum(_number_at(s["lost"], c) for s in rows) / len(rows) for c in causes])
             for p, rows in by_policy.items()
--- a/copperyard/lab/run.py
+++ b/copperyard/lab/run.py
@@ -15,11 +15,11 @@
 from ..gateway.net import Network
 from ..interface import ClassSettings
 from ..protocol.rtsp import Request
-from .audit import Attempt, Auditor, Break, Tap, redeemed
+from .audit import Attempt, Auditor, Tap, Violation, redeemed
 from .emulator import Stream
+from .faults import inject_fault
 from .fleet import Fleet, GatewayFactory
 from .rehearsal import Rehearsal
-from .strikes import inject_fault
 from .viewers import HABITS, Viewer, Visit
 
 MS = 1_000_000
@@ -49,26 +49,26 @@
     rehearsal: Rehearsal
     seed: int
     visits: list[Visit]
-    breaks: list[Break]
+    violations: list[Violation]
     attempts: list[Attempt]
     host_seconds: list[HostSecond]
-    left: list[str]
+    leftovers: list[str]
     tap: Tap
     summary: dict[str, object] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Lag:
+class LoopLag:
     """Measures the largest delay of the event loop, in s."""
 
-    most: float = 0.0
+    max_s: float = 0.0
 
     async def watch(self) -> None:
         """Measure until cancelled."""
         while True:
             due = trio.current_time() + 0.05
             await trio.sleep_until(due)
-            self.most = max(self.most, trio.current_time() - due)
+            self.max_s = max(self.max_s, trio.current_time() - due)
 
 
 async def run_rehearsal(
@@ -90,7 +90,7 @@
     rng = random.Random(seed)
     visits: list[Visit] = []
     host_seconds: list[HostSecond] = []
-    lag = Lag()
+    lag = LoopLag()
     async with trio.open_nursery() as nursery:
         await nursery.start(fleet.run)
         with trio.move_on_after(10):
@@ -99,7 +99,7 @@
         begin = trio.current_time()
         nursery.start_soon(_sample_hosts, fleet, begin, host_seconds)
         async with trio.open_nursery() as crowd:
-            for n, fault in enumerate(rehearsal.strikes):
+            for n, fault in enumerate(rehearsal.faults):
                 crowd.start_soon(inject_fault, fleet, fault, random.Random(seed * 31 + n), begin)
             await _arrivals(fleet, rehearsal, rng, visits, crowd, begin)
         await trio.sleep(1.0)
@@ -108,8 +108,8 @@
     await trio.lowlevel.checkpoint()
     auditor = Auditor(site.rules, fleet.tap, slack, max_lateness, site.state is not None)
     result = Result(rehearsal, seed, visits, auditor.check(), auditor.attempts, host_seconds, left, fleet.tap)
-    _reckon(site, fleet, visits)
-    result.summary = _summary(site, result, fleet, lag.most)
+    compute_worth(site, fleet, visits)
+    result.summary = _summary(site, result, fleet, lag.max_s)
     return result
 
 
@@ -183,7 +183,7 @@
     return visit.habit not in ("half-message", "hang-up") and not visit.code.startswith("bad")
 
 
-def _reckon(site: Site, fleet: Fleet, visits: list[Visit]) -> None:
+def compute_worth(site: Site, fleet: Fleet, visits: list[Visit]) -> None:
     """Set the worth of each visit.
 
     It is the class's worth times the share of the requested seconds that played, weighted by rung and reduced for
@@ -290,7 +290,7 @@
             for name, q in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
         },
         "rungs": {str(r): n for r, n in sorted(rungs.items())},
-        "redemptions": len(fleet.office.receipts),
+        "redemptions": len(fleet.redemption.receipts),
         "redeemed_twice": sum(1 for n in codes.values() if n > 1),
         "stream_faults": sum(len(v.faults) for v in visits),
         "attempts": len(result.attempts),
@@ -298,5 +298,5 @@
         "lag_ms": round(lag * 1000, 1),
         "void": lag > MAX_LAG_S,
         "trace": trace_hash(fleet.tap),
-        "rules": {str(rule): sum(1 for b in result.breaks if b.rule == rule) for rule in range(1, 7)},
+        "rules": {str(rule): sum(1 for b in result.violations if b.rule == rule) for rule in range(1, 7)},
     }
--- a/copperyard/lab/sites/faults.py
+++ b/copperyard/lab/sites/faults.py
@@ -8,9 +8,9 @@
 
 from lxml import etree
 
-from ...config import BadSettings, Mistake, Site
+from ...config import Mistake, SettingsError, Site
 from ...config.document import read_document
-from ...config.units import duration
+from ...config.units import parse_duration
 
 SECOND = 1_000_000_000
 LEADER = "leader"
@@ -28,15 +28,15 @@
     kind: str
     at: float
     until: float
-    who: tuple[str, ...]
+    targets: tuple[str, ...]
     others: tuple[str, ...]
     zones: tuple[int, ...]
-    hard: float
+    severity: float
     log_store: str
 
 
 @dataclass(frozen=True, slots=True)
-class Evening:
+class SiteScenario:
     """Load and faults of a run.
 
     `rate` viewers a second in all zones together for `seconds`; `epochs` is the largest number of epochs that the run
@@ -58,8 +58,8 @@
     return etree.XMLSchema(etree.fromstring(text), attribute_defaults=True)
 
 
-def read_evening(data: bytes, site: Site, name: str) -> Evening:
-    """Reads a scenario. BadSettings lists all mistakes with their lines."""
+def read_scenario(data: bytes, site: Site, name: str) -> SiteScenario:
+    """Reads a scenario. SettingsError lists all mistakes with their lines."""
     root = read_document(data, name, _schema())
     mistakes: list[Mistake] = []
     seconds = float(str(root.get("seconds")))
@@ -68,8 +68,8 @@
     if watch[0] > watch[1]:
         mistakes.append(Mistake(int(root.sourceline or 0), "watch-least is above watch-most"))
     if mistakes:
-        raise BadSettings(name, mistakes)
-    return Evening(
+        raise SettingsError(name, mistakes)
+    return SiteScenario(
         str(root.get("name")),
         seconds,
         float(str(root.get("rate"))),
@@ -81,7 +81,7 @@
 
 
 def _seconds(element: etree._Element, key: str) -> float:
-    return duration(str(element.get(key))) / SECOND
+    return parse_duration(str(element.get(key))) / SECOND
 
 
 def _fault(element: etree._Element, site: Site, seconds: float, mistakes: list[Mistake]) -> Fault:
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -218,7 +218,7 @@
             plan.roster[name],
             group.zone_capacity,
             plan.terms,
-            plan.lengths,
+            plan.session_lengths,
             plan.roster[name] / len(plan.zones) + rng.uniform(-0.05, 0.05),
             group.lost_zones,
         )
@@ -294,7 +294,7 @@
         self.network = TcpNetwork()
         common = site.common
         assert common is not None and site.lab is not None
-        self.names = {address: name for name, address in common.reach.items()}
+        self.names = {address: name for name, address in common.dial_addresses.items()}
         self.zone_capacity = [
             (sum(h.link for h in site.lab.hosts if h.zone == z), sum(1 for h in site.lab.hosts if h.zone == z))
             for z in range(len(site.zones))
@@ -338,7 +338,7 @@
 
     def _fleet(self) -> str:
         assert self.site.common is not None
-        return self.site.common.fleet.hex()
+        return self.site.common.digest.hex()
 
     async def _write_line(self, out: trio.abc.SendStream, line: Mapping[str, object]) -> None:
         async with self.output_lock:
@@ -438,8 +438,8 @@
     """Runs the gateways that the command line names; returns the exit status."""
     settings, folder, seed, fleet = sys.argv[1:5]
     site = load(settings)
-    if site.common is None or site.common.fleet.hex() != fleet:
-        found = site.common.fleet.hex() if site.common is not None else "none"
+    if site.common is None or site.common.digest.hex() != fleet:
+        found = site.common.digest.hex() if site.common is not None else "none"
         print(
             f"{settings}: settings of other gateways: their digest is '{found}', this run's '{fleet}'", file=sys.stderr
         )
--- a/copperyard/lab/sites/layout.py
+++ b/copperyard/lab/sites/layout.py
@@ -33,12 +33,12 @@
 OWN_DESCRIPTORS = 64  # descriptors of a process besides its links
 
 
-class Refused(ValueError):
+class InfeasibleRunError(ValueError):
     """The run is not possible; the text says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ScaleOptions:
     """Options of a run.
 
     `processes` is the number of processes for hollow gateways that share some, `seconds` the length of the run,
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Resources:
     """Resources of the machine or of a run: MB, descriptors a process, processes, gateways that settings may list."""
 
     memory_mb: float
@@ -81,7 +81,7 @@
         return tuple(name for group in self.groups for name in group)
 
 
-def machine_room() -> Room:
+def machine_resources() -> Resources:
     """Resources of this machine that a run may use.
 
     Half of its memory (or of the cgroup's limit), its limit of descriptors, and at most MAX_PROCESSES processes.
@@ -95,7 +95,7 @@
     processes = resource.getrlimit(resource.RLIMIT_NPROC)[0]
     schema = etree.fromstring(files("copperyard.config").joinpath("site.xsd").read_bytes())
     listed = schema.find(".//{*}element[@name='gateway']").get("maxOccurs")  # type: ignore[union-attr]
-    return Room(
+    return Resources(
         memory / 2 / 1e6,
         descriptors if descriptors > 0 else 1 << 20,
         min(MAX_PROCESSES, processes if processes > 0 else MAX_PROCESSES),
@@ -103,7 +103,7 @@
     )
 
 
-def required_resources(gateways: int, real: int, voters: int, processes: int | None) -> Room:
+def required_resources(gateways: int, real: int, voters: int, processes: int | None) -> Resources:
     """Resources that a run takes, from measured runs. `listable_gateways` is the number of gateways."""
     single = min(voters, gateways - real)
     sharing = max(0, gateways - real - single)
@@ -119,7 +119,7 @@
         + single * per_voter_mb
     )
     per_process = math.ceil(sharing / shared_processes) if shared_processes else 0
-    return Room(
+    return Resources(
         memory,
         OWN_DESCRIPTORS + max(per_process * (links + 1), 2 * gateways, 8 * real * real),
         shared_processes + single + real,
@@ -127,7 +127,7 @@
     )
 
 
-def check_resources(options: Wish, voters: int, available: Room) -> Room:
+def check_resources(options: ScaleOptions, voters: int, available: Resources) -> Resources:
     """Returns the resources that a run takes.
 
     InfeasibleRunError if these are more than are available; the text says how many gateways fit.
@@ -148,31 +148,31 @@
     while high - low > 1:
         middle = (low + high) // 2
         low, high = (middle, high) if middle >= options.real and fits(middle) else (low, middle)
-    raise Refused(
+    raise InfeasibleRunError(
         f"--gateways '{options.gateways}': {low} fit this machine with {options.real} real ones (half of its "
         f"memory {available.memory_mb:.0f} MB, {available.descriptors} descriptors a process, {available.processes} "
         f"processes, {available.listable_gateways} gateways that settings may list)"
     )
 
 
-def check_options(options: Wish, voters: int) -> None:
+def check_options(options: ScaleOptions, voters: int) -> None:
     """InfeasibleRunError if an option is out of its range."""
     if options.gateways < max(1, voters):
-        raise Refused(f"--gateways '{options.gateways}': below the {voters} voters")
+        raise InfeasibleRunError(f"--gateways '{options.gateways}': below the {voters} voters")
     if options.real < 0 or options.real > options.gateways:
-        raise Refused(f"--real '{options.real}': not from 0 up to the {options.gateways} gateways")
+        raise InfeasibleRunError(f"--real '{options.real}': not from 0 up to the {options.gateways} gateways")
     if options.processes is not None and not 1 <= options.processes <= MAX_PROCESSES:
-        raise Refused(f"--processes '{options.processes}': not from 1 up to {MAX_PROCESSES}")
+        raise InfeasibleRunError(f"--processes '{options.processes}': not from 1 up to {MAX_PROCESSES}")
     if not 5 <= options.seconds <= 86_400:
-        raise Refused(f"--for '{options.seconds:g}s': not from 5 s up to a day")
+        raise InfeasibleRunError(f"--for '{options.seconds:g}s': not from 5 s up to a day")
 
 
 def prepare(
-    text: bytes | None, name: str, options: Wish, faults: bytes | None, faults_name: str, available: Room
-) -> tuple[bytes, Site, Layout, Room]:
+    text: bytes | None, name: str, options: ScaleOptions, faults: bytes | None, faults_name: str, available: Resources
+) -> tuple[bytes, Site, Layout, Resources]:
     """Prepares a run without starting anything: its settings as XML and parsed, its layout, its resources.
 
-    BadSettings or InfeasibleRunError if it is not possible.
+    SettingsError or InfeasibleRunError if it is not possible.
     """
     voters = 5 if text is None else _voters(text, name)
     check_options(options, voters)
@@ -194,9 +194,9 @@
 def _voters(text: bytes, name: str) -> int:
     site = parse(text, name)
     if site.common is None:
-        raise Refused(f"{name}: no <common>: its gateways decide nothing together")
+        raise InfeasibleRunError(f"{name}: no <common>: its gateways decide nothing together")
     if site.lab is None or not site.lab.hosts:
-        raise Refused(f"{name}: no <lab> with hosts: a scale test needs stand-in hosts")
+        raise InfeasibleRunError(f"{name}: no <lab> with hosts: a scale test needs stand-in hosts")
     return len(site.common.voters)
 
 
@@ -205,7 +205,9 @@
     return tuple(str(z.get("region", "default")) for z in etree.fromstring(text).iterfind("zones/zone")) or ("default",)
 
 
-def assign_processes(site: Site, regions: tuple[str, ...], options: Wish, faults: Sequence[ScaleFault]) -> Layout:
+def assign_processes(
+    site: Site, regions: tuple[str, ...], options: ScaleOptions, faults: Sequence[ScaleFault]
+) -> Layout:
     """Draws the targets of the faults and assigns hollow gateways to processes.
 
     Real gateways are spread over the zones; voters are the last to be real.
--- a/copperyard/lab/sites/shelf.py
+++ b/copperyard/lab/sites/memory_log_store.py
@@ -12,29 +12,29 @@
 from ...state.agreement.log_store import DamagedStoreError
 
 
-class Plate:
+class LogDisk:
     """The contents of the disk, which outlive a process.
 
     `free_bytes` is how many more bytes fit (None: no limit), `pause` how many s each write takes.
     """
 
     def __init__(self) -> None:
-        self.rows: list[tuple[bytes, int]] = []
+        self.records: list[tuple[bytes, int]] = []
         self.torn: list[bytes] = []
         self.holder = ""
-        self.full: int | None = None
+        self.free_bytes: int | None = None
         self.pause = 0.0
 
-    def check(self, number: int, body: bytes) -> int:
+    def checksum(self, number: int, body: bytes) -> int:
         """Checksum of a record at its position."""
         return int(xxhash.xxh3_64_intdigest(number.to_bytes(8, "little") + body))
 
 
-class MemoryShelf:
+class MemoryLogStore:
     """A log store on a LogDisk."""
 
-    def __init__(self, plate: Plate) -> None:
-        self.plate = plate
+    def __init__(self, plate: LogDisk) -> None:
+        self.disk = plate
         self._busy = trio.Lock()
 
     def open(self, owner: str) -> list[bytes]:
@@ -42,18 +42,18 @@
 
         LockedError if another process holds it, Damaged if a checksum is wrong.
         """
-        if self.plate.holder:
-            raise LockedError(f"held by {self.plate.holder}")
-        self.plate.holder = owner
-        self.plate.torn.clear()
-        for number, (body, check) in enumerate(self.plate.rows):
-            if self.plate.check(number, body) != check:
+        if self.disk.holder:
+            raise LockedError(f"held by {self.disk.holder}")
+        self.disk.holder = owner
+        self.disk.torn.clear()
+        for number, (body, check) in enumerate(self.disk.records):
+            if self.disk.checksum(number, body) != check:
                 raise DamagedStoreError(f"record {number + 1} has a wrong checksum")
-        return [body for body, _ in self.plate.rows]
+        return [body for body, _ in self.disk.records]
 
     async def append(self, records: Sequence[bytes]) -> None:
         """Appends records. OSError if the disk is full."""
-        await self._write(records, self.plate.rows)
+        await self._write(records, self.disk.records)
 
     async def replace_all(self, records: Sequence[bytes]) -> None:
         """Replaces all records. OSError if the disk is full."""
@@ -62,16 +62,16 @@
     async def _write(self, records: Sequence[bytes], before: list[tuple[bytes, int]]) -> None:
         async with self._busy:
             with trio.CancelScope(shield=True):
-                await trio.sleep(self.plate.pause)
+                await trio.sleep(self.disk.pause)
             size = sum(len(one) for one in records)
-            if self.plate.full is not None:
-                if size > self.plate.full:
+            if self.disk.free_bytes is not None:
+                if size > self.disk.free_bytes:
                     raise OSError(errno.ENOSPC, "no space left")
-                self.plate.full -= size
+                self.disk.free_bytes -= size
             rows = list(before)
-            rows += [(one, self.plate.check(len(before) + n, one)) for n, one in enumerate(records)]
-            self.plate.rows = rows
+            rows += [(one, self.disk.checksum(len(before) + n, one)) for n, one in enumerate(records)]
+            self.disk.records = rows
 
     def close(self) -> None:
         """Releases the lock."""
-        self.plate.holder = ""
+        self.disk.holder = ""
--- a/copperyard/lab/sites/processes.py
+++ b/copperyard/lab/sites/processes.py
@@ -73,7 +73,7 @@
         elif other == name:
             one.set("peers", "127.0.0.1:0")
         else:
-            one.set("reach", self.relay.ports[name, other])
+            one.set("reach", self.relay.addresses[name, other])
 
     async def start(self, name: str) -> None:
         """Starts a gateway and returns when it is ready.
@@ -131,7 +131,7 @@
         one = self.all[name]
         if one.process is None:
             return
-        self.tap.front_killed(now(), name)
+        self.tap.gateway_killed(now(), name)
         self.signal(name, signal.SIGCONT)
         self.signal(name, signal.SIGKILL)
         one.process.wait()
@@ -147,7 +147,7 @@
         one = self.all[name]
         if one.stopped is not None:
             self.signal(name, signal.SIGCONT)
-            self.tap.front_stood(one.stopped, now(), name)
+            self.tap.gateway_stalled(one.stopped, now(), name)
             one.stopped = None
 
     def log_store_folder(self, name: str) -> Path:
--- a/copperyard/lab/sites/relay.py
+++ b/copperyard/lab/sites/relay.py
@@ -48,9 +48,9 @@
     def __init__(self, network: Network, names: list[str], seed: int) -> None:
         self.network, self.names = network, names
         self.random = random.Random(seed)
-        self.ways = {(a, b): LinkDirection() for a in names for b in names if a != b}
+        self.directions = {(a, b): LinkDirection() for a in names for b in names if a != b}
         self.targets: dict[str, str] = {}
-        self.ports: dict[tuple[str, str], str] = {}  # address at which a dials b
+        self.addresses: dict[tuple[str, str], str] = {}  # address at which a dials b
         self.bytes = 0
         self.resets = 0
         self._changed = trio.Event()
@@ -72,23 +72,23 @@
         for a in ones:
             for b in others:
                 if a != b:
-                    self.ways[a, b].cut = cut
+                    self.directions[a, b].cut = cut
                     if both:
-                        self.ways[b, a].cut = cut
+                        self.directions[b, a].cut = cut
         self.changed()
 
-    def whole(self) -> None:
+    def restore(self) -> None:
         """Removes all faults."""
-        for way in self.ways.values():
+        for way in self.directions.values():
             way.cut, way.delay, way.loss, way.reset = False, (0.0, 0.0), 0.0, 0.0
         self.changed()
 
     async def run(self, task_status: TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Listens until cancelled; signals `task_status` when all ports are open."""
         async with trio.open_nursery() as nursery:
-            for pair in self.ways:
+            for pair in self.directions:
                 listener = await self.network.listen("127.0.0.1:0")
-                self.ports[pair] = listener.address
+                self.addresses[pair] = listener.address
                 nursery.start_soon(self._accept, pair, listener, nursery)
             task_status.started()
             await trio.sleep_forever()
@@ -102,7 +102,7 @@
 
     async def _relay_connection(self, pair: tuple[str, str], near: Stream) -> None:
         far: Stream | None = None
-        there, back = self.ways[pair], self.ways[pair[1], pair[0]]
+        there, back = self.directions[pair], self.directions[pair[1], pair[0]]
         try:
             while there.cut or back.cut:
                 await self._changed.wait()
--- a/copperyard/lab/sites/scale.py
+++ b/copperyard/lab/sites/scale.py
@@ -31,11 +31,10 @@
 from trio import TaskStatus
 
 from ...config import Site, parse
-from ..run import Lag
-from .evening import Outcome, ScenarioRun
-from .faults import Evening
+from ..run import LoopLag
+from .faults import SiteScenario
 from .hollow import plan_digest, resident_kb
-from .layout import Layout, Wish, zone_regions
+from .layout import Layout, ScaleOptions, zone_regions
 from .processes import GatewayProcess, GatewayProcesses
 from .run_statistics import (
     DeathReport,
@@ -51,6 +50,7 @@
     weighted_quantile,
 )
 from .scale_faults import ScaleFault
+from .scenario_run import Outcome, ScenarioRun
 from .site_settings import AddressBlock, with_addresses
 
 MECHANISM = "cells"  # how gateways know each other: all members of their cell, and a few contacts beyond it
@@ -70,7 +70,7 @@
     def set_address(self, one: etree._Element, name: str, other: str) -> None:
         """Sets the relay's address for other real gateways; all else stays as the settings have it."""
         if other in self.all and other != name:
-            one.set("reach", self.relay.ports[name, other])
+            one.set("reach", self.relay.addresses[name, other])
 
     def _spawn(self, one: GatewayProcess) -> IO[bytes]:
         log = self.folder / f"{one.name}.{one.starts}.log"
@@ -214,16 +214,16 @@
     """
 
     figures: dict[str, object] = field(default_factory=dict)
-    faults: list[str] = field(default_factory=list)
+    problems: list[str] = field(default_factory=list)
     rules_broken: list[str] = field(default_factory=list)
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Whether nothing went wrong."""
-        return not self.faults and not self.rules_broken
+        return not self.problems and not self.rules_broken
 
 
-class Scale:
+class ScaleRun:
     """One run under way. `report` receives progress messages, `progress` the seconds that have passed."""
 
     def __init__(
@@ -232,7 +232,7 @@
         text: bytes,
         regions: tuple[str, ...],
         layout: Layout,
-        options: Wish,
+        options: ScaleOptions,
         folder: Path,
         block: AddressBlock,
         report: Callable[[str], None],
@@ -252,7 +252,9 @@
         self.process_of = {name: one for one in self.hollow_processes for name in one.names}
         rate = options.rate if options.rate is not None else len(layout.real) / 4
         self.rate = rate if layout.real else 0.0
-        scenario = Evening("scale", max(1.0, options.seconds - WATCH_S[1] - 1), self.rate, 0.2, WATCH_S, (), 1 << 60)
+        scenario = SiteScenario(
+            "scale", max(1.0, options.seconds - WATCH_S[1] - 1), self.rate, 0.2, WATCH_S, (), 1 << 60
+        )
         # the real gateways, hosts and viewers reuse a scenario run: its arrivals, samples and audit
         self.real_run = ScenarioRun(
             replace(site, gateways=tuple(g for g in site.gateways if g.name in layout.real)),
@@ -272,7 +274,7 @@
         self.problems: list[str] = []
         self.first_plan_s: float | None = None
         self.relayed_bytes = (0, 0.0)
-        self.lag = Lag()
+        self.lag = LoopLag()
         self.running: set[str] = set()
 
     async def play(self) -> Result:
@@ -299,7 +301,7 @@
         settings = self.folder / "hollow.xml"
         settings.write_bytes(self.text)
         assert self.site.common is not None
-        fleet = self.site.common.fleet.hex()
+        fleet = self.site.common.digest.hex()
         self.real_processes.write_settings(self.real_run.fleet.lists.address)
         with trio.fail_after(READY_TIMEOUT_S):
             async with trio.open_nursery() as starting:
@@ -566,9 +568,9 @@
         statistics, options = self.statistics, self.options
         outcome = Outcome()
         if self.layout.real:
-            self.real_run._audit(outcome, self.lag.most)
+            self.real_run._audit(outcome, self.lag.max_s)
         plans = any(statistics.plans.values())
-        self.problems += [text for text in outcome.faults if not (plans and text.startswith("no plan"))]
+        self.problems += [text for text in outcome.problems if not (plans and text.startswith("no plan"))]
         histories = statistics.history_count()
         if histories != 1:
             self.problems.append(f"{histories} histories of plans")
@@ -605,11 +607,11 @@
             if self.layout.real
             else None,
             "lag_ms": {
-                "parent": round(1000 * self.lag.most, 1),
+                "parent": round(1000 * self.lag.max_s, 1),
                 "hollow": round(1000 * lag, 1),
                 "worst": self._worst_lags(),
             },
-            "void": max(self.lag.most, lag) > MAX_LAG_S,
+            "void": max(self.lag.max_s, lag) > MAX_LAG_S,
             "processes": len(self.hollow_processes) + len(self.layout.real),
             "seed": options.seed,
             "for_s": options.seconds,
@@ -765,7 +767,7 @@
     site: Site,
     text: bytes,
     layout: Layout,
-    options: Wish,
+    options: ScaleOptions,
     folder: Path | None,
     report: Callable[[str], None],
     progress: Callable[[float], None],
@@ -778,9 +780,11 @@
     try:
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-            return await Scale(site, text, zone_regions(text), layout, options, folder, block, report, progress).play()
+            return await ScaleRun(
+                site, text, zone_regions(text), layout, options, folder, block, report, progress
+            ).play()
         with tempfile.TemporaryDirectory() as place:
-            return await Scale(
+            return await ScaleRun(
                 site, text, zone_regions(text), layout, options, Path(place), block, report, progress
             ).play()
     finally:
--- a/copperyard/lab/sites/scale_faults.py
+++ b/copperyard/lab/sites/scale_faults.py
@@ -8,9 +8,9 @@
 
 from lxml import etree
 
-from ...config import BadSettings, Mistake, Site
+from ...config import Mistake, SettingsError, Site
 from ...config.document import read_document
-from ...config.units import duration
+from ...config.units import parse_duration
 
 SECOND = 1_000_000_000
 TARGET_WORDS = ("leader", "voter", "gateway", "rack", "zone", "region")
@@ -50,7 +50,7 @@
 def read_scale_faults(
     data: bytes, site: Site, regions: tuple[str, ...], seconds: float, name: str
 ) -> tuple[ScaleFault, ...]:
-    """Reads the faults. BadSettings lists all mistakes with their lines.
+    """Reads the faults. SettingsError lists all mistakes with their lines.
 
     `regions` are the names of the regions by zone, `seconds` the length of the run.
     """
@@ -63,8 +63,8 @@
         def wrong(text: str, line: int = int(one.sourceline or 0)) -> None:
             mistakes.append(Mistake(line, f"Element 'fault': {text}"))
 
-        kind, at = str(one.get("kind")), duration(str(one.get("at"))) / SECOND
-        until = at + duration(str(one.get("for"))) / SECOND
+        kind, at = str(one.get("kind")), parse_duration(str(one.get("at"))) / SECOND
+        until = at + parse_duration(str(one.get("for"))) / SECOND
         who = tuple(str(one.get("who") or "").split())
         if kind == "change":
             wrong("kind 'change': a change of settings is a restart of all today, there is none to be tried")
@@ -83,5 +83,5 @@
             wrong(f"who '{' '.join(who)}' means nothing to 'churn'")
         found.append(ScaleFault(kind, at, until, who, float(str(one.get("share")))))
     if mistakes:
-        raise BadSettings(name, mistakes)
+        raise SettingsError(name, mistakes)
     return tuple(found)
--- a/copperyard/lab/sites/evening.py
+++ b/copperyard/lab/sites/scenario_run.py
@@ -19,11 +19,11 @@
 
 from ...config import Site
 from ...gateway.net import TcpNetwork
-from ..audit import Auditor, Break, redeemed
+from ..audit import Auditor, Violation, redeemed
 from ..fleet import Fleet
-from ..run import Lag, _reckon, lost_worth, service
+from ..run import LoopLag, compute_worth, lost_worth, service
 from ..viewers import Viewer, Visit
-from .faults import LEADER, Evening, Fault
+from .faults import LEADER, Fault, SiteScenario
 from .processes import GatewayProcesses
 from .relay import Relay
 
@@ -39,10 +39,10 @@
     """Result of a run."""
 
     summary: dict[str, object] = field(default_factory=dict)
-    breaks: list[Break] = field(default_factory=list)
+    breaks: list[Violation] = field(default_factory=list)
     visits: list[Visit] = field(default_factory=list)
     homes: list[int] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # texts: what is wrong besides broken rules
+    problems: list[str] = field(default_factory=list)  # texts: what is wrong besides broken rules
     lines: list[tuple[str, dict[str, object]]] = field(default_factory=list)
 
 
@@ -61,7 +61,7 @@
         self,
         site: Site,
         text: bytes,
-        scenario: Evening,
+        scenario: SiteScenario,
         seed: int,
         alone: bool,
         folder: Path,
@@ -82,7 +82,7 @@
     async def play(self) -> Outcome:
         """Runs everything from the start of the processes to the audit."""
         outcome = Outcome()
-        lag = Lag()
+        lag = LoopLag()
         try:
             async with trio.open_nursery() as nursery:
                 await nursery.start(self.relay.run)
@@ -98,11 +98,11 @@
                         tasks.start_soon(self._inject, fault, random.Random(self.seed * 31 + n))
                     await self._arrivals(tasks)
                 await trio.sleep(0.5)
-                outcome.faults += [f"{name} ended by itself" for name in self.processes.crashed()]
+                outcome.problems += [f"{name} ended by itself" for name in self.processes.crashed()]
                 nursery.cancel_scope.cancel()
         finally:
             self.processes.end()
-        self._audit(outcome, lag.most)
+        self._audit(outcome, lag.max_s)
         return outcome
 
     async def _wait_for_plans(self) -> None:
@@ -183,9 +183,9 @@
 
     async def _inject(self, fault: Fault, rng: random.Random) -> None:
         await trio.sleep_until(self.begin + fault.at)
-        who = [self._leader() if name == LEADER else name for name in fault.who]
+        who = [self._leader() if name == LEADER else name for name in fault.targets]
         others = [self._leader() if name == LEADER else name for name in fault.others if name not in who]
-        self.report(f"{fault.at:.1f} s {fault.kind} {' '.join(who) if fault.who else fault.zones}")
+        self.report(f"{fault.at:.1f} s {fault.kind} {' '.join(who) if fault.targets else fault.zones}")
         self.processes.copy_log_stores()
         until = self.begin + fault.until
         if fault.kind in ("cut", "cut-one-way", "flap"):
@@ -200,13 +200,13 @@
         elif fault.kind in ("slow", "lossy", "resets"):
             pairs = [(a, b) for a in who for b in others if a != b]
             for a, b in pairs + [(b, a) for a, b in pairs]:
-                way = self.relay.ways[a, b]
-                way.delay = (fault.hard * 0.95, fault.hard * 1.05) if fault.kind == "slow" else way.delay
-                way.loss = fault.hard if fault.kind == "lossy" else way.loss
-                way.reset = fault.hard if fault.kind == "resets" else way.reset
+                way = self.relay.directions[a, b]
+                way.delay = (fault.severity * 0.95, fault.severity * 1.05) if fault.kind == "slow" else way.delay
+                way.loss = fault.severity if fault.kind == "lossy" else way.loss
+                way.reset = fault.severity if fault.kind == "resets" else way.reset
             await trio.sleep_until(until)
             for a, b in pairs + [(b, a) for a, b in pairs]:
-                way = self.relay.ways[a, b]
+                way = self.relay.directions[a, b]
                 way.delay, way.loss, way.reset = (0.0, 0.0), 0.0, 0.0
         elif fault.kind in ("hosts-lost", "hosts-ill"):
             await self._fail_hosts(fault, until, rng)
@@ -229,7 +229,7 @@
     async def _fail_hosts(self, fault: Fault, until: float, rng: random.Random) -> None:
         hosts = [h for h in self.fleet.hosts if h.zone in fault.zones]
         if fault.kind == "hosts-ill":
-            hosts = rng.sample(hosts, max(1, round(len(hosts) * min(1.0, fault.hard))))
+            hosts = rng.sample(hosts, max(1, round(len(hosts) * min(1.0, fault.severity))))
             for host in hosts:
                 host.faults.errors = 0.8
             await trio.sleep_until(until)
@@ -250,7 +250,7 @@
         outcome.visits, outcome.homes = self.visits, self.homes
         auditor = Auditor(site.rules, self.fleet.tap, AUDIT_SLACK, AUDIT_LATE, site.state is not None)
         outcome.breaks = auditor.check()
-        _reckon(site, self.fleet, self.visits)
+        compute_worth(site, self.fleet, self.visits)
         plans: dict[int, set[tuple[tuple[str, str], ...]]] = defaultdict(set)
         for _, line in outcome.lines:
             if line.get("event") == "plan":
@@ -291,17 +291,17 @@
             "lag_ms": round(lag * 1000, 1),
         }
         if histories > 1:
-            outcome.faults.append(f"{histories} histories of plans")
+            outcome.problems.append(f"{histories} histories of plans")
         if over:
-            outcome.faults.append(f"{over} samples of hosts over a cap")
+            outcome.problems.append(f"{over} samples of hosts over a cap")
         if events["defect"] or events["not a line"]:
-            outcome.faults.append("gateways logged defects")
+            outcome.problems.append("gateways logged defects")
         if not self.alone and not plans:
-            outcome.faults.append("no plan was ever agreed on")
+            outcome.problems.append("no plan was ever agreed on")
         if max(plans, default=0) > self.scenario.epochs:
-            outcome.faults.append(f"{max(plans)} epochs, {self.scenario.epochs} at most were expected")
+            outcome.problems.append(f"{max(plans)} epochs, {self.scenario.epochs} at most were expected")
         if outcome.summary["redeemed_twice"]:
-            outcome.faults.append("a code was redeemed twice")
+            outcome.problems.append("a code was redeemed twice")
 
     def _crossing_share(self) -> float:
         """The share of the asked rates that crossed zones."""
@@ -336,10 +336,10 @@
         return over
 
 
-async def run_evening(
+async def run_scenario(
     site: Site,
     text: bytes,
-    scenario: Evening,
+    scenario: SiteScenario,
     seed: int,
     alone: bool,
     folder: Path | None,
--- a/copperyard/lab/sites/events.py
+++ b/copperyard/lab/sites/simulated_network.py
@@ -37,11 +37,11 @@
 
 
 @dataclass(slots=True)
-class Manner:
+class LinkConditions:
     """Behaviour of a link: probabilities of loss and of a second delivery, and the delay in ns, from and to."""
 
     loss: float = 0.0
-    twice: float = 0.0
+    duplication: float = 0.0
     delay: tuple[int, int] = (1 * MS, 5 * MS)
 
 
@@ -54,26 +54,26 @@
     wake_at: int = -1
 
 
-class Events:
+class SimulatedNetwork:
     """The network. All randomness comes from the seed."""
 
-    def __init__(self, seed: int, manner: Manner | None = None) -> None:
+    def __init__(self, seed: int, manner: LinkConditions | None = None) -> None:
         self.random = random.Random(seed)
         self.now = 0
-        self.manner = manner if manner is not None else Manner()
-        self.manners: dict[tuple[str, str], Manner] = {}
+        self.default_conditions = manner if manner is not None else LinkConditions()
+        self.link_conditions: dict[tuple[str, str], LinkConditions] = {}
         # links from any of the first to any of the second are cut
         self.cuts: list[tuple[frozenset[str], frozenset[str]]] = []
         self.nodes: dict[str, _Node] = {}
         self.sent = self.lost = 0
-        self.sizes: Callable[[Any], int] | None = None
+        self.message_size: Callable[[Any], int] | None = None
         self.bytes = 0
-        self.watch: Callable[[int], None] | None = None  # called after every event
+        self.on_event: Callable[[int], None] | None = None  # called after every event
         # callbacks with from, to, message; the first one also for messages that get lost
-        self.sending: Callable[[str, str, Any], None] | None = None
-        self.arriving: Callable[[str, str, Any], None] | None = None
-        self.joined: Callable[[str, CoreLike], None] | None = None  # a node starts; called before it sends
-        self.gone: Callable[[str, CoreLike], None] | None = None  # a node was killed or replaced
+        self.on_send: Callable[[str, str, Any], None] | None = None
+        self.on_deliver: Callable[[str, str, Any], None] | None = None
+        self.on_start: Callable[[str, CoreLike], None] | None = None  # a node starts; called before it sends
+        self.on_stop: Callable[[str, CoreLike], None] | None = None  # a node was killed or replaced
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
@@ -91,9 +91,9 @@
         """Starts or restarts a node. Its clock is `ahead` ns and runs at `speed`."""
         self.kill(name)
         self.nodes[name] = _Node(core, (ahead, speed))
-        if self.joined is not None:
-            self.joined(name, core)
-        self._turn(name)
+        if self.on_start is not None:
+            self.on_start(name, core)
+        self._flush(name)
 
     def time_of(self, name: str) -> int:
         """The time that a node's clock shows."""
@@ -103,16 +103,16 @@
     def kill(self, name: str) -> None:
         """Removes a node."""
         node = self.nodes.pop(name, None)
-        if node is not None and self.gone is not None:
-            self.gone(name, node.core)
+        if node is not None and self.on_stop is not None:
+            self.on_stop(name, node.core)
 
-    def stop(self, name: str, time: int) -> None:
+    def pause(self, name: str, time: int) -> None:
         """Pauses a node for `time` ns; messages that arrive meanwhile wait."""
         if name in self.nodes:
             self.nodes[name].paused_until = self.now + time
             self.at(self.now + time, lambda: self._resume(name))
 
-    def part(self, one: list[str], other: list[str], both: bool = True) -> None:
+    def partition(self, one: list[str], other: list[str], both: bool = True) -> None:
         """Cuts every link from `one` to `other`, and back if `both`."""
         ones, others = frozenset(one), frozenset(other)
         self.cuts.append((ones, others))
@@ -123,7 +123,7 @@
         """Removes all cuts."""
         self.cuts.clear()
 
-    def cut(self, sender: str, to: str) -> bool:
+    def is_cut(self, sender: str, to: str) -> bool:
         """Whether the link is cut in that direction."""
         return any(sender in ones and to in others for ones, others in self.cuts)
 
@@ -134,8 +134,8 @@
         while self._heap and self._heap[0][0] <= until:
             self.now, _, do, args = heapq.heappop(self._heap)
             do(*args)
-            if self.watch is not None:
-                self.watch(self.now)
+            if self.on_event is not None:
+                self.on_event(self.now)
         self.now = until
 
     def _resume(self, name: str) -> None:
@@ -150,9 +150,9 @@
         waiting, node.inbox = node.inbox, []
         for sender, message in waiting:
             node.core.hear(now, sender, message)
-        self._turn(name)
+        self._flush(name)
 
-    def _turn(self, name: str) -> None:
+    def _flush(self, name: str) -> None:
         """Sends what a node has to say, and schedules its next timer."""
         node = self.nodes.get(name)
         if node is None:
@@ -170,29 +170,29 @@
             return
         node.wake_at = -1
         node.core.wake(self.time_of(name))
-        self._turn(name)
+        self._flush(name)
 
     def _send(self, sender: str, to: str, message: Any) -> None:
-        manner = self.manners.get((sender, to), self.manner)
+        manner = self.link_conditions.get((sender, to), self.default_conditions)
         self.sent += 1
-        if self.sizes is not None:
-            self.bytes += self.sizes(message)
-        if self.sending is not None:
-            self.sending(sender, to, message)
-        if self.cuts and self.cut(sender, to) or self.random.random() < manner.loss:
+        if self.message_size is not None:
+            self.bytes += self.message_size(message)
+        if self.on_send is not None:
+            self.on_send(sender, to, message)
+        if self.cuts and self.is_cut(sender, to) or self.random.random() < manner.loss:
             self.lost += 1
             return
-        for _ in range(2 if self.random.random() < manner.twice else 1):
+        for _ in range(2 if self.random.random() < manner.duplication else 1):
             self._schedule(self.now + self.random.randint(*manner.delay), self._deliver, sender, to, message)
 
     def _deliver(self, sender: str, to: str, message: Any) -> None:
         node = self.nodes.get(to)
-        if node is None or self.cuts and self.cut(sender, to):
+        if node is None or self.cuts and self.is_cut(sender, to):
             return
-        if self.arriving is not None:
-            self.arriving(sender, to, message)
+        if self.on_deliver is not None:
+            self.on_deliver(sender, to, message)
         if self.now < node.paused_until:
             node.inbox.append((sender, message))
             return
         node.core.hear(self.time_of(to), sender, message)
-        self._turn(to)
+        self._flush(to)
--- a/copperyard/lab/sites/simulated.py
+++ b/copperyard/lab/sites/simulated_site.py
@@ -33,41 +33,41 @@
 from ...membership.gateways.messages import MemberState
 from ...state.agreement.messages import Record
 from ...state.agreement.replica import PersistentState, Replica
-from .events import Events, Manner
+from .simulated_network import LinkConditions, SimulatedNetwork
 
 MS, SECOND = 1_000_000, 1_000_000_000
-RATE = 100.0  # kB/s of a session
-CHECK = 50 * MS  # ns between checks; a check also follows each event that raised a front's cap
+SESSION_KB = 100.0  # kB/s of a session
+CHECK_INTERVAL = 50 * MS  # ns between checks; a check also follows each event that raised a front's cap
 # caps are summed as integers in units of 2**-20 kB/s, so that adding and removing one leaves no rounding error
 CAP_UNITS = 1 << 20
 
 
-class Broken(AssertionError):
+class InvariantError(AssertionError):
     """An invariant does not hold."""
 
 
 @dataclass(slots=True)
-class Tally:
+class GatewayCost:
     """What one gateway cost over all its starts.
 
     `cpu_ns` is the processor time of this thread in ns (`thread_time_ns`; a call itself takes about 0.2 us). Processor
     time and bytes are counted only while `measured` is set; messages and the sets of peers always.
     """
 
-    weighed: bool = False
-    spent: int = 0
+    measured: bool = False
+    cpu_ns: int = 0
     sent: int = 0
-    got: int = 0
+    received: int = 0
     sent_bytes: int = 0
-    got_bytes: int = 0
-    peers: set[str] = field(default_factory=set)
-    callers: set[str] = field(default_factory=set)
+    received_bytes: int = 0
+    recipients: set[str] = field(default_factory=set)
+    senders: set[str] = field(default_factory=set)
 
 
-class Front:
+class SimulatedFront:
     """One gateway from a start to its end. Its stored records outlive it."""
 
-    def __init__(self, site: Site, name: str, store: list[Record], start: int) -> None:
+    def __init__(self, site: SimulatedSite, name: str, store: list[Record], start: int) -> None:
         self.site, self.name, self.store = site, name, store
         now = site.time(name)
         self.zone = site.roster[name]
@@ -83,9 +83,9 @@
             now,
             start,
         )
-        self.ways: ZoneAllocation | None = None
+        self.allocation: ZoneAllocation | None = None
         self.notes: deque[tuple[int, str, dict[str, str | int]]] = deque(maxlen=site.notes)
-        self.cost = site.tallies.get(name) if site.tallies is not None else None
+        self.cost = site.costs.get(name) if site.costs is not None else None
 
     # ---- the part of a Controller that the gauge reads
 
@@ -103,29 +103,29 @@
 
     def hear(self, now: int, sender: str, message: Any) -> None:
         """Handles a message."""
-        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
+        begun = thread_time_ns() if self.cost is not None and self.cost.measured else 0
         self.core.hear(now, sender, message)
         if self.cost is not None and begun:
-            self.cost.spent += thread_time_ns() - begun
+            self.cost.cpu_ns += thread_time_ns() - begun
 
     def wake(self, now: int) -> None:
         """Handles timers that are due."""
-        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
+        begun = thread_time_ns() if self.cost is not None and self.cost.measured else 0
         self.core.wake(now)
         if self.cost is not None and begun:
-            self.cost.spent += thread_time_ns() - begun
+            self.cost.cpu_ns += thread_time_ns() - begun
 
     def next_wake(self) -> int:
         """The time of the next timer, ns."""
-        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
+        begun = thread_time_ns() if self.cost is not None and self.cost.measured else 0
         found = self.core.next_wake()
         if self.cost is not None and begun:
-            self.cost.spent += thread_time_ns() - begun
+            self.cost.cpu_ns += thread_time_ns() - begun
         return found
 
     def collect(self, now: int) -> list[tuple[str, Any]]:
         """Performs the pending actions; returns (receiver, message) pairs to send."""
-        begun = thread_time_ns() if self.cost is not None and self.cost.weighed else 0
+        begun = thread_time_ns() if self.cost is not None and self.cost.measured else 0
         out: list[tuple[str, Any]] = []
         for action in self.core.take_actions():
             self._perform(action, out)
@@ -142,31 +142,31 @@
                 else:
                     self._perform(step, out)
         if self.cost is not None and begun:
-            self.cost.spent += thread_time_ns() - begun
+            self.cost.cpu_ns += thread_time_ns() - begun
         return out
 
     def _perform(self, action: Immediate | Durable, out: list[tuple[str, Any]]) -> None:
         if isinstance(action, Send):
             out.append((action.to, action.message))
         elif isinstance(action, ApplyZoneAllocation):
-            self.site.allow(self, action.allocation)
+            self.site.set_allocation(self, action.allocation)
         else:
             assert isinstance(action, LogLine)
             if self.site.notes:
                 self.notes.append((self.site.net.now, action.event, dict(action.fields)))
             if action.event == "plan":
                 assert self.core.plan is not None
-                self.site.planned(self.core.plan)
-            if self.site.noted is not None:
-                self.site.noted(self, action)
+                self.site.record_plan(self.core.plan)
+            if self.site.on_note is not None:
+                self.site.on_note(self, action)
 
 
-def spread(voters: int, zones: int) -> tuple[str, ...]:
+def spread_voters(voters: int, zones: int) -> tuple[str, ...]:
     """Names of so many gateways, assigned to all zones in turn, as a SimulatedSite names them."""
     return tuple(f"g{n % zones}-{n // zones}" for n in range(voters))
 
 
-class Site:
+class SimulatedSite:
     """A site of `zones` zones with `each` gateways, or with `sizes`.
 
     Unless `voters` are given, the first gateways of three zones vote. `room` and `asked` are the capacity of each
@@ -180,7 +180,7 @@
         zones: int = 5,
         each: int = 2,
         regions: list[int] | None = None,
-        manner: Manner | None = None,
+        manner: LinkConditions | None = None,
         *,
         sizes: list[int] | None = None,
         voters: tuple[str, ...] | None = None,
@@ -198,7 +198,7 @@
         prices = tuple(
             tuple(0.0 if h == z else 1.0 if near[h] == near[z] else 3.0 for z in range(zones)) for h in range(zones)
         )
-        self.terms = Terms(prices, (1.0,), (RATE,), tuple(self.sizes), **terms)
+        self.terms = Terms(prices, (1.0,), (SESSION_KB,), tuple(self.sizes), **terms)
         self.roster = {f"g{z}-{n}": z for z in range(zones) for n in range(self.sizes[z])}
         self.voters = voters or (("g0-0", "g2-0", "g4-0") if zones > 4 else ("g0-0", "g1-0", "g2-0"))
         self.cells = CellMap(self.roster, zones)
@@ -207,9 +207,9 @@
         self.rooms = [room] * zones
         self.demand = [asked] * zones
         self.notes = notes
-        self.tallies = {name: Tally() for name in self.roster} if measured else None
-        self.noted: Callable[[Front, LogLine], None] | None = None
-        self.net = Events(seed, manner or Manner(delay=(1 * MS, 30 * MS)))
+        self.costs = {name: GatewayCost() for name in self.roster} if measured else None
+        self.on_note: Callable[[SimulatedFront, LogLine], None] | None = None
+        self.net = SimulatedNetwork(seed, manner or LinkConditions(delay=(1 * MS, 30 * MS)))
         self.stores: dict[str, list[Record]] = {name: [] for name in self.roster}
         self.starts = 0
         self.plans: dict[int, Plan] = {}
@@ -222,7 +222,7 @@
         self._checked = 0
         self._hosts: tuple[tuple[float, ...], dict[int, Any]] = ((), {})
         self._sessions: dict[int, dict[int, Any]] = {}
-        self.net.watch, self.net.joined, self.net.gone = self.check, self._front_started, self._front_stopped
+        self.net.on_event, self.net.on_start, self.net.on_stop = self.check, self._front_started, self._front_stopped
         for name in self.roster if begin else ():
             self.start(name)
 
@@ -242,23 +242,23 @@
     def start(self, name: str, **clock: Any) -> None:
         """Starts or restarts a gateway. `clock` is passed to the network: offset and speed."""
         self.starts += 1
-        self.net.add(name, Front(self, name, self.stores[name], 1000 + self.starts), **clock)
+        self.net.add(name, SimulatedFront(self, name, self.stores[name], 1000 + self.starts), **clock)
 
     def living(self, zone: int) -> int:
         """Number of running gateways of a zone, at least 1."""
         return max(1, self._living[zone])
 
-    def front(self, name: str) -> Front:
+    def front(self, name: str) -> SimulatedFront:
         """A running gateway by name."""
         found = self.net.nodes[name].core
-        assert isinstance(found, Front)
+        assert isinstance(found, SimulatedFront)
         return found
 
-    def fronts(self) -> Iterable[Front]:
+    def fronts(self) -> Iterable[SimulatedFront]:
         """All running gateways."""
         return (self.front(name) for name in self.net.nodes)
 
-    def of(self, *zones: int) -> list[str]:
+    def gateways_in(self, *zones: int) -> list[str]:
         """Names of the gateways of these zones."""
         return [name for name, zone in self.roster.items() if zone in zones]
 
@@ -276,9 +276,9 @@
                     return name
         return None
 
-    def lose(self, zone: int) -> None:
+    def lose_zone(self, zone: int) -> None:
         """Kills all gateways of a zone and removes its hosts; its viewers ask other zones."""
-        for name in self.of(zone):
+        for name in self.gateways_in(zone):
             self.net.kill(name)
         self.rooms[zone] = 0.0
 
@@ -305,7 +305,7 @@
 
     def sessions(self, zone: int) -> Mapping[int, Any]:
         """The sessions of one gateway of a zone: the demand of the zone, split evenly over its running gateways."""
-        count = round(self.demand[zone] / RATE / self.living(zone))
+        count = round(self.demand[zone] / SESSION_KB / self.living(zone))
         if count not in self._sessions:
             one = SimpleNamespace(request=SimpleNamespace(cls=0))
             self._sessions[count] = dict.fromkeys(range(count), one)
@@ -313,7 +313,7 @@
 
     # ---- invariants
 
-    def planned(self, plan: Plan) -> None:
+    def record_plan(self, plan: Plan) -> None:
         """Records a plan that a front adopted. InvariantError if another plan has the same epoch."""
         known = self.plans.setdefault(plan.epoch, plan)
         if known is plan:
@@ -325,7 +325,7 @@
                 )
             )
         elif known != plan:
-            raise Broken(f"two plans of epoch {plan.epoch}")
+            raise InvariantError(f"two plans of epoch {plan.epoch}")
 
     def _front_started(self, name: str, core: Any) -> None:
         self._living[self.roster[name]] += 1
@@ -334,21 +334,21 @@
         self._living[self.roster[name]] -= 1
         self._add_caps(core, -1)
 
-    def allow(self, front: Front, ways: ZoneAllocation) -> None:
+    def set_allocation(self, front: SimulatedFront, ways: ZoneAllocation) -> None:
         """Sets what a front may do from now on."""
-        before = front.ways
+        before = front.allocation
         self._add_caps(front, -1)
-        front.ways = ways
+        front.allocation = ways
         self._add_caps(front, 1)
         if before is None or any((cap or 0.0) > (had or 0.0) for cap, had in zip(ways.caps, before.caps, strict=True)):
             self._cap_raised = True
 
-    def _add_caps(self, front: Front, sign: int) -> None:
-        for z, cap in enumerate(front.ways.caps if front.ways is not None else ()):
+    def _add_caps(self, front: SimulatedFront, sign: int) -> None:
+        for z, cap in enumerate(front.allocation.caps if front.allocation is not None else ()):
             if cap and z != front.zone:
                 self._allowed[z] += sign * round(cap * CAP_UNITS)
 
-    def allowed(self, zone: int) -> float:
+    def allowed_kb(self, zone: int) -> float:
         """What all running fronts of other zones together may ask of a zone's hosts, kB/s."""
         return self._allowed[zone] / CAP_UNITS
 
@@ -357,7 +357,7 @@
 
         Runs after an event that raised a front's cap, and every CHECK_INTERVAL, because what was free expires.
         """
-        if not self._free or not self._cap_raised and now - self._checked < CHECK:
+        if not self._free or not self._cap_raised and now - self._checked < CHECK_INTERVAL:
             return
         self._checked, self._cap_raised = now, False
         # what any plan found free there, for all plans that a front may still follow and the one before them
@@ -366,8 +366,8 @@
             self._free.popleft()
         for z in range(self.zones):
             free = max(one[z] for _, one in self._free)
-            if self.allowed(z) > free + 1.0:
-                raise Broken(f"{self.allowed(z):.0f} kB/s of zone {z} allowed, {free:.0f} were free")
+            if self.allowed_kb(z) > free + 1.0:
+                raise InvariantError(f"{self.allowed_kb(z):.0f} kB/s of zone {z} allowed, {free:.0f} were free")
 
     def strengths(self, names: Iterable[str]) -> list[float]:
         """The strength of the given gateways that run."""
@@ -381,7 +381,7 @@
 class MembershipNode:
     """One gateway's membership protocol alone."""
 
-    def __init__(self, world: World, name: str, incarnation: int) -> None:
+    def __init__(self, world: SimulatedMembership, name: str, incarnation: int) -> None:
         self.fleet, self.name = world, name
         self.core = Membership(
             name,
@@ -423,16 +423,16 @@
     return sum(ord(c) * 31**n for n, c in enumerate(name))
 
 
-class World:
+class SimulatedMembership:
     """The membership protocol of a fleet alone.
 
     `changes` are the state changes seen: time in ns, observer, member, new state.
     """
 
-    def __init__(self, seed: int = 1, gateways: int = 12, zones: int = 4, manner: Manner | None = None) -> None:
+    def __init__(self, seed: int = 1, gateways: int = 12, zones: int = 4, manner: LinkConditions | None = None) -> None:
         self.seed, self.zones = seed, zones
         self.roster = {f"g{n}": n % zones for n in range(gateways)}
-        self.net = Events(seed, manner or Manner(delay=(1 * MS, 20 * MS)))
+        self.net = SimulatedNetwork(seed, manner or LinkConditions(delay=(1 * MS, 20 * MS)))
         self.changes: list[tuple[int, str, str, MemberState]] = []
         for name in self.roster:
             self.start(name, 1000)
@@ -447,7 +447,7 @@
         assert isinstance(found, MembershipNode)
         return found.core
 
-    def of(self, zone: int) -> list[str]:
+    def gateways_in(self, zone: int) -> list[str]:
         """Names of the gateways of a zone."""
         return [name for name, z in self.roster.items() if z == zone]
 
--- a/copperyard/lab/sites/site_settings.py
+++ b/copperyard/lab/sites/site_settings.py
@@ -13,7 +13,7 @@
 
 from lxml import etree
 
-from ...config import BadSettings, Mistake
+from ...config import Mistake, SettingsError
 
 ZONES = (("z1", "north"), ("z2", "north"), ("z3", "north"), ("z4", "south"), ("z5", "south"))
 HOSTS_PER_ZONE = 4  # stand-in hosts in each zone
@@ -138,7 +138,7 @@
 def add_gateways(text: bytes, name: str, gateways: int) -> bytes:
     """The same settings with so many gateways; each missing one is added to the zone with the fewest.
 
-    BadSettings if the settings list more than that, or only a part of a site.
+    SettingsError if the settings list more than that, or only a part of a site.
     """
     root = etree.fromstring(text)
     gateway_list = root.find("gateways")
@@ -146,7 +146,7 @@
     listed = list(gateway_list.iterfind("gateway"))
     fronts = int(gateway_list.get("fronts", len(listed)))
     if fronts != len(listed):
-        raise BadSettings(
+        raise SettingsError(
             name,
             [
                 Mistake(
@@ -157,7 +157,7 @@
             ],
         )
     if gateways < len(listed):
-        raise BadSettings(
+        raise SettingsError(
             name,
             [
                 Mistake(
--- a/copperyard/lab/viewers.py
+++ b/copperyard/lab/viewers.py
@@ -10,11 +10,11 @@
 
 from ..gateway.net import CONNECTION_ERRORS, Network, Stream, now
 from ..protocol import sdp
-from ..protocol.rtp import Bye, parse, parse_compound
-from ..protocol.rtsp import Connection, Frame, Limits, Malformed, Reply, Response
+from ..protocol.rtp import Bye, parse_compound, parse_header
+from ..protocol.rtsp import Connection, Frame, Limits, MalformedInput, MatchedResponse, Response
 from ..protocol.rtsp.headers import parse_rtp_info, parse_session
 from ..protocol.rtsp.messages import Headers
-from .audit import Side, Tap
+from .audit import Tap, TappedConnection
 
 SECOND = 1_000_000_000
 RTSP_LIMITS = Limits(8192, 64, 65536, 65535, 64)
@@ -45,15 +45,15 @@
     faults: list[str] = field(default_factory=list)
 
 
-class Broken(Exception):
+class ConnectionBrokenError(Exception):
     """The connection ended, or the data on it is malformed."""
 
 
 class Client:
     """A tapped RTSP connection to a gateway."""
 
-    def __init__(self, stream: Stream, side: Side) -> None:
-        self.stream, self.side = stream, side
+    def __init__(self, stream: Stream, side: TappedConnection) -> None:
+        self.stream, self.tapped = stream, side
         self.parser = Connection(RTSP_LIMITS)
         self.replies: dict[int, Response] = {}
         self.frames: list[Frame] = []
@@ -62,12 +62,12 @@
         """Write all bytes."""
         while data:
             sent = await self.stream.send_some(data)
-            self.side.sent(now(), data[:sent])
+            self.tapped.sent(now(), data[:sent])
             data = data[sent:]
 
     async def send_request(self, method: str, url: str, headers: Headers = ()) -> int:
         """Send a request and return its CSeq."""
-        cseq, data = self.parser.ask(method, url, headers)
+        cseq, data = self.parser.make_request(method, url, headers)
         await self.write(data)
         return cseq
 
@@ -77,16 +77,16 @@
         Raise an error if the connection ended or a message is malformed.
         """
         data = await self.stream.receive_some(65536)
-        self.side.got(now(), data)
+        self.tapped.received(now(), data)
         if not data:
-            raise Broken("closed by the gateway")
+            raise ConnectionBrokenError("closed by the gateway")
         for event in self.parser.receive(data):
             if isinstance(event, Frame):
                 self.frames.append(event)
-            elif isinstance(event, Reply):
+            elif isinstance(event, MatchedResponse):
                 self.replies[event.cseq] = event.response
-            elif isinstance(event, Malformed):
-                raise Broken(event.text)
+            elif isinstance(event, MalformedInput):
+                raise ConnectionBrokenError(event.text)
 
     async def wait_response(self, cseq: int) -> Response:
         """Read until the response to a request arrives."""
@@ -100,7 +100,7 @@
 
     def close(self) -> None:
         """Close the connection and record that this end closed it."""
-        self.side.ended(now(), True)
+        self.tapped.ended(now(), True)
         self.stream.close()
 
 
@@ -114,7 +114,7 @@
 
     def check(self, payload: bytes) -> str:
         """Check the next packet; describe the fault, or return "" if there is none."""
-        head = parse(payload)
+        head = parse_header(payload)
         if head is None:
             return "not an RTP packet"
         text = ""
@@ -175,9 +175,9 @@
                 return await self._play_title(client, watch)
             self.visit.ended = "gave up"
             return None
-        except (Broken, *CONNECTION_ERRORS) as error:
-            if not client.side.ended_at:
-                client.side.ended(now(), bool(getattr(client.stream, "broken_by_network", False)))
+        except (ConnectionBrokenError, *CONNECTION_ERRORS) as error:
+            if not client.tapped.ended_at:
+                client.tapped.ended(now(), bool(getattr(client.stream, "broken_by_network", False)))
             self.visit.ended = f"broken: {error}"
             return None if self.visit.code and self.visit.statuses[-1:] in ([502], [504]) else 1.0
         finally:
@@ -220,7 +220,7 @@
             broken: Exception | None = None
             try:
                 answer = await client.wait_response(cseq)
-            except (Broken, *CONNECTION_ERRORS) as error:
+            except (ConnectionBrokenError, *CONNECTION_ERRORS) as error:
                 broken = error
             nursery.cancel_scope.cancel()
         if broken is not None:
@@ -258,8 +258,8 @@
         if second is not None:
             try:
                 await self._resend_code(second, url)
-            except (Broken, *CONNECTION_ERRORS):
-                second.side.ended(now(), bool(getattr(second.stream, "broken_by_network", False)))
+            except (ConnectionBrokenError, *CONNECTION_ERRORS):
+                second.tapped.ended(now(), bool(getattr(second.stream, "broken_by_network", False)))
             finally:
                 second.close()
 
--- a/copperyard/lab/world.py
+++ b/copperyard/lab/world.py
@@ -15,12 +15,12 @@
 from ..config import Site, parse
 from ..protocol.rtsp import Request
 from . import virtual
-from .audit import Break, Tap
+from .audit import Tap, Violation
+from .faults import DEFAULT_STRENGTH, FAULT_ACTIONS, SHARE_KINDS, Fault, Whom
 from .fleet import Fleet, GatewayFactory
 from .memnet import Manners, MemoryNetwork
 from .rehearsal import Crowd, Load, Rehearsal
 from .run import MS, Result, run_rehearsal
-from .strikes import DEFAULT_STRENGTH, FAULT_ACTIONS, SHARE_KINDS, Fault, Whom
 
 DISK_FAULTS = ("disk-pause", "disk-error", "power-cut")
 TRACKS = (
@@ -199,7 +199,7 @@
             ("session requests", core.session_table.requests),
             ("sessions", core.rtsp_server.sessions),
             ("viewer connections", core.rtsp_server.connections),
-            ("host connections", gateway._links),
+            ("host connections", gateway._attempt_tasks),
             ("module sessions", module.sessions),
             ("module holds", module.held),
             ("seats", module.seats),
@@ -218,7 +218,7 @@
     return found
 
 
-def explain(tap: Tap, violation: Break, most: int = 14) -> list[str]:
+def explain(tap: Tap, violation: Violation, most: int = 14) -> list[str]:
     """Return the last `most` messages of a front on all its connections up to a violation, in order of time."""
     label = violation.front
     rows = []
@@ -251,13 +251,13 @@
     result = run_scenario(scenario)
     return {
         "seed": seed,
-        "breaks": [f"rule {b.rule} at {b.time / 1e9:.4f} s by {b.front}: {b.text}" for b in result.breaks[:3]],
-        "left": result.left[:4],
+        "breaks": [f"rule {b.rule} at {b.time / 1e9:.4f} s by {b.front}: {b.text}" for b in result.violations[:3]],
+        "left": result.leftovers[:4],
         "faults": [f for v in result.visits for f in v.faults][:3],
         "requests": len(result.visits),
         "attempts": len(result.attempts),
         "trace": result.summary["trace"],
-        "kinds": sorted({s.kind for s in scenario.rehearsal.strikes}),
+        "kinds": sorted({s.kind for s in scenario.rehearsal.faults}),
     }
 
 
--- a/copperyard/protocol/node/viewer.py
+++ b/copperyard/protocol/node/viewer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..rtsp import Request, Response
-from ..rtsp.messages import BadHeader, Headers
+from ..rtsp.messages import HeaderError, Headers
 
 MS = 1_000_000
 _TITLE = re.compile(r"rtsp://media/([0-9a-fA-F]{16})\Z")
@@ -46,15 +46,15 @@
 
 
 def parse_setup(request: Request) -> SetupRequest:
-    """Parse a SETUP; raises BadHeader naming the invalid field."""
+    """Parse a SETUP; raises HeaderError naming the invalid field."""
     title = _TITLE.match(request.uri)
     if title is None:
-        raise BadHeader(400, "the URI is not rtsp://media/ and a title of 16 hex digits")
+        raise HeaderError(400, "the URI is not rtsp://media/ and a title of 16 hex digits")
     session = session_of(request)
     if session is None:
-        raise BadHeader(400, "Session is not 16 hex digits")
+        raise HeaderError(400, "Session is not 16 hex digits")
     if len(request.body) > MAX_BODY_BYTES:
-        raise BadHeader(413, f"the description exceeds {MAX_BODY_BYTES} bytes")
+        raise HeaderError(413, f"the description exceeds {MAX_BODY_BYTES} bytes")
     facts = _parse_facts(request.header("X-Facts") or "")
     guess = request.header("X-Guess")
     hint = int(_parse_number(guess, "X-Guess", MAX_GUESS_MS) * MS) if guess is not None else None
@@ -83,13 +83,13 @@
         return None
     found = _CAUSE.match(text.strip())
     if found is None or int(found[1]) > 255:
-        raise BadHeader(400, "Reason is not cause=N")
+        raise HeaderError(400, "Reason is not cause=N")
     return int(found[1])
 
 
 def _class_name(text: str | None) -> str:
     if not text:
-        raise BadHeader(400, "Subject is missing")
+        raise HeaderError(400, "Subject is missing")
     return text
 
 
@@ -104,16 +104,16 @@
 
 def _parse_number(text: str | None, name: str, maximum: float) -> float:
     if text is None:
-        raise BadHeader(400, f"{name} is missing")
+        raise HeaderError(400, f"{name} is missing")
     if not _NUMBER.match(text) or not math.isfinite(float(text)) or float(text) > maximum:
-        raise BadHeader(400, f"{name} is not a number from 0 to {maximum:.0f}: {text[:40]!r}")
+        raise HeaderError(400, f"{name} is not a number from 0 to {maximum:.0f}: {text[:40]!r}")
     return float(text)
 
 
 def _fact_count(facts: dict[str, str], name: str) -> int:
     text = facts.get(name, "")
     if not _NUMBER.match(text) or float(text) != int(float(text)) or float(text) > 1e6:
-        raise BadHeader(400, f"X-Facts: {name} is not a whole number")
+        raise HeaderError(400, f"X-Facts: {name} is not a whole number")
     return int(float(text))
 
 
--- a/copperyard/protocol/rtp/rtcp.py
+++ b/copperyard/protocol/rtp/rtcp.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Block:
+class ReportBlock:
     """A reception report block (section 6.4.1).
 
     Its fields are: source, fraction of packets lost (in 256ths), cumulative number of packets lost, extended highest
@@ -22,12 +22,12 @@
     """
 
     ssrc: int
-    lost_share: int
-    lost: int
-    highest: int
+    fraction_lost: int
+    cumulative_lost: int
+    highest_seq: int
     jitter: int = 0
     last_sr: int = 0
-    delay: int = 0
+    delay_since_sr: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     ts: int
     packets: int
     octets: int
-    blocks: tuple[Block, ...] = ()
+    blocks: tuple[ReportBlock, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """A receiver report (section 6.4.2)."""
 
     ssrc: int
-    blocks: tuple[Block, ...] = ()
+    blocks: tuple[ReportBlock, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,25 +121,25 @@
     return Other(kind, body)
 
 
-def _parse_blocks(body: bytes, offset: int, count: int) -> tuple[Block, ...]:
+def _parse_blocks(body: bytes, offset: int, count: int) -> tuple[ReportBlock, ...]:
     blocks = []
     for n in range(count):
         ssrc, lost, highest, jitter, last, delay = _REPORT_BLOCK.unpack_from(body, offset + 24 * n)
         total = lost & 0xFFFFFF
         blocks.append(
-            Block(ssrc, lost >> 24, total - (1 << 24) if total >> 23 else total, highest, jitter, last, delay)
+            ReportBlock(ssrc, lost >> 24, total - (1 << 24) if total >> 23 else total, highest, jitter, last, delay)
         )
     return tuple(blocks)
 
 
-def _encode_block(block: Block) -> bytes:
+def _encode_block(block: ReportBlock) -> bytes:
     return _REPORT_BLOCK.pack(
         block.ssrc,
-        (block.lost_share & 255) << 24 | block.lost & 0xFFFFFF,
-        block.highest & 0xFFFFFFFF,
+        (block.fraction_lost & 255) << 24 | block.cumulative_lost & 0xFFFFFF,
+        block.highest_seq & 0xFFFFFFFF,
         block.jitter & 0xFFFFFFFF,
         block.last_sr,
-        block.delay,
+        block.delay_since_sr,
     )
 
 
