--- a/copperyard/protocol/rtsp/connection.py
+++ b/copperyard/protocol/rtsp/connection.py
@@ -13,11 +13,11 @@
     FRAME_MARKER,
     VERSION,
     Frame,
+    FrameBatch,
     Headers,
-    Malformed,
+    MalformedInput,
     Request,
     Response,
-    Run,
     frame_header,
 )
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class MatchedResponse:
     """A response, with the number and method of the request of this side that it answers."""
 
     cseq: int
@@ -47,13 +47,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unasked:
+class UnsolicitedResponse:
     """A provisional response, or one whose CSeq belongs to no pending request."""
 
     response: Response
 
 
-Event = Request | Reply | Unasked | Frame | Run | Malformed
+Event = Request | MatchedResponse | UnsolicitedResponse | Frame | FrameBatch | MalformedInput
 
 
 class Connection:
@@ -63,8 +63,8 @@
     each, so that a relay looks at each of them only once.
     """
 
-    def __init__(self, limits: Limits, runs: bool = False) -> None:
-        self.limits, self.runs = limits, runs
+    def __init__(self, limits: Limits, batch_frames: bool = False) -> None:
+        self.limits, self.batch_frames = limits, batch_frames
         self.failed = False
         self._data = bytearray()
         self._scanned = 0  # bytes of _data already searched for a line end
@@ -77,11 +77,11 @@
     # ---- sending
 
     @property
-    def waiting(self) -> int:
+    def pending(self) -> int:
         """Number of requests of this side without a response."""
         return len(self._pending)
 
-    def ask(self, method: str, uri: str, headers: Headers = (), body: bytes = b"") -> tuple[int, bytes]:
+    def make_request(self, method: str, uri: str, headers: Headers = (), body: bytes = b"") -> tuple[int, bytes]:
         """Encode a request of this side; returns its CSeq and bytes. RuntimeError beyond `Limits.pending`."""
         if len(self._pending) >= self.limits.pending:
             raise RuntimeError("too many requests without a response")
@@ -90,14 +90,14 @@
         return cseq, Request(method, uri, (("CSeq", str(cseq)), *headers), body).encode()
 
     @staticmethod
-    def answer(request: Request, response: Response) -> bytes:
+    def encode_response(request: Request, response: Response) -> bytes:
         """Encode a response with the request's CSeq (section 12.17)."""
         number = request.cseq
         cseq: Headers = (("CSeq", str(number)),) if number is not None else ()
         return Response(response.status, cseq + response.headers, response.body, response.reason).encode()
 
     @staticmethod
-    def frame(channel: int, payload: bytes) -> bytes:
+    def encode_frame(channel: int, payload: bytes) -> bytes:
         """Encode an interleaved frame (section 10.12)."""
         return frame_header(channel, len(payload)) + payload
 
@@ -122,11 +122,11 @@
                     events.append(self._finish_message(bytes(buffer[offset : offset + self._body_size])))
                     offset += self._body_size
                     self._body_size = self._scanned = 0
-                elif self.runs and not self._head and offset < len(buffer) and buffer[offset] == FRAME_MARKER:
+                elif self.batch_frames and not self._head and offset < len(buffer) and buffer[offset] == FRAME_MARKER:
                     end = self._batch_end(offset)
                     if end == offset:
                         break
-                    events.append(Run(buffer[offset:end]))
+                    events.append(FrameBatch(buffer[offset:end]))
                     offset = end
                     self._scanned = 0
                 elif not self._head and offset < len(buffer) and buffer[offset] == FRAME_MARKER:
@@ -157,7 +157,7 @@
                         raise _ParseError(414 if not self._head else 400, f"a line is over {self.limits.line} bytes")
                     self._add_line(line)
         except _ParseError as error:
-            events.append(Malformed(error.status, str(error)))
+            events.append(MalformedInput(error.status, str(error)))
             self.failed = True
             offset = len(buffer)
         del buffer[:offset]
@@ -194,8 +194,8 @@
         text = response.header("CSeq") or ""
         cseq = int(text) if text.isascii() and text.isdigit() and len(text) < 10 else -1
         if cseq not in self._pending or response.status < 200:
-            return Unasked(response)
-        return Reply(cseq, self._pending.pop(cseq), response)
+            return UnsolicitedResponse(response)
+        return MatchedResponse(cseq, self._pending.pop(cseq), response)
 
 
 class _ParseError(Exception):
@@ -269,6 +269,6 @@
     return int(text)
 
 
-def supported(request: Request) -> bool:
+def is_supported_version(request: Request) -> bool:
     """Whether a request has the protocol version that is implemented here."""
     return request.version == VERSION
--- a/copperyard/protocol/rtsp/headers.py
+++ b/copperyard/protocol/rtsp/headers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl, quote, unquote, urlsplit
 
-from .messages import BadHeader
+from .messages import HeaderError
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,16 +33,16 @@
     A track is the last path segment `/trackN`; it is also accepted after the query, where some clients append it.
     """
     if len(uri) > limit:
-        raise BadHeader(414, f"a URL is over {limit} characters")
+        raise HeaderError(414, f"a URL is over {limit} characters")
     if uri == "*":
         return Target("*", None)
     try:
         parts = urlsplit(uri)
         host = parts.hostname or ""
     except ValueError:
-        raise BadHeader(400, "a URL that cannot be parsed") from None
+        raise HeaderError(400, "a URL that cannot be parsed") from None
     if parts.scheme.lower() not in ("rtsp", "rtspu") or not host:
-        raise BadHeader(400, "a URL that is not an absolute rtsp URL")
+        raise HeaderError(400, "a URL that is not an absolute rtsp URL")
     path, query = parts.path, parts.query
     track = None
     for text in (query, path):
@@ -56,7 +56,7 @@
     try:
         pairs = tuple(parse_qsl(query, keep_blank_values=True, max_num_fields=16))
     except ValueError:
-        raise BadHeader(400, "a URL with too many query fields") from None
+        raise HeaderError(400, "a URL with too many query fields") from None
     return Target(unquote(path.rstrip("/")) or "/", track, pairs, parts.netloc)
 
 
@@ -99,9 +99,9 @@
         first = int(match[1]) if match else 256
         last = int(match[2]) if match and match[2] else first + 1
         if first > 254 or last != first + 1:
-            raise BadHeader(400, "interleaved channels are not two consecutive numbers from 0 to 255")
+            raise HeaderError(400, "interleaved channels are not two consecutive numbers from 0 to 255")
         return Transport((first, last), ssrc_number)
-    raise BadHeader(461, "only RTP/AVP/TCP;unicast;interleaved is served")
+    raise HeaderError(461, "only RTP/AVP/TCP;unicast;interleaved is served")
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,26 +124,26 @@
     """
     spec = text.split(";")[0].strip()
     if not spec.startswith("npt="):
-        raise BadHeader(457, "only npt ranges are served")
+        raise HeaderError(457, "only npt ranges are served")
     start_text, dash, end_text = spec[4:].partition("-")
     if not dash:
-        raise BadHeader(457, "an npt range without a dash")
+        raise HeaderError(457, "an npt range without a dash")
     start = None if start_text in ("now", "") else _parse_npt(start_text)
     end = _parse_npt(end_text) if end_text.strip() else None
     if start is not None and length is not None and start >= length:
-        raise BadHeader(457, f"the title is {length:g} s long")
+        raise HeaderError(457, f"the title is {length:g} s long")
     if end is not None and (start or 0.0) >= end:
-        raise BadHeader(457, "the range ends before it starts")
+        raise HeaderError(457, "the range ends before it starts")
     return Range(start, end)
 
 
 def _parse_npt(text: str) -> float:
     found = re.fullmatch(r"(?:([0-9]{1,6}):([0-5]?[0-9]):)?([0-9]{1,9}(?:\.[0-9]{0,9})?)", text.strip())
     if not found:
-        raise BadHeader(457, "not a normal play time")
+        raise HeaderError(457, "not a normal play time")
     value = int(found[1] or 0) * 3600 + int(found[2] or 0) * 60 + float(found[3])
     if not math.isfinite(value):
-        raise BadHeader(457, "not a normal play time")
+        raise HeaderError(457, "not a normal play time")
     return value
 
 
@@ -151,7 +151,7 @@
     """Return session id and timeout in seconds (section 12.37). Raises an error with status 400 for an invalid id."""
     name, *params = (part.strip() for part in text.split(";"))
     if not re.fullmatch(r"[A-Za-z0-9$\-_.+]{1,64}", name):
-        raise BadHeader(400, "not a session id")
+        raise HeaderError(400, "not a session id")
     timeout = None
     for param in params:
         found = re.fullmatch(r"timeout=([0-9]{1,6})", param)
--- a/copperyard/protocol/rtsp/messages.py
+++ b/copperyard/protocol/rtsp/messages.py
@@ -117,14 +117,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class FrameBatch:
     """Complete consecutive interleaved frames with their headers; the receiver may modify the bytes."""
 
     data: bytearray
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedInput:
     """Event: the peer's bytes cannot be parsed any further, so this is the last event.
 
     `status` is the status of the response that a server should send before it closes the connection.
@@ -134,7 +134,7 @@
     text: str
 
 
-class BadHeader(ValueError):
+class HeaderError(ValueError):
     """A header value violates its grammar; `status` is the status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
--- a/tests/agreement/helpers.py
+++ b/tests/agreement/helpers.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from copperyard.lab.sites.events import Events, Manner
+from copperyard.lab.sites.simulated_network import LinkConditions, SimulatedNetwork
 from copperyard.state.agreement import learner, replica
 from copperyard.state.agreement.learner import Learner
 from copperyard.state.agreement.messages import EntryKind, VoteReply
@@ -97,14 +97,14 @@
         self.seed, self.make = seed, make
         self.voters = tuple(f"v{n}" for n in range(voters))
         self.timing = timing or ElectionTiming()
-        self.net = Events(seed, manner or Manner())
+        self.net = SimulatedNetwork(seed, manner or LinkConditions())
         self.stores: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.copies: dict[str, list[Any]] = {name: [] for name in self.voters}
         self.history = {}
         self.votes = {}
         self.leaders = {}
         self.proposed = self.starts = 0
-        self.net.watch = self.check
+        self.net.on_event = self.check
         for name in self.voters:
             self.start(name)
 
@@ -133,7 +133,7 @@
             if core.role is replica.Role.LEADER:
                 self.proposed += 1
                 core.propose(self.time(name), data or b"d%d" % self.proposed)
-                self.net._turn(name)
+                self.net._flush(name)
 
     def applied(self, name, index, entry):
         known = self.history.setdefault(index, entry)
@@ -164,9 +164,9 @@
     "SECOND",
     "ElectionTiming",
     "Replica",
-    "Events",
+    "SimulatedNetwork",
     "LearnerNode",
-    "Manner",
+    "LinkConditions",
     "ReplicaNode",
     "World",
     "replica",
--- a/tests/agreement/random_faults.py
+++ b/tests/agreement/random_faults.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tests.agreement.helpers import MS, SECOND, Manner, Replica, World
+from tests.agreement.helpers import MS, SECOND, LinkConditions, Replica, World
 
 
 def run_random_faults(seed, make=Replica, steps=40, bad_stores=True):
@@ -17,7 +17,7 @@
     world = World(
         seed,
         rng.choice((3, 3, 5)),
-        Manner(rng.choice((0.0, 0.05, 0.2)), 0.05, (MS, rng.choice((5, 100, 400)) * MS)),
+        LinkConditions(rng.choice((0.0, 0.05, 0.2)), 0.05, (MS, rng.choice((5, 100, 400)) * MS)),
         make=make,
     )
     for _ in range(steps):
@@ -25,11 +25,11 @@
         world.propose()
         what, name = rng.randrange(8), rng.choice(world.voters)
         if what == 0:
-            world.net.part([name], [x for x in world.voters if x != name], rng.random() < 0.5)
+            world.net.partition([name], [x for x in world.voters if x != name], rng.random() < 0.5)
         elif what == 1:
             world.net.heal()
         elif what == 2:
-            world.net.stop(name, rng.randint(100, 6000) * MS)
+            world.net.pause(name, rng.randint(100, 6000) * MS)
         elif what == 3:
             world.net.kill(name)
         elif what == 4:
--- a/tests/agreement/test_learner.py
+++ b/tests/agreement/test_learner.py
@@ -20,7 +20,7 @@
 )
 from copperyard.state.agreement.replica import PersistentState, ProposalTime, Replica, SendMessage, fetch_reply
 from copperyard.state.agreement.subscribers import Subscribers
-from tests.agreement.helpers import MS, SECOND, Manner, World, replica
+from tests.agreement.helpers import MS, SECOND, LinkConditions, World, replica
 
 
 class Node:
@@ -73,7 +73,7 @@
         self.proposed += 1
         index = self.core(name).propose(self.net.now, data or b"d%d" % self.proposed)
         self.begun[index] = self.net.now
-        self.net._turn(name)
+        self.net._flush(name)
         return index
 
     def check(self, now):
@@ -228,11 +228,11 @@
     name = world.leader()
     node = world.follow("f", name)
     world.run(3)
-    world.net.part([name], [v for v in world.voters if v != name])
+    world.net.partition([name], [v for v in world.voters if v != name])
     heard = []
     node.core._on_commit_hint = lambda now, sender, index: heard.append(index)
     world.core(name).propose(world.net.now, b"held by one")
-    world.net._turn(name)
+    world.net._flush(name)
     world.run(1)
     assert heard == []
     core = world.core(name)
@@ -419,7 +419,7 @@
     world = Fleet(seed)
     world.follow("d1", "v0"), world.follow("d2", "v0")
     node = world.follow("m", "d1", "d2")
-    world.net.part(["d1"], ["m"], both=False)
+    world.net.partition(["d1"], ["m"], both=False)
     world.renew(3)
     late = world.late(node, world.renew(30))
     assert max(late) < 1.0
@@ -449,7 +449,7 @@
     world.follow("d1", "v0"), world.follow("d2", "v0")
     node = world.follow("m", "d1", "d2")
     world.renew(4)
-    world.net.part(["d1"], ["v0"])
+    world.net.partition(["d1"], ["v0"])
     late = world.late(node, world.renew(20))
     assert max(late) <= (learner.STALL_THRESHOLD + learner.IDLE_INTERVAL * 5 // 4) / SECOND + 1.25
 
@@ -580,7 +580,7 @@
     everybody = [*names, "side", "end"]
     for n, (a, b) in enumerate((a, b) for a in everybody for b in everybody):
         low, high = sorted((delays[n % len(delays)], delays[(n * 7 + 3) % len(delays)]))
-        world.net.manners[a, b] = Manner(loss, twice, (low * MS, high * MS))
+        world.net.link_conditions[a, b] = LinkConditions(loss, twice, (low * MS, high * MS))
     world.renew(12, 1.5)
     world.run(20)
     assert end.core.proposal_time.index
--- a/tests/agreement/test_replica.py
+++ b/tests/agreement/test_replica.py
@@ -13,7 +13,7 @@
     VoteReply,
 )
 from copperyard.state.agreement.replica import PersistentState, Replica, Role
-from tests.agreement.helpers import MS, SECOND, LearnerNode, Manner, World, replica
+from tests.agreement.helpers import MS, SECOND, LearnerNode, LinkConditions, World, replica
 from tests.agreement.random_faults import run_random_faults
 
 
@@ -57,7 +57,7 @@
     """World.check fails if two voters hold a lease at any step."""
     world = settled()
     old = world.leader()
-    world.net.part([old], others(world, old))
+    world.net.partition([old], others(world, old))
     world.net.run(world.net.now + 8 * SECOND)
     assert world.leader() != old
     assert not world.core(old).holds_lease(world.time(old))
@@ -72,7 +72,7 @@
 def test_a_leader_that_can_send_but_not_receive_steps_down():
     world = settled()
     old = world.leader()
-    world.net.part(others(world, old), [old], both=False)
+    world.net.partition(others(world, old), [old], both=False)
     world.net.run(world.net.now + 12 * SECOND)
     assert world.leader() not in (None, old)
 
@@ -80,7 +80,7 @@
 def test_a_leader_suspended_for_five_seconds_commits_nothing_old():
     world = settled()
     old = world.leader()
-    world.net.stop(old, 5 * SECOND)
+    world.net.pause(old, 5 * SECOND)
     world.net.run(world.net.now + 4900 * MS)
     assert world.leader() not in (None, old)
     world.propose(b"while it stood")
@@ -100,7 +100,7 @@
         leader = world.leader()
         world.net.heal()
         if leader and cut % 2 == 0:
-            world.net.part([leader], others(world, leader))
+            world.net.partition([leader], others(world, leader))
     assert len(set(world.leaders.values())) > 1
 
 
@@ -111,7 +111,7 @@
     leader = world.leader()
     voter, lagging = others(world, leader)
     older = list(world.stores[voter])
-    world.net.part([lagging], [leader, voter])
+    world.net.partition([lagging], [leader, voter])
     world.propose(b"held by two")
     world.net.run(world.net.now + SECOND)
     assert world.data()[-1] == b"held by two"
@@ -140,7 +140,7 @@
     world = settled()
     leader = world.leader()
     voter, lagging = others(world, leader)
-    world.net.part([lagging], [leader, voter])
+    world.net.partition([lagging], [leader, voter])
     world.propose(b"held by two")
     world.net.run(world.net.now + SECOND)
     world.net.kill(voter)
@@ -211,7 +211,7 @@
         core.propose_voters(world.net.now, ["v0"])
     assert core.propose_voters(world.net.now, others(world, leader)) is not None
     assert core.propose_voters(world.net.now, world.voters) is None  # the first change is not committed yet
-    world.net._turn(leader)
+    world.net._flush(leader)
     world.net.run(world.net.now + 8 * SECOND)
     assert world.leader() not in (None, leader)
     assert world.core(world.leader()).voters == tuple(others(world, leader))
@@ -224,9 +224,9 @@
         world.net.run(world.net.now + 30 * MS)
     world.net.run(world.net.now + SECOND)
     assert world.core(world.leader()).snapshot.index > 0
-    late = Manner(delay=(0, 900 * MS))
+    late = LinkConditions(delay=(0, 900 * MS))
     for name in world.voters:
-        world.net.manners[name, "l"] = world.net.manners["l", name] = late
+        world.net.link_conditions[name, "l"] = world.net.link_conditions["l", name] = late
     world.net.add("l", LearnerNode(world, "l", list(world.voters)))
     for _ in range(40):
         proposed = world.net.now
--- a/tests/common/test_cells.py
+++ b/tests/common/test_cells.py
@@ -12,12 +12,12 @@
 from copperyard.control.cells import MemberReport
 from copperyard.control.coordinator import ENTRY_CODEC, NotifyApplied
 from copperyard.control.zones.plan import CellReport
-from copperyard.lab.sites.simulated import spread
+from copperyard.lab.sites.simulated_site import spread_voters
 from copperyard.membership.gateways.cells import MEAN_CELL_SIZE
 from copperyard.membership.gateways.messages import MemberState
 from copperyard.state.agreement import learner
 from copperyard.state.agreement.messages import Entry, EntryKind, FetchReply, FetchRequest, Snapshot
-from tests.common.helpers import MS, SECOND, Manner, Site, ZoneStatus
+from tests.common.helpers import MS, SECOND, LinkConditions, SimulatedSite, ZoneStatus
 from tests.common.test_common import near_only, storm
 
 REGIONS = [0, 0, 0, 1, 1]
@@ -25,7 +25,9 @@
 
 def ready(seed=1, each=30, **more):
     """A site of five zones of two or three cells and nine voters; all follow one plan and the leader hears all."""
-    site = Site(seed, 5, each, REGIONS, voters=spread(9, 5), room=1000.0 * each, asked=500.0 * each, **more)
+    site = SimulatedSite(
+        seed, 5, each, REGIONS, voters=spread_voters(9, 5), room=1000.0 * each, asked=500.0 * each, **more
+    )
     site.run(15)
     assert site.leader() and set(site.strengths(site.roster)) == {1.0} and unheard(site) == {}
     assert min(len(cells) for cells in site.cells.zones) > 1
@@ -113,7 +115,7 @@
 def sound(site):
     """No voter's proven epoch is above what any front follows. (For sites where no front restarted.)"""
     learner = [
-        min(site.front(name).core.plan.epoch for name in site.of(z) if name in site.net.nodes)
+        min(site.front(name).core.plan.epoch for name in site.gateways_in(z) if name in site.net.nodes)
         for z in range(site.zones)
     ]
     for name in site.voters:
@@ -144,7 +146,7 @@
         if sender == dead and isinstance(message, CellReport):
             taken.clear()
 
-    site.net.arriving, site.net.sending = arrived, said
+    site.net.on_deliver, site.net.on_send = arrived, said
     until(site, lambda: killed, 20)
     assert len(taken) == rest
     changed(site, others(site, dead))
@@ -163,7 +165,7 @@
     one = cell(site)
     both = one.ranks()[:2]
     by = []
-    site.net.sending = lambda sender, to, message: by.append(sender) if isinstance(message, CellReport) else None
+    site.net.on_send = lambda sender, to, message: by.append(sender) if isinstance(message, CellReport) else None
     for name in both:
         site.net.kill(name)
     rest = len(one.names) - 2
@@ -186,7 +188,7 @@
     one = cell(site)
     mute = one.ranks()[0]
     rest = [name for name in one.names if name != mute]
-    site.net.part([mute], others(site, mute), both=False)
+    site.net.partition([mute], others(site, mute), both=False)
     until(
         site,
         lambda: all(mute not in site.front(name).core.delegate_role.delegates(site.time(name)) for name in rest),
@@ -208,10 +210,10 @@
     one = cell(site)
     cut, _, third = one.ranks()[:3]
     resigned = []
-    site.noted = (
+    site.on_note = (
         lambda front, note: resigned.append((site.net.now, front.name)) if note.event == "delegate resigns" else None
     )
-    site.net.part([cut], list(site.voters))
+    site.net.partition([cut], list(site.voters))
     begin = site.net.now
     until(site, lambda: resigned, 7.5)
     assert resigned[0][1] == cut
@@ -235,7 +237,7 @@
     site = ready(1)
     one = cell(site)
     both = one.ranks()[:2]
-    site.net.part(both, list(site.voters))
+    site.net.partition(both, list(site.voters))
     goes_on(site, site.roster, 20, age=10)
     changed(site, site.roster)
     assert unheard(site) == {}
@@ -247,7 +249,7 @@
     site = ready(seed)
     one = cell(site)
     first, _, *rest = one.ranks()
-    site.net.part(rest[::2], [first])
+    site.net.partition(rest[::2], [first])
     changed(site, site.roster)
     for _ in range(20):
         goes_on(site, site.roster, 1, age=5)
@@ -261,8 +263,8 @@
     site = ready(1)
     one = cell(site)
     first, second, *rest = one.ranks()
-    site.net.part(rest[::2], [second], both_ways)
-    site.net.part(rest[1::2], [first], both_ways)
+    site.net.partition(rest[::2], [second], both_ways)
+    site.net.partition(rest[1::2], [first], both_ways)
     for n in range(30):
         goes_on(site, site.roster, 1, age=5)
         sound(site)
@@ -277,7 +279,7 @@
     site = ready(2)
     one = cell(site)
     ranks = one.ranks()
-    site.net.part(ranks[::2], ranks[1::2], both=False)
+    site.net.partition(ranks[::2], ranks[1::2], both=False)
     for n in range(30):
         goes_on(site, site.roster, 1, age=6)
         sound(site)
@@ -322,8 +324,8 @@
 def test_the_region_with_the_minority_while_changes_go_on_in_the_other_and_back():
     """Its plans expire within 20 s (16 measured): each front uses its own zone. The other region agrees on new ones."""
     site = ready(1)
-    small, large = site.of(3, 4), site.of(0, 1, 2)
-    site.net.part(small, large)
+    small, large = site.gateways_in(3, 4), site.gateways_in(0, 1, 2)
+    site.net.partition(small, large)
     left = newest(site)
     site.demand[0], site.demand[1] = 27_000.0, 9_000.0
     until(site, lambda: max(site.strengths(small)) == 0.0, 20)
@@ -345,11 +347,11 @@
 def test_a_zone_that_is_lost_again_while_it_returns():
     site = ready(2)
     for again in (False, True):
-        site.lose(3)
+        site.lose_zone(3)
         until(site, lambda: site.standing(3) is ZoneStatus.CLOSED, 12)
         site.run(4)
         site.rooms[3] = 30_000.0
-        for name in site.of(3):
+        for name in site.gateways_in(3):
             site.start(name)
         until(site, lambda: site.standing(3) is ZoneStatus.RETURNING, 20)
         site.run(1.0 if not again else 0.0)
@@ -363,7 +365,7 @@
 def test_a_zone_lost_of_250_is_agreed_in_12_seconds_and_in_force_at_all_in_15():
     """At most 5.6 and 6.1 s measured in four runs."""
     site = ready(1, 50)
-    site.lose(4)
+    site.lose_zone(4)
     agreed = until(site, lambda: site.standing(4) is ZoneStatus.CLOSED, 12)
     until(
         site,
@@ -399,7 +401,7 @@
 
 
 def test_reports_that_come_twice_late_out_of_order_or_from_an_earlier_life_replace_nothing_newer():
-    site = ready(1, manner=Manner(0.01, 0.3, (MS, 120 * MS)))
+    site = ready(1, manner=LinkConditions(0.01, 0.3, (MS, 120 * MS)))
     rng = random.Random(5)
     kept = deque(maxlen=4000)
     again = [0]
@@ -410,7 +412,7 @@
         elif isinstance(message, MemberReport):
             kept.append((sender, message))
 
-    site.net.sending = said
+    site.net.on_send = said
     newest_of: dict[tuple[str, tuple[int, int], str], tuple[int, int]] = {}
     site.run(5)
     one = cell(site)
@@ -445,7 +447,7 @@
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))))
 def test_a_plan_that_comes_by_two_ways_in_any_order_ends_in_the_newest_and_never_goes_back(order):
     """As entries from one source, partly from a second one, as a snapshot from a third."""
-    site = Site()
+    site = SimulatedSite()
     site.run(5)
     name = next(n for n in site.roster if n not in site.voters)
     core, now = site.front(name).core, site.time(name) + SECOND
@@ -481,7 +483,7 @@
 def answered(site, name):
     """Answers that a gateway receives from now on."""
     got = []
-    site.net.arriving = (
+    site.net.on_deliver = (
         lambda sender, to, message: got.append(message) if to == name and isinstance(message, FetchReply) else None
     )
     return got
@@ -526,12 +528,12 @@
 def test_two_hundred_that_start_at_once_are_spread_over_their_cells(seed):
     """In any 100 ms no gateway is queried more than 20 times (17 measured, by a cell's members after a hint), and all
     follow the plan within 5 s (2.2 measured)."""
-    site = Site(seed, 5, 40, REGIONS, voters=spread(9, 5), room=40_000.0, asked=20_000.0, begin=False)
+    site = SimulatedSite(seed, 5, 40, REGIONS, voters=spread_voters(9, 5), room=40_000.0, asked=20_000.0, begin=False)
     for name in site.voters:
         site.start(name)
     site.run(10)
     times: dict[str, list[int]] = {}
-    site.net.arriving = (
+    site.net.on_deliver = (
         lambda sender, to, message: times.setdefault(to, []).append(site.net.now)
         if isinstance(message, FetchRequest)
         else None
@@ -563,5 +565,5 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_no_storm_breaks_a_bound_in_a_site_of_several_cells(seed):
     assert storm(
-        seed, 40, sizes=[25, 12, 12, 12, 25], regions=REGIONS, voters=spread(9, 5), room=10_000.0, asked=5_000.0
+        seed, 40, sizes=[25, 12, 12, 12, 25], regions=REGIONS, voters=spread_voters(9, 5), room=10_000.0, asked=5_000.0
     ).plans
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -10,11 +10,11 @@
 from copperyard.control.zones.plan import Renewed
 from copperyard.interface import ZoneAllocation
 from copperyard.state.agreement.messages import Entry, EntryKind, FetchReply, FetchRequest
-from tests.common.helpers import MS, SECOND, Manner, Site, ZoneStatus
+from tests.common.helpers import MS, SECOND, LinkConditions, SimulatedSite, ZoneStatus
 
 
 def ready(**more):
-    site = Site(**more)
+    site = SimulatedSite(**more)
     site.run(15)
     assert site.leader() and len({site.front(n).core.plan.epoch for n in site.roster}) == 1
     return site
@@ -22,7 +22,7 @@
 
 def near_only(site, name):
     zone = site.roster[name]
-    ways = site.front(name).ways
+    ways = site.front(name).allocation
     return isinstance(ways, ZoneAllocation) and all(not cap for z, cap in enumerate(ways.caps) if z != zone)
 
 
@@ -36,7 +36,7 @@
 
 def test_a_lost_zone_is_closed_everywhere_within_a_bound_and_comes_back_in_steps():
     site = ready()
-    site.lose(3)
+    site.lose_zone(3)
     begin = site.net.now
     while site.standing(3) is not ZoneStatus.CLOSED:
         site.run(0.5)
@@ -44,7 +44,7 @@
     site.run(2)
     assert {site.front(n).core.plan.zones[3].status for n in site.net.nodes} == {ZoneStatus.CLOSED}
     site.rooms[3] = 10_000.0
-    for name in site.of(3):
+    for name in site.gateways_in(3):
         site.start(name)
     parts = set()
     for _ in range(80):
@@ -56,7 +56,7 @@
 def test_lost_hosts_of_a_zone_are_bridged_by_preallocated_caps_before_any_new_plan():
     site = ready()
     before = len(site.plans)
-    assert sum(cap or 0 for cap in site.front("g3-0").ways.caps) * site.each > 2000
+    assert sum(cap or 0 for cap in site.front("g3-0").allocation.caps) * site.each > 2000
     site.rooms[3] = 0.0
     site.run(5)
     assert len(site.plans) > before and site.standing(3) is ZoneStatus.CLOSED
@@ -66,7 +66,7 @@
 
 
 def test_a_lost_zone_does_not_overload_the_next_one_at_nine_tenths():
-    site = Site()
+    site = SimulatedSite()
     site.demand[2] = 8_100.0
     site.run(20)
     site.rooms[3] = 0.0
@@ -88,7 +88,7 @@
 def test_a_leader_stopped_for_five_seconds_and_woken_does_no_harm():
     site = ready()
     leader = site.leader()
-    site.net.stop(leader, 5 * SECOND)
+    site.net.pause(leader, 5 * SECOND)
     site.run(4.9)
     assert site.leader() not in (None, leader)
     site.run(20)
@@ -100,9 +100,9 @@
     checks after every event that the sides never use the same room."""
     site = ready()
     leader = site.leader()
-    small = site.of(site.roster[leader])
+    small = site.gateways_in(site.roster[leader])
     large = [n for n in site.roster if n not in small]
-    site.net.part(small, large)
+    site.net.partition(small, large)
     site.run(10)
     site.demand[1] = 9_900.0  # the large side asks for room that the small one may still use
     site.run(50)
@@ -130,7 +130,7 @@
 
 def test_an_isolated_front_uses_only_its_own_zone_and_the_others_go_on():
     site = ready()
-    site.net.part(["g1-1"], [n for n in site.roster if n != "g1-1"])
+    site.net.partition(["g1-1"], [n for n in site.roster if n != "g1-1"])
     site.run(40)
     assert near_only(site, "g1-1") and min(site.strengths([n for n in site.roster if n != "g1-1"])) == 1.0
 
@@ -138,7 +138,7 @@
 def test_a_leader_that_is_heard_and_hears_nothing_is_replaced():
     site = ready()
     leader = site.leader()
-    site.net.part([n for n in site.roster if n != leader], [leader], both=False)
+    site.net.partition([n for n in site.roster if n != leader], [leader], both=False)
     site.run(30)
     assert site.leader() not in (None, leader)
     assert min(site.strengths([n for n in site.roster if n != leader])) == 1.0
@@ -147,10 +147,10 @@
 def test_a_zone_restarted_in_one_second_changes_no_traffic():
     site = ready()
     epochs = len(site.plans)
-    for name in site.of(1):
+    for name in site.gateways_in(1):
         site.net.kill(name)
     site.run(1)
-    for name in site.of(1):
+    for name in site.gateways_in(1):
         site.start(name)
     site.run(30)
     assert site.standing(1) is ZoneStatus.OPEN and len(site.plans) - epochs <= 3
@@ -161,7 +161,7 @@
     epochs = len(site.plans)
     for n, a in enumerate(site.roster):
         for b in list(site.roster)[n % 2 :: 2]:
-            site.net.manners[a, b] = Manner(loss=0.2, delay=(380 * MS, 420 * MS))
+            site.net.link_conditions[a, b] = LinkConditions(loss=0.2, delay=(380 * MS, 420 * MS))
     site.run(60)
     assert len(site.plans) - epochs <= 4
     assert all(zone.status is ZoneStatus.OPEN for _, plan in site.committed for zone in plan.zones)
@@ -171,7 +171,7 @@
     site = ready()
     epochs = len(site.plans)
     for _ in range(60):
-        site.net.part(site.of(3), [n for n in site.roster if site.roster[n] != 3])
+        site.net.partition(site.gateways_in(3), [n for n in site.roster if site.roster[n] != 3])
         site.run(0.5)
         site.net.heal()
         site.run(0.5)
@@ -181,14 +181,16 @@
 
 
 def test_clocks_apart_and_drifting_keep_all_bounds():
-    site = Site()
+    site = SimulatedSite()
     for n, name in enumerate(site.roster):
         site.net.kill(name)
         site.start(name, ahead=2 * SECOND * (n % 3), speed=1 + 0.04 * (n % 3 - 1))
     site.run(20)
     leader = site.leader()
     assert leader
-    site.net.part(site.of(site.roster[leader]), [n for n in site.roster if site.roster[n] != site.roster[leader]])
+    site.net.partition(
+        site.gateways_in(site.roster[leader]), [n for n in site.roster if site.roster[n] != site.roster[leader]]
+    )
     site.demand[1] = 9_900.0
     site.run(60)
     site.net.heal()
@@ -260,20 +262,24 @@
 def storm(seed, seconds=150, **more):
     """Random partitions, crashes, pauses, lost zones and demand changes; Site.check runs after every event."""
     rng = random.Random(seed)
-    site = Site(seed, manner=Manner(rng.choice((0.0, 0.05, 0.15)), 0.02, (MS, rng.choice((20, 150)) * MS)), **more)
+    site = SimulatedSite(
+        seed, manner=LinkConditions(rng.choice((0.0, 0.05, 0.15)), 0.02, (MS, rng.choice((20, 150)) * MS)), **more
+    )
     site.run(12)
     while site.net.now < seconds * SECOND:
         site.run(rng.uniform(0.5, 6))
         what, zone = rng.randrange(9), rng.randrange(site.zones)
         name = rng.choice(list(site.roster))
         if what == 0:
-            site.net.part(site.of(zone), [n for n in site.roster if site.roster[n] != zone], rng.random() < 0.6)
+            site.net.partition(
+                site.gateways_in(zone), [n for n in site.roster if site.roster[n] != zone], rng.random() < 0.6
+            )
         elif what in (1, 2):
             site.net.heal()
         elif what == 3:
             site.net.kill(name)
         elif what == 4:
-            site.net.stop(name, rng.randint(200, 8000) * MS)
+            site.net.pause(name, rng.randint(200, 8000) * MS)
         elif what == 5:
             site.rooms[zone] = rng.choice((0.0, 5_000.0, 10_000.0))
         elif what == 6:
@@ -284,7 +290,7 @@
                     site.start(n)
         else:
             half = rng.sample(range(site.zones), 2)
-            site.net.part(site.of(*half), [n for n in site.roster if site.roster[n] not in half])
+            site.net.partition(site.gateways_in(*half), [n for n in site.roster if site.roster[n] not in half])
     site.net.heal()
     site.rooms, site.demand = [10_000.0] * site.zones, [5_000.0] * site.zones
     for n in site.roster:
--- a/tests/common/test_scale.py
+++ b/tests/common/test_scale.py
@@ -8,18 +8,22 @@
 
 from benchmarks import scale
 from copperyard.interface import ZoneAllocation
-from copperyard.lab.sites.events import Manner
-from copperyard.lab.sites.simulated import CHECK, MS, SECOND, Broken, Site, spread
+from copperyard.lab.sites.simulated_network import LinkConditions
+from copperyard.lab.sites.simulated_site import CHECK_INTERVAL, MS, SECOND, InvariantError, SimulatedSite, spread_voters
 
 
 def walked(site, zone):
     """Reference for the incremental sum: caps of all running fronts of other zones."""
-    return sum(front.ways.caps[zone] or 0.0 for front in site.fronts() if front.zone != zone and front.ways is not None)
+    return sum(
+        front.allocation.caps[zone] or 0.0
+        for front in site.fronts()
+        if front.zone != zone and front.allocation is not None
+    )
 
 
 def test_incremental_sums_of_caps_equal_a_full_sum_as_fronts_come_and_go():
     rng = random.Random(3)
-    site = Site(3, 5, 4, manner=Manner(0.05, 0.02, (MS, 60 * MS)))
+    site = SimulatedSite(3, 5, 4, manner=LinkConditions(0.05, 0.02, (MS, 60 * MS)))
     site.run(12)
     most = 0.0
     for n in range(60):
@@ -32,57 +36,61 @@
         else:
             site.demand[rng.randrange(5)] = rng.choice((1_000.0, 8_000.0, 12_000.0))
         for zone in range(5):
-            assert abs(site.allowed(zone) - walked(site, zone)) < 1e-3
-            most = max(most, site.allowed(zone))
+            assert abs(site.allowed_kb(zone) - walked(site, zone)) < 1e-3
+            most = max(most, site.allowed_kb(zone))
     assert most > 1000
-    front = next(one for one in site.fronts() if one.ways is not None)  # its own zone has no limit
-    site.allow(front, ZoneAllocation(front.ways.shares, tuple(1e9 if z == front.zone else 1.0 for z in range(5))))
-    assert abs(site.allowed(front.zone) - walked(site, front.zone)) < 1e-3
+    front = next(one for one in site.fronts() if one.allocation is not None)  # its own zone has no limit
+    site.set_allocation(
+        front, ZoneAllocation(front.allocation.shares, tuple(1e9 if z == front.zone else 1.0 for z in range(5)))
+    )
+    assert abs(site.allowed_kb(front.zone) - walked(site, front.zone)) < 1e-3
 
 
 @pytest.mark.parametrize("gateways", [10, 200])
 def test_a_planted_overrun_is_found_by_the_event_that_makes_it(gateways):
-    site = Site(1, 5, gateways // 5, room=10_000.0 * gateways, asked=5_000.0 * gateways)
+    site = SimulatedSite(1, 5, gateways // 5, room=10_000.0 * gateways, asked=5_000.0 * gateways)
     site.run(12)
     front = site.front("g1-1")
     site.check(site.net.now)
-    caps = list(front.ways.caps)
+    caps = list(front.allocation.caps)
     free = max(
         zone.room * zone.usable_ratio - zone.own - zone.reserve
         for _, plan in site.committed
         for zone in [plan.zones[3]]
     )
-    caps[3] = free - site.allowed(3) + caps[3] + 2.0  # one front exceeds the limit of all by 2 kB/s
-    site.net.at(site.net.now + 1, lambda: site.allow(front, ZoneAllocation(front.ways.shares, tuple(caps))))
-    with pytest.raises(Broken, match="of zone 3 allowed"):
+    caps[3] = free - site.allowed_kb(3) + caps[3] + 2.0  # one front exceeds the limit of all by 2 kB/s
+    site.net.at(
+        site.net.now + 1, lambda: site.set_allocation(front, ZoneAllocation(front.allocation.shares, tuple(caps)))
+    )
+    with pytest.raises(InvariantError, match="of zone 3 allowed"):
         site.net.run(site.net.now + 1)
 
 
 def test_free_room_expires_and_an_overrun_caused_by_that_is_found():
     """No front changes anything: the plan that had room for their caps is too old."""
-    site = Site()
+    site = SimulatedSite()
     site.run(12)
     plan = site.committed[-1][1]
-    assert site.allowed(3) > 1
+    assert site.allowed_kb(3) > 1
     none = [replace(zone, room=0.0, own=0.0, reserve=0.0) for zone in plan.zones]
-    site.planned(replace(plan, epoch=plan.epoch + 1, zones=tuple(none)))
-    site.check(site.net.now + CHECK)
-    with pytest.raises(Broken):
-        site.check(site.net.now + 2 * site.terms.holds * 12 // 10 + CHECK)
+    site.record_plan(replace(plan, epoch=plan.epoch + 1, zones=tuple(none)))
+    site.check(site.net.now + CHECK_INTERVAL)
+    with pytest.raises(InvariantError):
+        site.check(site.net.now + 2 * site.terms.holds * 12 // 10 + CHECK_INTERVAL)
 
 
 def test_two_plans_of_an_epoch_are_found():
-    site = Site()
+    site = SimulatedSite()
     site.run(12)
     plan = site.committed[-1][1]
-    site.planned(plan)
-    with pytest.raises(Broken, match=f"two plans of epoch {plan.epoch}"):
-        site.planned(replace(plan, holds=plan.holds + 1))
+    site.record_plan(plan)
+    with pytest.raises(InvariantError, match=f"two plans of epoch {plan.epoch}"):
+        site.record_plan(replace(plan, holds=plan.holds + 1))
 
 
 @pytest.mark.parametrize("voters", [3, 5, 9])
 def test_voters_are_spread_over_all_zones(voters):
-    names = spread(voters, 5)
+    names = spread_voters(voters, 5)
     assert len(set(names)) == voters
     each = [sum(name.startswith(f"g{z}-") for name in names) for z in range(5)]
     assert max(each) - min(each) <= 1
@@ -92,11 +100,11 @@
     """Run 200 gateways from their start; return counts of what they sent and hold."""
     run = scale.Run(200, seed, 9)
     run.begin()
-    run.step(10)
+    run.advance(10)
     assert run.settled()
-    run.weigh()
+    run.draw_sample()
     sent, sizes = run.site.net.sent, {name: one.sent_bytes for name, one in run.tallies.items()}
-    run.step(3)
+    run.advance(3)
     leader = run.site.leader()
     assert leader is not None
     return run, {
@@ -105,30 +113,30 @@
         "epochs": len(run.site.plans),
         "rate": (run.site.net.sent - sent) / 3 / 200,
         "bytes": sorted((one.sent_bytes - sizes[name]) / 3 for name, one in run.tallies.items()),
-        "links": sorted(len(one.peers) for one in run.tallies.values()),
-        "held": run.counts(run.plain()[:4]),
-        "held_leader": run.counts([leader]),
+        "links": sorted(len(one.recipients) for one in run.tallies.values()),
+        "held": run.max_entries(run.plain()[:4]),
+        "held_leader": run.max_entries([leader]),
     }
 
 
 def test_two_hundred_gateways_send_and_hold_what_is_stated_and_the_same_again_by_the_same_seed():
     run, found = two_hundred(5)
     assert found["rate"] < 9 and found["epochs"] <= 3
-    assert run.wrong == {}
+    assert run.false_deaths == {}
     assert 0 < max(found["bytes"]) < 18_000
     assert found["held"]["members.members"] <= 199 and found["held"]["members.reachability.rows"] <= 200
     assert two_hundred(5)[1] == found
 
 
 def test_a_census_finds_growing_state_and_ignores_settings():
-    site = Site(1, 5, 4)
+    site = SimulatedSite(1, 5, 4)
     site.run(3)
     core = site.front("g1-1").core
-    shared = scale.settings(site, "g1-1")
-    before, size = scale.census(core, shared), scale.held_bytes(core, shared)
+    shared = scale.settings_ids(site, "g1-1")
+    before, size = scale.count_entries(core, shared), scale.held_bytes(core, shared)
     core.histories = [*core.histories, *[(n, n) for n in range(1000)]]
     core.members.members["g1-2"].suspectors |= {f"x{n}" for n in range(100)}
-    after = scale.census(core, shared)
+    after = scale.count_entries(core, shared)
     assert after["histories"] - before["histories"] == 1000
     assert after["members.members[].suspectors"] - before["members.members[].suspectors"] == 100
     assert scale.held_bytes(core, shared) - size > 1000 * 60
@@ -205,14 +213,16 @@
 
 
 def test_a_partition_cuts_one_way_or_both_and_ends_when_healed():
-    site = Site(1, 5, 2)
-    one, other = site.of(0), site.of(1)
-    site.net.part(one, other, both=False)
-    assert site.net.cut("g0-0", "g1-1") and not site.net.cut("g1-1", "g0-0") and not site.net.cut("g0-0", "g2-0")
-    site.net.part(other, one, both=False)
-    assert site.net.cut("g1-1", "g0-0")
+    site = SimulatedSite(1, 5, 2)
+    one, other = site.gateways_in(0), site.gateways_in(1)
+    site.net.partition(one, other, both=False)
+    assert (
+        site.net.is_cut("g0-0", "g1-1") and not site.net.is_cut("g1-1", "g0-0") and not site.net.is_cut("g0-0", "g2-0")
+    )
+    site.net.partition(other, one, both=False)
+    assert site.net.is_cut("g1-1", "g0-0")
     site.net.heal()
-    assert not site.net.cut("g0-0", "g1-1")
+    assert not site.net.is_cut("g0-0", "g1-1")
     assert site.net.now < SECOND
 
 
@@ -220,19 +230,19 @@
     "planted, rules, histories",
     [
         (
-            lambda site: site.allow(
-                site.front("g1-1"), ZoneAllocation(site.front("g1-1").ways.shares, (0.0, 0.0, 0.0, 1e9, 0.0))
+            lambda site: site.set_allocation(
+                site.front("g1-1"), ZoneAllocation(site.front("g1-1").allocation.shares, (0.0, 0.0, 0.0, 1e9, 0.0))
             ),
             "of zone 3 allowed",
             1,
         ),
-        (lambda site: site.planned(replace(site.committed[-1][1], holds=1)), "two plans of epoch", 2),
+        (lambda site: site.record_plan(replace(site.committed[-1][1], holds=1)), "two plans of epoch", 2),
     ],
 )
 def test_a_run_in_which_a_rule_breaks_says_which_and_exits_1(planted, rules, histories, capsys, monkeypatch):
     def broken(run, seconds):
         run.site.net.at(run.site.net.now + MS, lambda: planted(run.site))
-        run.step(1)
+        run.advance(1)
         return {"reached": True}
 
     monkeypatch.setitem(scale.SCENARIOS, "broken", broken)
@@ -245,7 +255,7 @@
 def test_what_a_stopped_scenario_had_found_is_kept(capsys, monkeypatch):
     def halted(run, seconds):
         run.found["zone_known_s"] = 7.5
-        raise scale.Stopped("time: so it is")
+        raise scale.RunStoppedError("time: so it is")
 
     monkeypatch.setitem(scale.SCENARIOS, "halted", halted)
     assert scale.main(["10", "--faults", "halted"]) == 1
--- a/tests/config/test_common.py
+++ b/tests/config/test_common.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from copperyard.config import BadSettings, parse
+from copperyard.config import SettingsError, parse
 
 PATH = Path(__file__).parent.parent.parent / "examples" / "sites.xml"
 GOOD = PATH.read_text()
@@ -15,7 +15,7 @@
     for old, new in changes:
         assert old in text, old
         text = text.replace(old, new, 1)
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(text.encode(), "site.xml")
     return [(m.line, m.text) for m in caught.value.mistakes]
 
@@ -84,7 +84,7 @@
 
 
 def test_links_need_the_common_element():
-    with pytest.raises(BadSettings, match="need a <common>"):
+    with pytest.raises(SettingsError, match="need a <common>"):
         parse(GOOD.replace(GOOD[GOOD.index("  <common") : GOOD.index("  <titles>")], "").encode())
 
 
@@ -92,13 +92,13 @@
     common = parse_common(GOOD)
     assert common.voters == ("ct-1", "mi-1", "ty-1")
     moved = parse_common(GOOD.replace('peers="127.0.0.1:7403"', 'peers="127.0.0.1:7503" reach="127.0.0.1:7603"'))
-    assert moved.fleet == common.fleet and moved.reach["ct-3"] == "127.0.0.1:7603"
-    assert parse_common(GOOD.replace('reserve="0.1"', 'reserve="0.2"')).fleet != common.fleet
+    assert moved.digest == common.digest and moved.dial_addresses["ct-3"] == "127.0.0.1:7603"
+    assert parse_common(GOOD.replace('reserve="0.1"', 'reserve="0.2"')).digest != common.digest
 
 
 def test_session_lengths_and_loads_come_from_the_settings():
     common = parse_common(GOOD)
-    assert common.lengths == (20_000_000_000,) * 2
+    assert common.session_lengths == (20_000_000_000,) * 2
     assert common.terms.loads == (230.0, 420.0)
 
 
@@ -118,7 +118,7 @@
 
 def test_nine_voters_are_accepted_and_eleven_rejected():
     assert len(parse_common(with_voters(9).decode()).voters) == 9
-    with pytest.raises(BadSettings, match="is voter 11: more than 9"):
+    with pytest.raises(SettingsError, match="is voter 11: more than 9"):
         parse(with_voters(11))
 
 
@@ -132,5 +132,5 @@
         return GOOD.replace(end, f"{more}\n{end}", 1).encode()
 
     assert len(parse(text(7400)).gateways) == 7400
-    with pytest.raises(BadSettings, match="not expected"):
+    with pytest.raises(SettingsError, match="not expected"):
         parse(text(16385))
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from copperyard.config import BadSettings, load, parse
-from copperyard.config.units import duration, parse_rate_kb, parse_size
+from copperyard.config import SettingsError, load, parse
+from copperyard.config.units import parse_duration, parse_rate_kb, parse_size
 from copperyard.interface import Effect
 
 PATH = Path(__file__).parent.parent.parent / "examples" / "caruso.xml"
@@ -18,7 +18,7 @@
     for old, new in changes:
         assert old in text
         text = text.replace(old, new, 1)
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(text.encode(), "site.xml")
     return caught.value
 
@@ -34,13 +34,17 @@
     paid = settings.classes[1]
     assert (paid.effect, paid.floor, paid.seats, paid.deadline) == (Effect.UNSAFE, 1, 6, 3 * 10**9)
     assert (
-        site.rules_of("gw-2", 5).settings == replace(settings, rank_and_offset=(1, 5)) and len(site.catalogue()) == 12
+        site.rules_for("gw-2", 5).settings == replace(settings, rank_and_offset=(1, 5)) and len(site.catalogue()) == 12
     )
-    assert site.lab is not None and site.lab.scale == 0.01
+    assert site.lab is not None and site.lab.media_scale == 0.01
 
 
 def test_units_are_converted():
-    assert (duration("250ms"), duration("1.5s"), duration("2min")) == (250_000_000, 1_500_000_000, 120 * 10**9)
+    assert (parse_duration("250ms"), parse_duration("1.5s"), parse_duration("2min")) == (
+        250_000_000,
+        1_500_000_000,
+        120 * 10**9,
+    )
     assert (parse_rate_kb("700kB/s"), parse_rate_kb("1.5MB/s"), parse_size("64kB")) == (700.0, 1500.0, 64_000)
 
 
@@ -83,7 +87,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"<copperyard>", b"<other/>", b"\xff\xfe", b"<copperyard/>"])
 def test_documents_of_another_kind_are_rejected(data):
-    with pytest.raises(BadSettings):
+    with pytest.raises(SettingsError):
         parse(data)
 
 
@@ -92,6 +96,6 @@
     secret.write_text("hidden")
     text = GOOD.replace("<copperyard>", f'<!DOCTYPE copperyard [<!ENTITY x SYSTEM "file://{secret}">]>\n<copperyard>')
     text = text.replace("<zones>", "<zones>&x;")
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(text.encode())
     assert "hidden" not in str(caught.value)
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -112,7 +112,7 @@
             await nursery.start(relay.run)
             pair = Pair(TcpNetwork(), make, relay)
             for name in "abc":
-                await pair.start(nursery, name, {b: relay.ports[name, b] for b in "abc" if b != name})
+                await pair.start(nursery, name, {b: relay.addresses[name, b] for b in "abc" if b != name})
             await test(pair, nursery)
             nursery.cancel_scope.cancel()
 
@@ -153,7 +153,7 @@
         if number in (60, 180):
             pair.scopes["b"].cancel()
             await trio.sleep(0.05)
-            await pair.start(nursery, "b", pair.relay and {b: pair.relay.ports["b", b] for b in "ac"})
+            await pair.start(nursery, "b", pair.relay and {b: pair.relay.addresses["b", b] for b in "ac"})
         await trio.sleep(0.01)
     await pair.until(lambda: 299 in pair.numbers())
     got = pair.numbers()
@@ -210,7 +210,7 @@
     pair.scopes["a"].cancel()
     await trio.sleep(0.05)
     before = pair.numbers()
-    await pair.start(nursery, "a", pair.relay and {b: pair.relay.ports["a", b] for b in "bc"})
+    await pair.start(nursery, "a", pair.relay and {b: pair.relay.addresses["a", b] for b in "bc"})
     pair.send("b", 1000)
     await pair.until(lambda: 1000 in pair.numbers())
     assert pair.numbers()[: len(before)] == before == list(range(len(before)))
@@ -383,13 +383,13 @@
         pair.send("a", 2, sender="b")
         await pair.until(lambda: pair.numbers("a", "b") == [1, 2])
         assert pair.numbers() == [1]
-        relay.whole()
+        relay.restore()
         await pair.until(lambda: pair.send("b", 3) or 3 in pair.numbers())
-        relay.ways["a", "b"].reset = 0.5
+        relay.directions["a", "b"].reset = 0.5
         for number in range(10, 60):
             pair.send("b", number, size=3000)
             await trio.sleep(0.02)
-        relay.whole()
+        relay.restore()
         await pair.until(lambda: pair.send("b", 99) or 99 in pair.numbers())
         got = [n for n in pair.numbers() if 10 <= n < 60]
         assert relay.resets > 0 and got == sorted(set(got)) and len(got) < 50
--- a/tests/contracts/test_log_stores.py
+++ b/tests/contracts/test_log_stores.py
@@ -12,7 +12,7 @@
 from copperyard.gateway.disk import LockedError
 from copperyard.gateway.peers import log_store as module
 from copperyard.gateway.peers.log_store import FileLogStore, SqliteLogStore
-from copperyard.lab.sites.shelf import MemoryShelf, Plate
+from copperyard.lab.sites.memory_log_store import LogDisk, MemoryLogStore
 from copperyard.state.agreement.log_store import DamagedStoreError
 
 
@@ -94,32 +94,32 @@
 
 
 class OfMemory:
-    def __init__(self, folder, make=MemoryShelf):
-        self.plate, self.make = Plate(), make
+    def __init__(self, folder, make=MemoryLogStore):
+        self.plate, self.make = LogDisk(), make
 
     def store(self):
         return self.make(self.plate)
 
     def fill_disk(self, after):
-        self.plate.full = after
+        self.plate.free_bytes = after
 
     def free_disk(self):
-        self.plate.full = None
+        self.plate.free_bytes = None
 
     def died(self, store):
         store.close()
         self.plate.torn.append(b"torn")
 
     def flips(self):
-        return range(len(self.plate.rows))
+        return range(len(self.plate.records))
 
     def flip(self, at):
-        self.saved = list(self.plate.rows)
-        body, check = self.plate.rows[at]
-        self.plate.rows[at] = (bytes([body[0] ^ 16]) + body[1:], check)
+        self.saved = list(self.plate.records)
+        body, check = self.plate.records[at]
+        self.plate.records[at] = (bytes([body[0] ^ 16]) + body[1:], check)
 
     def mend(self):
-        self.plate.rows = self.saved
+        self.plate.records = self.saved
 
 
 def read(kind):
@@ -274,19 +274,19 @@
     trio.run(main)
 
 
-class Unlocked(MemoryShelf):
+class Unlocked(MemoryLogStore):
     def open(self, owner):
-        self.plate.holder = ""
+        self.disk.holder = ""
         return super().open(owner)
 
 
-class Unchecked(MemoryShelf):
+class Unchecked(MemoryLogStore):
     def open(self, owner):
-        self.plate.rows = [(body, self.plate.check(n, body)) for n, (body, _) in enumerate(self.plate.rows)]
+        self.disk.records = [(body, self.disk.checksum(n, body)) for n, (body, _) in enumerate(self.disk.records)]
         return super().open(owner)
 
 
-class Loses(MemoryShelf):
+class Loses(MemoryLogStore):
     """A defect: records reach the disk only with the next write."""
 
     async def append(self, records):
@@ -294,7 +294,7 @@
         await super().append(waiting)
 
 
-class Half(MemoryShelf):
+class Half(MemoryLogStore):
     """A defect: records are written one by one, and a cancelled write stays incomplete."""
 
     async def append(self, records):
@@ -311,7 +311,7 @@
         super()._append(records)
 
 
-class Silent(MemoryShelf):
+class Silent(MemoryLogStore):
     """A defect: a full disk is not reported."""
 
     async def _write(self, records, before):
@@ -321,11 +321,11 @@
             pass
 
 
-class Takes(MemoryShelf):
+class Takes(MemoryLogStore):
     """A defect: a torn tail counts as records."""
 
     def open(self, owner):
-        torn = list(self.plate.torn)
+        torn = list(self.disk.torn)
         return super().open(owner) + torn
 
 
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -18,7 +18,7 @@
     StopAttempt,
 )
 from copperyard.control.rules import AdmissionRule, Bounds, FrontRules
-from copperyard.protocol.rtsp import Connection, Limits, Reply, Request, Response
+from copperyard.protocol.rtsp import Connection, Limits, MatchedResponse, Request, Response
 from copperyard.protocol.rtsp.messages import Headers
 from tests import helpers
 
@@ -84,7 +84,7 @@
         return new
 
     def reply(self, request, status=200, headers=(), body=b""):
-        return Connection.answer(request, Response(status, headers, body))
+        return Connection.encode_response(request, Response(status, headers, body))
 
     def good(self, request):
         """Return the answer of a host that accepts the request."""
@@ -115,7 +115,7 @@
 
     def ask(self, method, url="rtsp://gw/films/a", headers=(), now=None):
         """Send a request and return its CSeq."""
-        cseq, data = self.wire.ask(method, url, headers)
+        cseq, data = self.wire.make_request(method, url, headers)
         self.send(data, now)
         return cseq
 
@@ -128,7 +128,7 @@
 
     def answer(self, cseq):
         self.hear()
-        found = [e.response for e in self.events if isinstance(e, Reply) and e.cseq == cseq]
+        found = [e.response for e in self.events if isinstance(e, MatchedResponse) and e.cseq == cseq]
         return found[0] if found else None
 
     def set_up(self, url="rtsp://gw/films/a", tracks=2, query=""):
--- a/tests/control/test_life.py
+++ b/tests/control/test_life.py
@@ -3,7 +3,14 @@
 import pytest
 
 from copperyard.control.io_actions import FlushAttempt
-from copperyard.protocol.rtp import Block, Packet, ReceiverReport, encode_compound, pack, parse_compound
+from copperyard.protocol.rtp import (
+    ReceiverReport,
+    ReportBlock,
+    RtpHeader,
+    encode_compound,
+    encode_packet,
+    parse_compound,
+)
 from copperyard.protocol.rtsp import Connection, Frame
 from tests.control.helpers import BOUNDS, MS, SECOND, WIRE, Viewer, front, play_through, starts
 
@@ -26,11 +33,13 @@
 
 def send_picture(core, attempt, now, n=0):
     """Let the host send one picture."""
-    core.session_table.received(now, attempt, Connection.frame(0, pack(Packet(26, n, n * 3600, 77), b"x" * 40)))
+    core.session_table.received(
+        now, attempt, Connection.encode_frame(0, encode_packet(RtpHeader(26, n, n * 3600, 77), b"x" * 40))
+    )
 
 
 def receiver_report(ssrc, highest=0):
-    return encode_compound([ReceiverReport(5, (Block(ssrc, 3, 7, highest, 11, 22, 33),))], 5)
+    return encode_compound([ReceiverReport(5, (ReportBlock(ssrc, 3, 7, highest, 11, 22, 33),))], 5)
 
 
 def has_session_at(core, now):
@@ -48,7 +57,7 @@
         now += IDLE // 2
         core.wake(now)
         if kind == "receiver reports":
-            viewer.send(Connection.frame(1, receiver_report(1)), now)
+            viewer.send(Connection.encode_frame(1, receiver_report(1)), now)
         else:
             assert viewer.answer(viewer.ask(kind, FILM, session, now)).status == 200
     assert has_session_at(core, now + IDLE - MS)
@@ -121,7 +130,7 @@
     host.read()
     told = (1 << 16) + splice.seq - 1 & 0xFFFFFFFF
     for n in range(10):
-        viewer.send(Connection.frame(1, receiver_report(splice.ssrc, told)), SECOND + n * MS)
+        viewer.send(Connection.encode_frame(1, receiver_report(splice.ssrc, told)), SECOND + n * MS)
     assert sum(isinstance(o, FlushAttempt) for o in core.take_io_actions()) == 1
     wire = Connection(WIRE)
     (frame,) = [e for e in wire.receive(bytes(attempt.out)) if isinstance(e, Frame)]
@@ -129,8 +138,14 @@
     assert compound is not None
     report = compound[0]
     (block,) = report.blocks
-    assert frame.channel == 1 and block.ssrc == 77 and block.highest & 0xFFFF == 500
-    assert (block.lost_share, block.lost, block.jitter, block.last_sr, block.delay) == (3, 7, 11, 22, 33)
+    assert frame.channel == 1 and block.ssrc == 77 and block.highest_seq & 0xFFFF == 500
+    assert (block.fraction_lost, block.cumulative_lost, block.jitter, block.last_sr, block.delay_since_sr) == (
+        3,
+        7,
+        11,
+        22,
+        33,
+    )
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x80", b"\x81\xc9\x00\x07" + bytes(8), receiver_report(12345)])
@@ -138,7 +153,7 @@
     core, viewer, session, attempt, host = playing()
     send_picture(core, attempt, 2 * MS)
     host.read()
-    viewer.send(Connection.frame(1, payload), SECOND)
+    viewer.send(Connection.encode_frame(1, payload), SECOND)
     assert not attempt.out and core.rtsp_server.sessions
 
 
@@ -147,5 +162,5 @@
     send_picture(core, attempt, 2 * MS)
     splice = core.rtsp_server.sessions[session[0][1]].playing_splices[0]
     for n in range(1000):
-        viewer.send(Connection.frame(1, receiver_report(splice.ssrc)), (n + 1) * 2 * SECOND)
+        viewer.send(Connection.encode_frame(1, receiver_report(splice.ssrc)), (n + 1) * 2 * SECOND)
     assert len(attempt.out) < 8192 + 200
--- a/tests/control/test_parts.py
+++ b/tests/control/test_parts.py
@@ -13,7 +13,7 @@
 from copperyard.control.outbox import Outbox
 from copperyard.control.splice import Splice, splice_run
 from copperyard.control.timers import Timers
-from copperyard.protocol.rtp import Packet, SenderReport, pack, parse
+from copperyard.protocol.rtp import RtpHeader, SenderReport, encode_packet, parse_header
 from copperyard.protocol.rtsp import Connection
 from copperyard.protocol.rtsp.headers import parse_url
 from tests.control.helpers import ENTRIES, FILM, MS, SECOND, rules
@@ -85,12 +85,15 @@
 def test_a_splice_is_continuous_over_two_hosts():
     splice = Splice(90_000, 7, 65_530, 1000)
     assert splice.announce(0, 300, 50) == (65_530, 1000)
-    out = [parse(splice.packet(n * SECOND, pack(Packet(26, 300 + n, 50 + 90_000 * n, 99), b"data"))) for n in range(10)]
+    out = [
+        parse_header(splice.packet(n * SECOND, encode_packet(RtpHeader(26, 300 + n, 50 + 90_000 * n, 99), b"data")))
+        for n in range(10)
+    ]
     assert [p.seq for p in out] == [(65_530 + n) % 65536 for n in range(10)] and {p.ssrc for p in out} == {7}
     # another host continues two seconds later: no number repeats, and the clock has advanced
     seq, ts = splice.announce(11 * SECOND, 7, 4_000_000_000)
     assert seq == (65_540) % 65536 and ts == (1000 + 90_000 * 11) & 0xFFFFFFFF
-    after = parse(splice.packet(11 * SECOND, pack(Packet(26, 7, 4_000_000_000, 5), b"data")))
+    after = parse_header(splice.packet(11 * SECOND, encode_packet(RtpHeader(26, 7, 4_000_000_000, 5), b"data")))
     assert (after.seq, after.ts, after.ssrc) == (seq, ts, 7)
     report = splice.viewer_report(SenderReport(5, 1 << 40, 4_000_000_090, 1, 4))
     assert (report.ssrc, report.ts, report.packets, report.octets) == (7, ts + 90, 11, 44)
@@ -98,10 +101,13 @@
 
 def test_an_unannounced_source_change_makes_no_jump():
     splice = Splice(8000, 7, 10, 0)
-    splice.packet(0, pack(Packet(0, 500, 1000, 1), b""))
-    late = splice.packet(0, pack(Packet(0, 499, 840, 1), b""))
-    other = parse(splice.packet(SECOND, pack(Packet(0, 9, 70, 2), b"")))
-    assert parse(late).seq == (parse(splice.packet(SECOND, pack(Packet(0, 10, 230, 2), b""))).seq - 3) & 0xFFFF
+    splice.packet(0, encode_packet(RtpHeader(0, 500, 1000, 1), b""))
+    late = splice.packet(0, encode_packet(RtpHeader(0, 499, 840, 1), b""))
+    other = parse_header(splice.packet(SECOND, encode_packet(RtpHeader(0, 9, 70, 2), b"")))
+    assert (
+        parse_header(late).seq
+        == (parse_header(splice.packet(SECOND, encode_packet(RtpHeader(0, 10, 230, 2), b""))).seq - 3) & 0xFFFF
+    )
     assert other.ssrc == 7 and splice.packet(0, b"no rtp") is None
 
 
@@ -170,11 +176,11 @@
     fast, plain = ([Splice(90_000, 7 + n, 65_530, 1000, 10 + 2 * n) for n in range(2)] for _ in range(2))
     run, wanted, controls = bytearray(), b"", []
     for channel, seq, ts, ssrc, size in frames:
-        data = pack(Packet(26, seq & 0xFFFF, ts & 0xFFFFFFFF, ssrc), b"x" * size) if size > 2 else b"odd"
-        run += Connection.frame(channel, data)
+        data = encode_packet(RtpHeader(26, seq & 0xFFFF, ts & 0xFFFFFFFF, ssrc), b"x" * size) if size > 2 else b"odd"
+        run += Connection.encode_frame(channel, data)
         if channel in (0, 2):
             one = plain[channel // 2].packet(5, data)
-            wanted += Connection.frame(10 + channel, one) if one is not None else b""
+            wanted += Connection.encode_frame(10 + channel, one) if one is not None else b""
         elif channel in (1, 3):
             controls.append((channel // 2, data))
     kept, control = splice_run(5, run, fast)
--- a/tests/control/test_rtsp_server.py
+++ b/tests/control/test_rtsp_server.py
@@ -169,7 +169,7 @@
     core = front()
     viewer = Viewer(core)
     session = viewer.set_up()
-    viewer.send(b"".join(viewer.wire.ask("PLAY", FILM, session)[1] for _ in range(2)))
+    viewer.send(b"".join(viewer.wire.make_request("PLAY", FILM, session)[1] for _ in range(2)))
     viewer.send(b"OPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n" * 40)
     assert any(isinstance(o, CloseViewer) for o in core.take_io_actions())
     assert len(viewer.connection.pending_responses) <= 33
--- a/tests/control/test_session_table.py
+++ b/tests/control/test_session_table.py
@@ -261,7 +261,7 @@
     core = front()
     viewer, play, attempt = request_session(core)
     host = play_through(core, attempt)
-    byes = b"".join(host.wire.frame(c, encode_compound([Bye((1,))], 1)) for c in (1, 3))
+    byes = b"".join(host.wire.encode_frame(c, encode_compound([Bye((1,))], 1)) for c in (1, 3))
     session = next(iter(core.rtsp_server.sessions))
     core.session_table.received(2 * MS, attempt, byes)
     assert attempt.outcome is OutcomeCode.OK
@@ -452,7 +452,7 @@
         answers = [e for e in viewer.events if getattr(e, "cseq", None) == cseq]
         assert len(answers) <= 1
         assert answers or viewer.connection.gone, "a request was left without an answer"
-        assert not any(type(e).__name__ == "Unasked" for e in viewer.events)
+        assert not any(type(e).__name__ == "UnsolicitedResponse" for e in viewer.events)
     io.finish()
     core = io.core
     assert (
--- a/tests/gateway/peers/test_service.py
+++ b/tests/gateway/peers/test_service.py
@@ -15,7 +15,7 @@
 from copperyard.gateway.peers.service import PeerService, PeerSettings
 from copperyard.lab import virtual
 from copperyard.lab.memnet import MemoryNetwork
-from copperyard.lab.sites.shelf import MemoryShelf, Plate
+from copperyard.lab.sites.memory_log_store import LogDisk, MemoryLogStore
 from copperyard.membership.gateways.cells import CellMap
 from copperyard.state.agreement.messages import FetchRequest
 
@@ -29,7 +29,7 @@
     def __init__(self):
         self.network = MemoryNetwork(seed=5)
         self.addresses = {name: f"127.0.0.1:{7000 + n}" for n, name in enumerate(NAMES)}
-        self.plates = {name: Plate() for name in NAMES}
+        self.plates = {name: LogDisk() for name in NAMES}
         self.lines, self.allocations, self.running, self.scopes = [], {}, {}, {}
         self.lives = 0
         server = {
@@ -47,7 +47,7 @@
         self.lives += 1
         place = CoordinatorConfig.of(name, CellMap(ROSTER, 3), NAMES, NAMES, TERMS)
         peer_settings = PeerSettings(
-            place, self.addresses[name], self.addresses, b"fleet", MemoryShelf(self.plates[name])
+            place, self.addresses[name], self.addresses, b"fleet", MemoryLogStore(self.plates[name])
         )
         gauge = Gauge(name, self.lives, 3, (SECOND,), TERMS, now())
         made = PeerService(
@@ -111,11 +111,11 @@
 def test_a_voter_with_a_full_disk_sends_nothing_until_there_is_room():
     async def test(world, nursery):
         leader = world.leader()
-        world.plates[leader].full = 0
+        world.plates[leader].free_bytes = 0
         await trio.sleep(15)
         assert world.leader() not in (None, leader)
         assert len(world.events(leader, "shelf failed")) == 1
-        world.plates[leader].full = None
+        world.plates[leader].free_bytes = None
         await trio.sleep(5)
         assert len(world.events(leader, "shelf well again")) == 1
         assert len({one.coordinator.plan.epoch for one in world.running.values()}) == 1
@@ -128,8 +128,8 @@
         name = next(n for n in NAMES if n != world.leader())
         world.scopes[name].cancel()
         await trio.sleep(1)
-        body, check = world.plates[name].rows[2]
-        world.plates[name].rows[2] = (body + b"x", check)
+        body, check = world.plates[name].records[2]
+        world.plates[name].records[2] = (body + b"x", check)
         await world.start(nursery, name)
         await trio.sleep(6)
         assert world.events(name, "shelf damaged")
@@ -148,7 +148,7 @@
 def test_actions_that_wait_for_a_full_disk_are_bounded_and_the_voter_returns_with_room():
     async def test(world, nursery):
         name = next(n for n in NAMES if n != world.leader())
-        world.plates[name].full = 0
+        world.plates[name].free_bytes = 0
         coordinator = world.running[name].coordinator
         coordinator.council._set_term(coordinator.council.term + 1, "")  # something that has to become durable
         for _ in range(2):  # the first ones are taken by the durable task, which then waits for the disk
@@ -157,7 +157,7 @@
             assert coordinator.disk_behind and len(coordinator._durable_actions) < MAX_PENDING_WRITES + 10
             await trio.sleep(15)
         assert coordinator.disk_behind
-        world.plates[name].full = None
+        world.plates[name].free_bytes = None
         await trio.sleep(12)
         assert (
             len(coordinator._durable_actions) < 10
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -6,10 +6,10 @@
 
 from copperyard.gateway.daemon import Gateway
 from copperyard.lab import virtual
-from copperyard.lab.audit import Auditor, Side
+from copperyard.lab.audit import Auditor, TappedConnection
 from copperyard.lab.fleet import Fleet
 from copperyard.lab.memnet import MemoryNetwork
-from copperyard.lab.viewers import Broken, Client
+from copperyard.lab.viewers import Client, ConnectionBrokenError
 from tests.lab.helpers import MS, site
 
 QUIET = {"log": lambda event, fields: None}
@@ -107,7 +107,7 @@
                 try:
                     while True:
                         await bad.read()
-                except Broken:
+                except ConnectionBrokenError:
                     pass
             bad.stream.close()
         good.frames.clear()
@@ -137,7 +137,7 @@
         _, answer = await opened(await connect(fleet))
         assert answer.status == 200
         fleet.lists.body = original_body
-        fleet.lists.later(fleet.hosts[0], "draining")
+        fleet.lists.publish_later(fleet.hosts[0], "draining")
         await trio.sleep(2)
         core = fleet.gateways[0].gateway.core
         assert not core.session_table.hosts.may_start(core.roster.numbers["h0"])
@@ -226,7 +226,7 @@
         try:
             await bad.read()
             raise AssertionError("the connection went on")
-        except Broken:
+        except ConnectionBrokenError:
             pass
         core.rtsp_server.received = original
         assert (await client.call("OPTIONS", "*")).status == 200
@@ -248,7 +248,7 @@
                     await opened(client)
                     while True:
                         await client.read()
-                except (Broken, OSError):
+                except (ConnectionBrokenError, OSError):
                     return
 
             async with trio.open_nursery() as nursery:
@@ -266,10 +266,12 @@
         network = MemoryNetwork()
         taken = await network.listen("127.0.0.1:5")
         one = site()
-        from copperyard.gateway.daemon import Station
-        from copperyard.gateway.listing import list_place
+        from copperyard.gateway.daemon import GatewayConfig
+        from copperyard.gateway.listing import parse_list_url
 
-        station = Station("g", taken.address, one.rules, one.catalogue(), one.zones, list_place("http://a:1/", 1, 2))
+        station = GatewayConfig(
+            "g", taken.address, one.rules, one.catalogue(), one.zones, parse_list_url("http://a:1/", 1, 2)
+        )
         try:
             await Gateway(station, network, 1, random.Random(1), QUIET["log"]).run()
         except OSError as error:
@@ -279,7 +281,7 @@
 
 
 def test_tap_parses_messages_however_they_are_split():
-    side = Side("x")
+    side = TappedConnection("x")
     for byte in b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n$\0\0\1x":
         side.sent(5, bytes((byte,)))
     assert side.messages[0][2].method == "OPTIONS" and side.frames == 1
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -7,12 +7,12 @@
 import trio
 
 from copperyard.control.session_table import SessionTable
-from copperyard.gateway.daemon import StateRefused
+from copperyard.gateway.daemon import StateRefusedError
 from copperyard.lab import virtual
 from copperyard.lab.audit import Auditor
 from copperyard.lab.fleet import Fleet
 from copperyard.lab.memnet import MemoryNetwork
-from copperyard.lab.viewers import Broken, Client
+from copperyard.lab.viewers import Client, ConnectionBrokenError
 from copperyard.state.journal_writer import Append
 from tests.gateway.test_gateway import opened
 from tests.lab.helpers import MS, site_text
@@ -58,10 +58,10 @@
                 self.statuses.append(answer.status)
                 await trio.sleep(0.05)
                 return answer.status
-        except (Broken, OSError):
+        except (ConnectionBrokenError, OSError):
             pass
         finally:
-            client.side.ended(round(trio.current_time() * 1e9), True)
+            client.tapped.ended(round(trio.current_time() * 1e9), True)
             client.stream.close()
         return None
 
@@ -99,7 +99,7 @@
     """Check that no rule was broken in any run of the gateway. How often the code was sent to be redeemed."""
     breaks = Auditor(scenario.fleet.site.rules, scenario.fleet.tap, 5 * MS, 10 * MS, True).check()
     assert not breaks, breaks
-    asked = [code for _, code, _ in scenario.fleet.office.asked if code == "family7"]
+    asked = [code for _, code, _ in scenario.fleet.redemption.calls if code == "family7"]
     assert len(asked) <= 1, asked
     return len(asked)
 
@@ -155,7 +155,7 @@
         await scenario.ask()
 
     scenario = run(body)
-    asked = [code for _, code, _ in scenario.fleet.office.asked]
+    asked = [code for _, code, _ in scenario.fleet.redemption.calls]
     assert asked.count("family7") == 2
 
 
@@ -182,7 +182,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(scenario.ask)
             await trio.sleep(0.3)
-            carrier = next(h for h in scenario.fleet.hosts if scenario.fleet.office.asked[0][2] == h.name)
+            carrier = next(h for h in scenario.fleet.hosts if scenario.fleet.redemption.calls[0][2] == h.name)
             scenario.fleet.crash(carrier)
             await scenario.restart()
         await trio.sleep(1)
@@ -215,7 +215,7 @@
     assert check_rules(scenario) == 1
     events = [event for event, _ in scenario.log]
     assert "journal failed" in events and "journal well again" in events
-    assert sum(1 for _, code, _ in scenario.fleet.office.asked if code == "other2") == 1
+    assert sum(1 for _, code, _ in scenario.fleet.redemption.calls if code == "other2") == 1
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EROFS, errno.EIO])
@@ -282,11 +282,11 @@
         scenario.fleet.kill_gateway(scenario.gateway)
         await trio.sleep(0.1)
         name = next(n for n in scenario.disk.names() if n.endswith(".seg"))
-        scenario.disk._live[name].data[60] ^= 4
+        scenario.disk._files[name].data[60] ^= 4
         with pytest.raises(BaseExceptionGroup) as caught:
             async with trio.open_nursery() as nursery:
                 await nursery.start(_again(scenario).run)
-        assert caught.group_contains(StateRefused)
+        assert caught.group_contains(StateRefusedError)
 
     run(body)
 
@@ -365,7 +365,7 @@
     scenario = run(body, one)
     breaks = Auditor(one.rules, scenario.fleet.tap, 5 * MS, 10 * MS, True).check()
     assert not breaks, breaks
-    codes = [code for _, code, _ in scenario.fleet.office.asked]
+    codes = [code for _, code, _ in scenario.fleet.redemption.calls]
     assert len(codes) == len(set(codes)) > 5
 
 
@@ -378,7 +378,7 @@
         wall = MemoryDisk.wall
         scenario.disk.wall = lambda: wall(scenario.disk) + jump
         await scenario.restart()
-        writer = scenario.gateway.gateway._store.book
+        writer = scenario.gateway.gateway._journal.book
         assert 0 <= writer.state.service_time < 2 * 3600 * 10**9
         await trio.sleep(61)
         assert len(writer.state.codes) == 1
@@ -399,7 +399,7 @@
         assert len(scenario.gateway.gateway.core.session_table.codes) == 1
         await trio.sleep(130)
         assert len(scenario.gateway.gateway.core.session_table.codes) == 0
-        assert not scenario.gateway.gateway._store.book.state.codes
+        assert not scenario.gateway.gateway._journal.book.state.codes
 
     run(body, parse(text.encode()))
 
@@ -418,7 +418,7 @@
         assert await scenario.ask() == 200
 
     scenario = run(body, one)
-    assert len(scenario.fleet.office.receipts) == 1
+    assert len(scenario.fleet.redemption.receipts) == 1
 
 
 def test_a_compaction_killed_at_several_operations_loses_nothing():
@@ -426,25 +426,25 @@
         for n in range(6):
             await scenario.ask(f"?code=many{n}")
         for operation in (2, 4, 1, 5):
-            writer = scenario.gateway.gateway._store.book
+            writer = scenario.gateway.gateway._journal.book
             scenario.disk.operations, scenario.disk.crash_at = 0, operation
             crashed = scenario.disk.crashed
             writer.compact()
-            scenario.gateway.gateway._store.notify()
+            scenario.gateway.gateway._journal.notify()
             with trio.move_on_after(1):
                 await crashed.wait()
             assert crashed.is_set()
             await scenario.restart(True)
             await trio.sleep(0.3)
-            assert len(scenario.gateway.gateway._store.book.state.codes) == 6
-        scenario.gateway.gateway._store.book.compact()
-        scenario.gateway.gateway._store.notify()
+            assert len(scenario.gateway.gateway._journal.book.state.codes) == 6
+        scenario.gateway.gateway._journal.book.compact()
+        scenario.gateway.gateway._journal.notify()
         await trio.sleep(1)
         assert not [name for name in scenario.disk.names() if name.endswith(".part")]
         assert [name for name in scenario.disk.names() if name.endswith(".snap")]
 
     scenario = run(body)
-    kept_codes = [code for _, code, _ in scenario.fleet.office.asked]
+    kept_codes = [code for _, code, _ in scenario.fleet.redemption.calls]
     assert len(kept_codes) == len(set(kept_codes)) == 6
 
 
@@ -459,7 +459,7 @@
     async def body(scenario):
         scenario.disk.pause = 0.1
         assert await scenario.ask() == 200
-        scenario.fleet.crash(next(h for h in scenario.fleet.hosts if scenario.fleet.office.asked[0][2] == h.name))
+        scenario.fleet.crash(next(h for h in scenario.fleet.hosts if scenario.fleet.redemption.calls[0][2] == h.name))
         scenario.fleet.kill_gateway(scenario.gateway)
         scenario.disk.power_cut()
         scenario.disk.pause = 0.0
@@ -471,10 +471,10 @@
 
 
 def test_a_set_up_that_waited_for_the_disk_is_sent_after_the_unread_list(monkeypatch):
-    from copperyard.gateway.listing import Follower
+    from copperyard.gateway.listing import ListFollower
 
     steps = []
-    look, leave = Follower.catch_up, SessionTable.journal_advanced
+    look, leave = ListFollower.catch_up, SessionTable.journal_advanced
 
     async def looked(self, most):
         await look(self, most)
@@ -484,7 +484,7 @@
         steps.append("leave")
         leave(self, now)
 
-    monkeypatch.setattr(Follower, "catch_up", looked)
+    monkeypatch.setattr(ListFollower, "catch_up", looked)
     monkeypatch.setattr(SessionTable, "journal_advanced", left)
 
     async def body(scenario):
--- a/tests/gateway/test_sockets.py
+++ b/tests/gateway/test_sockets.py
@@ -63,7 +63,7 @@
     site = load(SETTINGS)
     calm = load_rehearsal(str(ROOT / "copperyard" / "lab" / "days" / "calm.xml"), site)
     result = trio.run(run_rehearsal, site, calm, TcpNetwork(), 1, 100 * MS, 300 * MS)
-    assert not result.breaks, result.breaks
+    assert not result.violations, result.violations
     assert result.summary["requests"] == len(result.visits) > 20
     assert all(v.statuses == [200] for v in result.visits)
     assert not any(v.faults for v in result.visits)
--- a/tests/gateway/test_stopped.py
+++ b/tests/gateway/test_stopped.py
@@ -110,5 +110,5 @@
         for host in rng.sample(fleet.hosts, len(fleet.hosts)):
             fleet.lists.publish(host, "draining")
         await trio.sleep(0.5)
-        fleet.tap.front_stood(fleet.stopped, round(trio.current_time() * 1e9), "gw-0")
+        fleet.tap.gateway_stalled(fleet.stopped, round(trio.current_time() * 1e9), "gw-0")
         os.kill(pid, signal.SIGCONT)
--- a/tests/lab/helpers.py
+++ b/tests/lab/helpers.py
@@ -7,10 +7,10 @@
 from copperyard.config import parse
 from copperyard.gateway.daemon import Gateway
 from copperyard.lab import virtual
+from copperyard.lab.faults import DEFAULT_STRENGTH, Fault, Whom
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.rehearsal import Load, Rehearsal
 from copperyard.lab.run import run_rehearsal
-from copperyard.lab.strikes import DEFAULT_STRENGTH, Fault, Whom
 
 MS, SECOND = 1_000_000, 1_000_000_000
 TRACKS = (
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -14,25 +14,25 @@
 
 
 def broken(result):
-    return {b.rule for b in result.breaks}
+    return {b.rule for b in result.violations}
 
 
 def both(one, script, make):
     """Check that the intact gateway violates no rule in this rehearsal; return the rules that the other violates."""
     whole = play(one, script)
-    assert not whole.breaks, whole.breaks[:3]
+    assert not whole.violations, whole.violations[:3]
     return broken(play(one, script, make=make))
 
 
 def test_detects_missing_answer(monkeypatch):
     script = day(fault("errors", 0.0, 5.0, 0, 1, 2, 3, hard=1.0), paid=1.0)
-    assert not play(site(), script).breaks
+    assert not play(site(), script).violations
     monkeypatch.setattr(RtspSession, "failed", lambda self, now, code: None)
     assert 1 in broken(play(site(), script))
 
 
 def test_detects_duplicate_answer(monkeypatch):
-    assert not play(site(), CROWD).breaks
+    assert not play(site(), CROWD).violations
     whole = RtspSession.played
 
     def twice(self, now, infos):
@@ -60,14 +60,14 @@
 
 def test_detects_code_sent_twice(monkeypatch):
     script = day(misbehave=0.9, paid=1.0, rate=8.0)
-    assert not play(site(), script).breaks
+    assert not play(site(), script).violations
     monkeypatch.setattr(Redemptions, "claim", lambda self, code, ref: ClaimResult.REDEEM)
     assert 2 in broken(play(site(), script))
 
 
 def test_detects_concurrent_attempts(monkeypatch):
     script = day(fault("answers-lost", 1.0, 6.0, 0, 1), paid=0.0)
-    assert not play(site(), script).breaks
+    assert not play(site(), script).violations
     whole = SessionTable._send
 
     def doubled(self, now, action):
@@ -85,7 +85,7 @@
 
 def test_detects_setup_on_draining_host(monkeypatch):
     script = day(fault("drain", 2.0, 8.0, 0))
-    assert not play(site(), script).breaks
+    assert not play(site(), script).violations
     whole = SessionTable.list_updated
 
     def deaf(self, now, news, addresses):
@@ -148,9 +148,9 @@
     one, tap = site(), Tap()
     side = tap.viewer_connection("gw-0")
     side.sent(2 * SECOND, b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n")
-    side.got(2 * SECOND, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")
+    side.received(2 * SECOND, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")
     side.sent(4 * SECOND, b"OPTIONS * RTSP/1.0\r\nCSeq: 2\r\n\r\n")
     if killed is not None:
-        tap.front_killed(killed * SECOND + (SECOND // 2 if killed == 9 else 0), "gw-0")
+        tap.gateway_killed(killed * SECOND + (SECOND // 2 if killed == 9 else 0), "gw-0")
     breaks = Auditor(one.rules, tap, 5 * MS, 10 * MS).check()
     assert [b.rule for b in breaks] == ([] if excused else [1])
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_bad_day_violates_no_rule(seed):
     result = play(SITE, BAD, seed)
-    assert not result.breaks, result.breaks
+    assert not result.violations, result.violations
     summary = result.summary
     assert summary["redeemed_twice"] == 0 and summary["stream_faults"] <= 1
     assert summary["requests"] > 200 and summary["in_time"] > 0.8
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 
 from copperyard.cli.main import app
-from copperyard.config import BadSettings, load, parse
+from copperyard.config import SettingsError, load, parse
 from copperyard.lab import baselines, experiment, virtual
 from copperyard.lab.memnet import MemoryNetwork
 from copperyard.lab.rehearsal import Crowd, load_rehearsal, parse_rehearsal
@@ -48,7 +48,7 @@
     ],
 )
 def test_mistakes_are_reported_with_line_and_value(line, wanted):
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse_rehearsal((HEAD + line + "\n</rehearsal>").encode(), CARUSO, "r.xml")
     assert wanted in str(caught.value) and str(caught.value).startswith("r.xml:line ")
     assert caught.value.mistakes[-1].line in (3, 4)
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"<x/>", b"<!DOCTYPE rehearsal><rehearsal/>"])
 def test_rejects_other_documents(data):
-    with pytest.raises(BadSettings):
+    with pytest.raises(SettingsError):
         parse_rehearsal(data, CARUSO)
 
 
@@ -64,14 +64,14 @@
 def test_example_incidents_are_valid(path):
     floors = "three-floors" in path.read_text()
     found = load_rehearsal(str(path), FLOORS if floors else CARUSO)
-    assert found.name == path.stem and len(found.teaches) > 20 and (found.strikes or found.crowds)
+    assert found.name == path.stem and len(found.teaches) > 20 and (found.faults or found.crowds)
 
 
 def test_example_incidents_cover_fault_kinds():
     kinds = {
         s.kind
         for p in INCIDENTS
-        for s in load_rehearsal(str(p), FLOORS if "three-floors" in p.read_text() else CARUSO).strikes
+        for s in load_rehearsal(str(p), FLOORS if "three-floors" in p.read_text() else CARUSO).faults
     }
     assert (
         kinds
@@ -101,7 +101,7 @@
     path = ROOT / "examples" / "incidents" / f"{name}.xml"
     where = FLOORS if "three-floors" in path.read_text() else CARUSO
     result = play(where, load_rehearsal(str(path), where), 2)
-    assert not result.breaks, result.breaks
+    assert not result.violations, result.violations
     assert result.summary["redeemed_twice"] == 0 and result.summary["in_time"] > 0.5
 
 
@@ -132,7 +132,7 @@
         )
 
     result = virtual.run(main, 1)
-    assert not result.breaks, result.breaks
+    assert not result.violations, result.violations
     assert sum("on trial" in text for event, text in lines if event == "module") <= 4
 
 
@@ -229,7 +229,7 @@
 
 def test_changes_settings_by_path():
     text = (ROOT / "examples" / "caruso.xml").read_bytes()
-    assert parse(experiment.changed(text, ["rules/attempts=2"], "x")).rules.settings.max_attempts == 2
+    assert parse(experiment.apply_changes(text, ["rules/attempts=2"], "x")).rules.settings.max_attempts == 2
 
 
 @pytest.mark.parametrize("places", [1, 2, 8])
@@ -247,6 +247,6 @@
     )
     for seed in (1, 2):
         found = play(one, script, seed)
-        assert not found.breaks, (seed, found.breaks[:2])
+        assert not found.violations, (seed, found.violations[:2])
         late = [t for t in found.attempts if t.time > 3 * 10**9]
         assert late, "cold hosts are used all the same"
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -15,7 +15,7 @@
 from typer.testing import CliRunner
 
 from copperyard.cli.main import app
-from copperyard.config import BadSettings, parse
+from copperyard.config import SettingsError, parse
 from copperyard.gateway.net import TcpNetwork
 from copperyard.lab.sites import layout, scale, site_settings
 from copperyard.lab.sites.hollow import CountingNetwork, plan_digest
@@ -37,7 +37,7 @@
 
 ROOT = Path(__file__).parents[2]
 SITES = ROOT / "examples" / "sites.xml"
-AMPLE = layout.Room(1e6, 1 << 20, 300, 60_000)
+AMPLE = layout.Resources(1e6, 1 << 20, 300, 60_000)
 COMMAND = [sys.executable, "-m", "copperyard.cli.main", "lab", "scale"]
 
 
@@ -48,7 +48,7 @@
 
 
 def prepare(gateways=40, real=4, processes=None, seconds=60.0, seed=1, text=None, faults=None, room=AMPLE):
-    wish = layout.Wish(gateways, real, processes, seconds, seed)
+    wish = layout.ScaleOptions(gateways, real, processes, seconds, seed)
     return layout.prepare(text, "site.xml", wish, faults, "faults.xml", room)
 
 
@@ -73,8 +73,8 @@
     first, other = (
         parse(with_addresses(one, {name: f"127.{k}.0.{n + 1}:7400" for n, name in enumerate(names)})) for k in (64, 65)
     )
-    assert first.common.fleet == other.common.fleet and first.common.reach != other.common.reach
-    assert first.common.fleet != parse(settings(13)).common.fleet
+    assert first.common.digest == other.common.digest and first.common.dial_addresses != other.common.dial_addresses
+    assert first.common.digest != parse(settings(13)).common.digest
 
 
 def test_concurrent_runs_take_different_address_blocks():
@@ -140,27 +140,27 @@
 
 
 def test_too_many_gateways_are_refused_with_the_number_that_fits():
-    room = layout.Room(3000, 20_000, 40, 1000)
-    with pytest.raises(layout.Refused, match="--gateways '5000': [0-9]+ fit this machine") as caught:
+    room = layout.Resources(3000, 20_000, 40, 1000)
+    with pytest.raises(layout.InfeasibleRunError, match="--gateways '5000': [0-9]+ fit this machine") as caught:
         prepare(5000, 4, room=room)
     most = int(str(caught.value).split("': ")[1].split()[0])
     assert 100 < most <= 1000 and prepare(most, 4, room=room)
-    with pytest.raises(layout.Refused):
+    with pytest.raises(layout.InfeasibleRunError):
         prepare(most + 1, 4, room=room)
 
 
 @pytest.mark.parametrize(
     "room",
     [
-        layout.Room(1000, 1 << 20, 300, 60_000),
-        layout.Room(1e6, 300, 300, 60_000),
-        layout.Room(1e6, 1 << 20, 10, 60_000),
-        layout.Room(1e6, 1 << 20, 300, 150),
+        layout.Resources(1000, 1 << 20, 300, 60_000),
+        layout.Resources(1e6, 300, 300, 60_000),
+        layout.Resources(1e6, 1 << 20, 10, 60_000),
+        layout.Resources(1e6, 1 << 20, 300, 150),
     ],
 )
 def test_memory_descriptors_processes_and_settings_each_limit_the_run(room):
     assert prepare(600)
-    with pytest.raises(layout.Refused, match="fit this machine"):
+    with pytest.raises(layout.InfeasibleRunError, match="fit this machine"):
         prepare(600, room=room)
 
 
@@ -233,7 +233,7 @@
 
 def test_settings_of_a_part_of_a_site_are_refused():
     text = SITES.read_bytes().replace(b"<gateways>", b'<gateways fronts="14">')
-    with pytest.raises(BadSettings, match="fronts '14': settings of other gateways"):
+    with pytest.raises(SettingsError, match="fronts '14': settings of other gateways"):
         prepare(20, text=text)
 
 
@@ -254,7 +254,7 @@
 
 def test_hollow_process_refuses_settings_with_another_fleet_digest(tmp_path):
     (tmp_path / "site.xml").write_bytes(settings(12))
-    other = parse(settings(13)).common.fleet.hex()
+    other = parse(settings(13)).common.digest.hex()
     found = subprocess.run(
         [sys.executable, "-m", "copperyard.lab.sites.hollow", str(tmp_path / "site.xml"), str(tmp_path), "1", other],
         input=b"",
@@ -280,7 +280,7 @@
             str(tmp_path / "site.xml"),
             str(tmp_path),
             "1",
-            parse(text).common.fleet.hex(),
+            parse(text).common.digest.hex(),
         ],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
@@ -425,12 +425,12 @@
     text, site, plan, _ = prepare(12, 0)
     block = AddressBlock()
     try:
-        run = scale.Scale(
+        run = scale.ScaleRun(
             site,
             text,
             layout.zone_regions(text),
             plan,
-            layout.Wish(12, 0, None, 60.0, 1),
+            layout.ScaleOptions(12, 0, None, 60.0, 1),
             tmp_path,
             block,
             lambda words: None,
--- a/tests/lab/test_sites.py
+++ b/tests/lab/test_sites.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from copperyard.config import BadSettings, load
-from copperyard.lab.sites.events import Events, Manner
-from copperyard.lab.sites.faults import LEADER, read_evening
+from copperyard.config import SettingsError, load
+from copperyard.lab.sites.faults import LEADER, read_scenario
+from copperyard.lab.sites.simulated_network import LinkConditions, SimulatedNetwork
 
 ROOT = Path(__file__).parents[2]
 SITE = load(str(ROOT / "examples" / "sites.xml"))
@@ -20,14 +20,14 @@
 @pytest.mark.parametrize("name", ["short", "council", "sites"])
 def test_packaged_scenarios_are_valid(name):
     place = ROOT / "copperyard" / "lab" / "sites" / "evenings" / f"{name}.xml"
-    found = read_evening(place.read_bytes(), SITE, name)
+    found = read_scenario(place.read_bytes(), SITE, name)
     assert found.name == name and found.faults and all(f.until < found.seconds for f in found.faults)
 
 
 def test_targets_are_zones_gateways_or_the_leader_and_the_other_end_defaults_to_all_others():
-    found = read_evening(scenario('<fault kind="cut" at="1s" for="2s" who="milano leader"/>'), SITE, "x").faults[0]
-    assert found.who == ("mi-1", "mi-2", "mi-3", LEADER) and len(found.others) == 9
-    found = read_evening(scenario('<fault kind="slow" at="1s" for="2s" who="pa-1" from="torino"/>'), SITE, "x").faults[
+    found = read_scenario(scenario('<fault kind="cut" at="1s" for="2s" who="milano leader"/>'), SITE, "x").faults[0]
+    assert found.targets == ("mi-1", "mi-2", "mi-3", LEADER) and len(found.others) == 9
+    found = read_scenario(scenario('<fault kind="slow" at="1s" for="2s" who="pa-1" from="torino"/>'), SITE, "x").faults[
         0
     ]
     assert found.others == ("to-1", "to-2") and (found.at, found.until) == (1.0, 3.0)
@@ -45,8 +45,8 @@
     ],
 )
 def test_a_mistake_is_reported_with_its_line(fault, words):
-    with pytest.raises(BadSettings) as caught:
-        read_evening(scenario(fault), SITE, "x")
+    with pytest.raises(SettingsError) as caught:
+        read_scenario(scenario(fault), SITE, "x")
     assert any(words in m.text and m.line == 2 for m in caught.value.mistakes), caught.value
 
 
@@ -72,7 +72,7 @@
 
 
 def pair(manner=None):
-    net = Events(3, manner or Manner())
+    net = SimulatedNetwork(3, manner or LinkConditions())
     one, two = Ticker("two"), Ticker("one")
     net.add("one", one)
     net.add("two", two)
@@ -81,7 +81,7 @@
 
 def test_a_one_way_cut_stops_one_direction_only():
     net, one, two = pair()
-    net.part(["one"], ["two"], both=False)
+    net.partition(["one"], ["two"], both=False)
     net.run(5000 * MS)
     assert two.heard == [] and len(one.heard) >= 4
     net.heal()
@@ -93,7 +93,7 @@
     net, one, two = pair()
     net.run(1500 * MS)
     before = len(two.heard)
-    net.stop("two", 4000 * MS)
+    net.pause("two", 4000 * MS)
     net.run(5400 * MS)
     assert len(two.heard) == before
     net.run(5600 * MS)
@@ -102,7 +102,7 @@
 
 def test_the_same_seed_gives_the_same_run():
     def play():
-        net, one, two = pair(Manner(loss=0.3, twice=0.3, delay=(1 * MS, 900 * MS)))
+        net, one, two = pair(LinkConditions(loss=0.3, duplication=0.3, delay=(1 * MS, 900 * MS)))
         net.run(60_000 * MS)
         return one.heard, two.heard, net.lost
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -52,7 +52,7 @@
 
 
 def breaks(seed):
-    return [f"rule {b.rule}" for b in world.run_scenario(world.draw(seed)).breaks]
+    return [f"rule {b.rule}" for b in world.run_scenario(world.draw(seed)).violations]
 
 
 def found_within(seeds):
@@ -90,13 +90,13 @@
 
 
 def test_finds_list_left_unread_after_stall(monkeypatch):
-    from copperyard.gateway.listing import Follower
+    from copperyard.gateway.listing import ListFollower
 
     async def passes(self, most):
         pass
 
-    monkeypatch.setattr(Follower, "catch_up", passes)
-    monkeypatch.setattr(Follower, "_drain", lambda self: False)
+    monkeypatch.setattr(ListFollower, "catch_up", passes)
+    monkeypatch.setattr(ListFollower, "_read_available", lambda self: False)
     assert any("rule 3" in text for seed in (9000568, 9000969, 9001469) for text in breaks(seed))
 
 
--- a/tests/membership/test_gateways.py
+++ b/tests/membership/test_gateways.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from copperyard.lab.sites.events import Manner
-from copperyard.lab.sites.simulated import World
+from copperyard.lab.sites.simulated_network import LinkConditions
+from copperyard.lab.sites.simulated_site import SimulatedMembership
 from copperyard.membership.gateways.members import Membership, ProbeTiming, SendMessage
 from copperyard.membership.gateways.messages import GossipUpdate, MemberState, Nack, Ping, PingRequest, ReachabilityRow
 from copperyard.membership.gateways.reachability import PathState, Reachability, ZoneReachability
@@ -12,7 +12,7 @@
 
 
 def test_nobody_dies_where_nothing_is_wrong():
-    world = World()
+    world = SimulatedMembership()
     world.run(120)
     assert world.deaths() == []
     sent = world.net.sent / 120 / 12
@@ -20,7 +20,7 @@
 
 
 def test_a_dead_gateway_is_known_to_all_within_a_bound():
-    world = World()
+    world = SimulatedMembership()
     world.run(20)
     begin = world.net.now
     world.net.kill("g3")
@@ -33,30 +33,30 @@
     one, zone = [], []
     for seed in range(6):
         for kill, found in ((1, one), (3, zone)):
-            world = World(seed, 15, 5)
+            world = SimulatedMembership(seed, 15, 5)
             world.run(20)
             begin = world.net.now
-            for name in world.of(2)[:kill]:
+            for name in world.gateways_in(2)[:kill]:
                 world.net.kill(name)
             world.run(30)
-            assert all(world.all_hold(name, MemberState.DEAD) for name in world.of(2)[:kill])
+            assert all(world.all_hold(name, MemberState.DEAD) for name in world.gateways_in(2)[:kill])
             found.append(max(at for at, _, _ in world.deaths()) - begin)
     assert sorted(zone)[3] < 1.5 * sorted(one)[3]
 
 
 def test_loss_and_delay_on_half_the_links_kill_nobody():
-    world = World(3)
+    world = SimulatedMembership(3)
     for n, a in enumerate(world.roster):
         for b in list(world.roster)[n % 2 :: 2]:
-            world.net.manners[a, b] = Manner(loss=0.2, delay=(380 * MS, 420 * MS))
+            world.net.link_conditions[a, b] = LinkConditions(loss=0.2, delay=(380 * MS, 420 * MS))
     world.run(120)
     assert world.deaths() == []
 
 
 def test_a_stalled_gateway_blames_itself():
-    world = World()
+    world = SimulatedMembership()
     world.run(20)
-    world.net.stop("g5", 5 * SECOND)
+    world.net.pause("g5", 5 * SECOND)
     world.run(4.9)
     before = len([1 for _, who, _, _ in world.changes if who == "g5"])
     world.run(30)
@@ -66,10 +66,10 @@
 
 
 def test_a_member_held_dead_returns_by_itself_and_after_a_restart_with_an_old_clock():
-    world = World()
+    world = SimulatedMembership()
     world.run(20)
     rest = [name for name in world.roster if name != "g1"]
-    world.net.part(["g1"], rest)
+    world.net.partition(["g1"], rest)
     world.run(25)
     assert all(world.core(name).members["g1"].state is MemberState.DEAD for name in rest)
     world.net.heal()
@@ -83,10 +83,10 @@
 
 
 def test_a_planned_end_is_announced_and_raises_no_suspicion():
-    world = World()
+    world = SimulatedMembership()
     world.run(20)
     world.core("g2").leave(world.net.now)
-    world.net._turn("g2")
+    world.net._flush("g2")
     world.run(0.5)
     world.net.kill("g2")
     world.run(20)
@@ -97,15 +97,15 @@
 
 
 def test_a_zone_restarted_in_one_second_is_alive_again_soon():
-    world = World()
+    world = SimulatedMembership()
     world.run(20)
-    for name in world.of(1):
+    for name in world.gateways_in(1):
         world.net.kill(name)
     world.run(1)
-    for name in world.of(1):
+    for name in world.gateways_in(1):
         world.start(name, 2000)
     world.run(15)
-    assert all(world.all_hold(name, MemberState.ALIVE) for name in world.of(1))
+    assert all(world.all_hold(name, MemberState.ALIVE) for name in world.gateways_in(1))
     assert world.deaths() == []
 
 
@@ -114,17 +114,17 @@
 
 
 def test_reachability_tells_a_lost_zone_from_a_link_cut_one_way():
-    world = World(4)
+    world = SimulatedMembership(4)
     world.run(30)
     assert views(world, "g0") == [ZoneReachability.SEEN] * 4
-    for name in world.of(3):
+    for name in world.gateways_in(3):
         world.net.kill(name)
     world.run(30)
     assert views(world, "g0")[3] is ZoneReachability.SILENT
     assert views(world, "g1")[:3] == [ZoneReachability.SEEN] * 3
     assert not world.core("g0").cut_off(world.net.now)
     # zone 1 probes zone 2 and gets no answer: the direction back is cut
-    world.net.part(world.of(2), world.of(1), both=False)
+    world.net.partition(world.gateways_in(2), world.gateways_in(1), both=False)
     world.run(30)
     ways = world.core("g0").reachability.path_states(world.net.now)
     assert ways[1][2] is PathState.SILENT or ways[1][2] is PathState.DEAF
@@ -133,33 +133,33 @@
 
 
 def test_a_zone_that_is_cut_off_knows_that_it_is():
-    world = World(6)
+    world = SimulatedMembership(6)
     world.run(20)
-    world.net.part(world.of(0), [n for n, z in world.roster.items() if z])
+    world.net.partition(world.gateways_in(0), [n for n, z in world.roster.items() if z])
     world.run(30)
-    assert all(world.core(name).cut_off(world.net.now) for name in world.of(0))
-    assert not any(world.core(name).cut_off(world.net.now) for name in world.roster if name not in world.of(0))
+    assert all(world.core(name).cut_off(world.net.now) for name in world.gateways_in(0))
+    assert not any(world.core(name).cut_off(world.net.now) for name in world.roster if name not in world.gateways_in(0))
 
 
 @pytest.mark.parametrize("gateways", [12, 48, 250])
 def test_messages_a_gateway_do_not_grow_with_the_fleet(gateways):
-    world = World(2, gateways, 5)
+    world = SimulatedMembership(2, gateways, 5)
     world.run(10)
     assert world.net.sent / 10 / gateways < 6
     assert world.deaths() == []
 
 
 def test_a_message_carries_a_bounded_number_of_updates_and_rows():
-    world = World(2, 100, 5)
+    world = SimulatedMembership(2, 100, 5)
     most = []
 
     def size(message):
         most.append((len(getattr(message, "updates", ())), len(getattr(message, "rows", ()))))
         return 0
 
-    world.net.sizes = size
+    world.net.message_size = size
     world.run(5)
-    for name in world.of(0):
+    for name in world.gateways_in(0):
         world.net.kill(name)
     world.run(20)
     assert max(r for r, _ in most) <= 16 and max(r for _, r in most) <= 3
@@ -195,9 +195,9 @@
 
 
 def test_a_zone_of_a_fifth_of_a_large_fleet_is_known_to_all_soon_and_makes_nobody_slow():
-    world = World(1, 100, 5, Manner(loss=0.01, delay=(1 * MS, 60 * MS)))
+    world = SimulatedMembership(1, 100, 5, LinkConditions(loss=0.01, delay=(1 * MS, 60 * MS)))
     world.run(20)
-    lost = world.of(3)
+    lost = world.gateways_in(3)
     for name in lost:
         world.net.kill(name)
     world.run(25)
--- a/tests/protocol/test_headers.py
+++ b/tests/protocol/test_headers.py
@@ -13,11 +13,11 @@
     parse_transport,
     parse_url,
 )
-from copperyard.protocol.rtsp.messages import BadHeader
+from copperyard.protocol.rtsp.messages import HeaderError
 
 
 def error_status(parse, *args):
-    with pytest.raises(BadHeader) as caught:
+    with pytest.raises(HeaderError) as caught:
         parse(*args)
     return caught.value.status
 
--- a/tests/protocol/test_rtp.py
+++ b/tests/protocol/test_rtp.py
@@ -5,25 +5,25 @@
 
 from copperyard.protocol.rtp import (
     App,
-    Block,
     Bye,
-    Packet,
     ReceiverReport,
+    ReportBlock,
+    RtpHeader,
     SenderReport,
     encode_compound,
-    pack,
-    parse,
+    encode_packet,
     parse_compound,
-    rewrite,
+    parse_header,
+    rewrite_header,
 )
 
 
 def test_header_is_parsed_and_rewritten():
-    data = pack(Packet(26, 65535, 1 << 31, 0xDEADBEEF, True), b"abc")
+    data = encode_packet(RtpHeader(26, 65535, 1 << 31, 0xDEADBEEF, True), b"abc")
     assert data[:2] == b"\x80\x9a" and data[12:] == b"abc"
-    assert parse(rewrite(data, 65536 + 3, (1 << 32) + 5, 7)) == Packet(26, 3, 5, 7, True)
-    assert parse(b"\x80" * 11) is None and parse(b"\x40" + bytes(11)) is None
-    assert parse(b"\x8f" + bytes(11)) is None  # fifteen contributing sources announced, none present
+    assert parse_header(rewrite_header(data, 65536 + 3, (1 << 32) + 5, 7)) == RtpHeader(26, 3, 5, 7, True)
+    assert parse_header(b"\x80" * 11) is None and parse_header(b"\x40" + bytes(11)) is None
+    assert parse_header(b"\x8f" + bytes(11)) is None  # fifteen contributing sources announced, none present
 
 
 def test_compound_starts_with_a_report_and_a_cname():
@@ -34,7 +34,7 @@
 
 
 def test_reports_survive_encoding_and_parsing():
-    block = Block(9, 12, -5, 70000, 3, 4, 5)
+    block = ReportBlock(9, 12, -5, 70000, 3, 4, 5)
     sender = SenderReport(1, 1 << 40, 2, 3, 4, (block,))
     assert parse_compound(encode_compound([sender], 1))[0] == sender
     assert parse_compound(encode_compound([ReceiverReport(1, (block, block))], 1))[0].blocks == (block, block)
@@ -50,5 +50,5 @@
 
 @given(st.binary(max_size=80))
 def test_no_input_raises(data):
-    parse(data)
+    parse_header(data)
     parse_compound(data)
--- a/tests/protocol/test_rtsp.py
+++ b/tests/protocol/test_rtsp.py
@@ -4,8 +4,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from copperyard.protocol.rtsp import Connection, Frame, Limits, Malformed, Reply, Request, Response, Run, Unasked
-from copperyard.protocol.rtsp.connection import supported
+from copperyard.protocol.rtsp import (
+    Connection,
+    Frame,
+    FrameBatch,
+    Limits,
+    MalformedInput,
+    MatchedResponse,
+    Request,
+    Response,
+    UnsolicitedResponse,
+)
+from copperyard.protocol.rtsp.connection import is_supported_version
 
 LIMITS = Limits(line=200, headers=8, body=64, frame=1000, pending=4)
 SETUP = (
@@ -48,7 +58,7 @@
 def test_largest_frame_is_parsed_and_one_over_the_limit_is_malformed():
     large_limits = Limits(200, 8, 64, 65535, 4)
     assert events_of(b"$\x00\xff\xff" + b"x" * 65535, limits=large_limits) == [Frame(0, b"x" * 65535)]
-    assert [type(e) for e in events_of(b"$\x00\xff\xff" + b"x" * 10)] == [Malformed]
+    assert [type(e) for e in events_of(b"$\x00\xff\xff" + b"x" * 10)] == [MalformedInput]
 
 
 @pytest.mark.parametrize(
@@ -74,40 +84,40 @@
 def test_malformed_input_ends_the_connection(data, status):
     wire = Connection(LIMITS)
     events = wire.receive(data)
-    assert [type(e) for e in events] == [Malformed] and events[0].status == status
+    assert [type(e) for e in events] == [MalformedInput] and events[0].status == status
     assert wire.receive(SETUP) == []
     assert events_of(data, [1] * len(data)) == events
 
 
 def test_responses_are_matched_by_cseq_in_any_order():
     wire = Connection(LIMITS)
-    first, _ = wire.ask("SETUP", "rtsp://h/a")
-    second, data = wire.ask("PLAY", "rtsp://h/a", (("Session", "s"),))
+    first, _ = wire.make_request("SETUP", "rtsp://h/a")
+    second, data = wire.make_request("PLAY", "rtsp://h/a", (("Session", "s"),))
     assert data == b"PLAY rtsp://h/a RTSP/1.0\r\nCSeq: 2\r\nSession: s\r\n\r\n"
     events = wire.receive(
         b"RTSP/1.0 200 OK\r\nCSeq: 2\r\n\r\nRTSP/1.0 453\r\nCSeq: 1\r\n\r\n"
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\nRTSP/1.0 200 OK\r\nCSeq: 7\r\n\r\n"
     )
     assert [(e.cseq, e.method, e.response.status) for e in events[:2]] == [(second, "PLAY", 200), (first, "SETUP", 453)]
-    assert [type(e) for e in events[2:]] == [Unasked, Unasked]
-    assert wire.waiting == 0
+    assert [type(e) for e in events[2:]] == [UnsolicitedResponse, UnsolicitedResponse]
+    assert wire.pending == 0
 
 
 def test_provisional_response_is_not_matched_and_pending_requests_are_bounded():
     wire = Connection(LIMITS)
     for _ in range(4):
-        wire.ask("OPTIONS", "*")
+        wire.make_request("OPTIONS", "*")
     with pytest.raises(RuntimeError):
-        wire.ask("OPTIONS", "*")
-    assert type(wire.receive(b"RTSP/1.0 100 Continue\r\nCSeq: 1\r\n\r\n")[0]) is Unasked
-    assert type(wire.receive(b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")[0]) is Reply
+        wire.make_request("OPTIONS", "*")
+    assert type(wire.receive(b"RTSP/1.0 100 Continue\r\nCSeq: 1\r\n\r\n")[0]) is UnsolicitedResponse
+    assert type(wire.receive(b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")[0]) is MatchedResponse
 
 
 def test_response_has_the_cseq_and_no_injected_header():
     request = Request("PLAY", "*", (("CSeq", "17"),))
-    data = Connection.answer(request, Response(200, (("X", "a\r\nEvil: 1"),), b"hi"))
+    data = Connection.encode_response(request, Response(200, (("X", "a\r\nEvil: 1"),), b"hi"))
     assert data == b"RTSP/1.0 200 OK\r\nCSeq: 17\r\nX: a  Evil: 1\r\nContent-Length: 2\r\n\r\nhi"
-    assert not supported(Request("PLAY", "*", (), b"", "RTSP/2.0"))
+    assert not is_supported_version(Request("PLAY", "*", (), b"", "RTSP/2.0"))
     assert Request("PLAY", "*", (("CSeq", "-1"),)).cseq is None
 
 
@@ -139,10 +149,10 @@
     def unbatched(events):
         frames = []
         for event in events:
-            frames += events_of(bytes(event.data)) if isinstance(event, Run) else [event]
+            frames += events_of(bytes(event.data)) if isinstance(event, FrameBatch) else [event]
         return frames
 
-    wire, events, offset = Connection(LIMITS, runs=True), [], 0
+    wire, events, offset = Connection(LIMITS, batch_frames=True), [], 0
     for size in (*sizes, len(data)):
         events += wire.receive(data[offset : offset + size])
         offset += size
