--- a/copperyard/lab/baselines.py
+++ b/copperyard/lab/baselines.py
@@ -59,7 +59,7 @@
 class IgnoreColdHosts(RandomLowest):
     """A random holder without the limit on set-ups to cold hosts: shows what that rule prevents."""
 
-    def _turn(self, now: int, server: Server, since: int) -> bool:
+    def _may_send_cold(self, now: int, server: Server, since: int) -> bool:
         return True
 
 
