--- a/copperyard/state/agreement/messages.py
+++ b/copperyard/state/agreement/messages.py
@@ -118,7 +118,7 @@
 
     OUTER_NAME: ClassVar[str] = "Recall"  # key in benchmark results
 
-    incarnation: int
+    voter_incarnation: int
     nonce: int
 
 
@@ -132,7 +132,7 @@
 
     OUTER_NAME: ClassVar[str] = "Recalled"  # key in benchmark results
 
-    incarnation: int
+    voter_incarnation: int
     known_incarnation: int
     term: int
     last_index: int
--- a/copperyard/state/agreement/replica.py
+++ b/copperyard/state/agreement/replica.py
@@ -367,12 +367,12 @@
         incarnation, nonce, known = self.peer_incarnations.get(sender, (0, -1, 0))
         if message.nonce != nonce:
             known = max(known, incarnation)
-            self.peer_incarnations[sender] = (message.incarnation, message.nonce, known)
+            self.peer_incarnations[sender] = (message.voter_incarnation, message.nonce, known)
         # sent only after earlier writes are durable, so the reply states what is on disk
         self._send_message(
             sender,
             RecoveryReply(
-                message.incarnation,
+                message.voter_incarnation,
                 known,
                 self.term,
                 self.last_index,
@@ -383,7 +383,7 @@
         )
 
     def _on_recovery_reply(self, now: int, sender: str, message: RecoveryReply) -> None:
-        if message.incarnation != self.incarnation or sender not in self._other_voters():
+        if message.voter_incarnation != self.incarnation or sender not in self._other_voters():
             return
         self.recovery_replies[sender] = message
         replies, others = self.recovery_replies, self._other_voters()
--- a/tests/common/test_common.py
+++ b/tests/common/test_common.py
@@ -2,11 +2,11 @@
 docs/design/sites.md has a test here."""
 
 import random
-from dataclasses import replace
+from dataclasses import fields, replace
 
 import pytest
 
-from copperyard.control.coordinator import ENTRY_CODEC, NotifyApplied, Send
+from copperyard.control.coordinator import ENTRY_CODEC, MESSAGE_CODEC, NotifyApplied, Send
 from copperyard.control.zones.plan import Renewed
 from copperyard.interface import ZoneAllocation
 from copperyard.state.agreement.messages import Entry, EntryKind, FetchReply, FetchRequest
@@ -305,3 +305,20 @@
 @pytest.mark.parametrize("seed", range(16))
 def test_no_storm_breaks_a_bound(seed):
     assert storm(seed).plans
+
+
+def test_the_bound_of_numbers_holds_for_the_same_messages_as_before():
+    """`Coordinator.hear` finds the numbers that it bounds by the fields' names: a field renamed to one of them would
+    make it drop messages that it took before."""
+    bounded = {
+        name: sorted(
+            getattr(kind, "OUTER_NAME", kind.__name__)
+            for kind in MESSAGE_CODEC._numbers
+            if name in {field.name for field in fields(kind)}
+        )
+        for name in ("term", "incarnation")
+    }
+    assert bounded == {
+        "term": ["Append", "Ballot", "Install", "Poll", "Recalled", "Taken"],
+        "incarnation": ["Ping"],
+    }
