--- a/tests/agreement/model.py
+++ b/tests/agreement/model.py
@@ -33,7 +33,7 @@
         return self.start * 1000 + self.count
 
 
-class Broken(Exception):
+class ModelViolationError(Exception):
     """An invariant was violated."""
 
 
@@ -84,15 +84,15 @@
             elif isinstance(order, replica.Apply):
                 known = self.history.setdefault(order.index, order.entry)
                 if known != order.entry:
-                    raise Broken(f"{order.index} is {known} and {order.entry}")
+                    raise ModelViolationError(f"{order.index} is {known} and {order.entry}")
         if core.role is Role.LEADER:
             if self.leaders.setdefault(core.term, name) != name:
-                raise Broken(f"two leaders in term {core.term}")
+                raise ModelViolationError(f"two leaders in term {core.term}")
             self.vote(name, core.term, name)
 
     def vote(self, name, term, whom):
         if self.votes.setdefault((name, term), whom) != whom:
-            raise Broken(f"{name} votes twice in term {term}")
+            raise ModelViolationError(f"{name} votes twice in term {term}")
 
     def key(self):
         cores = tuple(
@@ -166,7 +166,10 @@
 
 
 def explore(make=Replica, bounds=None, most=200_000, seconds=60.0):
-    """Explore up to `most` states within the bounds: (states, whether these were all). Broken names its path."""
+    """Explore up to `most` states within the bounds: (states, whether these were all).
+
+    A ModelViolationError names its path.
+    """
     seen = set()
     stack = [(pickle.dumps(State(make, bounds or Bounds())), ())]
     begin = time.monotonic()
@@ -176,8 +179,8 @@
             state = pickle.loads(data)
             try:
                 state.step(what, of)
-            except (Broken, AssertionError) as error:
-                raise Broken(f"{error} after {[*path, (what, of)]}") from None
+            except (ModelViolationError, AssertionError) as error:
+                raise ModelViolationError(f"{error} after {[*path, (what, of)]}") from None
             key = state.key()
             if key not in seen:
                 seen.add(key)
--- a/tests/agreement/test_model.py
+++ b/tests/agreement/test_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 from copperyard.state.agreement.replica import Replica
-from tests.agreement.model import Bounds, Broken, explore
+from tests.agreement.model import Bounds, ModelViolationError, explore
 from tests.agreement.test_replica import Eager, Twice
 
 
@@ -15,5 +15,5 @@
 
 @pytest.mark.parametrize(("defect", "bounds"), [(Twice, Bounds(2, 0)), (Eager, Bounds(2, 1))])
 def test_a_planted_defect_is_found(defect, bounds):
-    with pytest.raises(Broken):
+    with pytest.raises(ModelViolationError):
         explore(defect, bounds, seconds=90)
