--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -114,7 +114,7 @@
     "probe.flat": "PT",
 }
 # Values of each kind of run that the tables of fits and predictions show; all values for a kind that is not listed.
-TABLE_VALUES = {
+TABLE_VALUES_BY_KIND = {
     "viewers.idle": ("gateway_kb", "outside_kb"),
     "viewers.playing": ("gateway_kb", "outside_kb", "cpu_ms_per_s"),
     "viewers.delivery": ("us_each",),
@@ -238,7 +238,7 @@
                 finite_number(f"{where}: values.{name}.{key}", one.get(key) if isinstance(one, dict) else one)
             if one.get("form") not in FORMS:
                 raise InputError(
-                    f"{where}: values.{name}.form: {abbreviate(one.get('form'))}: one of {', '.join(FORMS)}"
+                    f"{where}: values.{name}.form: {abbreviate(one.get('form'))}: expected one of {', '.join(FORMS)}"
                 )
         return
     if found.get("kind") != "run":
@@ -276,7 +276,7 @@
         except ValueError:
             raise InputError(f"{path.name} line {place}: {line[:40]!r}: half written, no JSON") from None
         if not isinstance(found[-1], dict):
-            raise InputError(f"{path.name} line {place}: {line[:40]!r}: no object")
+            raise InputError(f"{path.name} line {place}: {line[:40]!r}: no object, but each line must be a JSON object")
     head = found[0] if found else {}
     if head.get("format") != FORMAT:
         raise InputError(f"{path.name} line 1: format: {abbreviate(head.get('format'))}: not {FORMAT!r}")
@@ -384,7 +384,7 @@
     `defaults` fills in what the result does not say.
     """
     if not isinstance(found, dict):
-        raise InputError(f"{where}: {abbreviate(found)}: no object")
+        raise InputError(f"{where}: {abbreviate(found)}: no object, but a result must be a JSON object")
     run: dict[str, Any] = {"kind": "run", "trial": False, "note": "", "raw": {}, "values": {}}
     if "what" in found:
         run["values"] = values = found.get("values")
@@ -404,7 +404,7 @@
         for key, value in (("mechanism", mechanism), ("clock", clock)):
             known = known_of[key]
             if value not in known:
-                raise InputError(f"{where}: {key}: {abbreviate(value)}: one of {', '.join(known)}")
+                raise InputError(f"{where}: {key}: {abbreviate(value)}: expected one of {', '.join(known)}")
         run |= {"what": f"scale.{mechanism}.{clock}", "size": found["gateways"], "seed": found.get("seed", 0)}
         run["command"] = (
             f"python -m benchmarks.scale {found['gateways']} --seed {run['seed']}"
@@ -657,7 +657,7 @@
     def names(self, what: str) -> list[str]:
         """The values of a kind that the tables show and that were measured."""
         every = dict.fromkeys(name for one in self.runs(what) for name in one["values"])
-        return [name for name in TABLE_VALUES.get(what, tuple(every)) if name in every]
+        return [name for name in TABLE_VALUES_BY_KIND.get(what, tuple(every)) if name in every]
 
     def measured(self, what: str, name: str, size: float, scale: float = 1.0, unit: str = "") -> Value:
         """Median, least and greatest of what runs of that size measured, times `scale`."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -386,7 +386,10 @@
         }
 
     def worst_window(self, span: int) -> dict[str, float | None]:
-        """The greatest cost per second over any `span` recorded seconds, of non-voters and of voters."""
+        """The greatest processor time (ms/s) and traffic (bytes/s) of any one gateway, for non-voters and for voters.
+
+        Each figure is a mean over `span` consecutive recorded seconds; its worst window counts.
+        """
         ms: dict[str, float] = {}
         sent: dict[str, float] = {}
         voters = set(self.site.voters)
--- a/benchmarks/viewers.py
+++ b/benchmarks/viewers.py
@@ -248,14 +248,14 @@
         raise MeasurementError(f"viewer {number}: {status}: refused {MAX_ATTEMPTS} times")
 
 
-async def open_many(count: int, open_one: Callable[[int], Awaitable[Stream]]) -> list[Stream]:
+async def open_many(count: int, open_stream: Callable[[int], Awaitable[Stream]]) -> list[Stream]:
     """Open `count` connections, 32 at a time."""
     streams: list[Stream] = []
     limit = trio.CapacityLimiter(32)
 
     async def one(number: int) -> None:
         async with limit:
-            streams.append(await open_one(number))
+            streams.append(await open_stream(number))
 
     async with trio.open_nursery() as nursery:
         for number in range(count):
@@ -277,10 +277,10 @@
             while data := await stream.receive_some(4096):
                 received[0] += len(data)
 
-        async def open_one(number: int) -> Stream:
+        async def open_stream(number: int) -> Stream:
             return await (TcpNetwork().connect(where) if what == "idle" else pool.open(number))
 
-        streams = await open_many(count, open_one)
+        streams = await open_many(count, open_stream)
         async with trio.open_nursery() as nursery:
             for stream in streams:
                 nursery.start_soon(drain, stream)
@@ -346,14 +346,14 @@
     async with gateway_process(Host(), seed) as (where, pid):
         pool = ViewerPool(where)
 
-        async def open_one(number: int) -> Stream:
+        async def open_stream(number: int) -> Stream:
             stream = await pool.open(number)
             stream.close()
             return stream
 
-        await open_many(50, open_one)
+        await open_many(50, open_stream)
         begin, at = cpu_seconds(pid), time.monotonic()
-        await open_many(count, open_one)
+        await open_many(count, open_stream)
         await trio.sleep(0.2)
         used, took = cpu_seconds(pid) - begin, time.monotonic() - at
     each = used / count * 1e3
--- a/copperyard/cli/lab.py
+++ b/copperyard/cli/lab.py
@@ -73,7 +73,8 @@
 
 
 SCRIPTED_DAYS = ("bad", "calm")
-PROCESS_DAYS = ("short", "council", "sites")  # days on which each gateway is a process
+# Scripted scenarios ("days") in which each gateway runs as a process of its own.
+PROCESS_DAYS = ("short", "council", "sites")
 
 
 def _load_rehearsal(path: Path, site: Site) -> Rehearsal:
@@ -119,7 +120,7 @@
     if not in_memory:
         typer.echo(f"{name}: {rehearsal.seconds:g} s of arrivals, then their ends", err=True)
     result = virtual.run(memory, seed) if in_memory else trio.run(sockets)
-    _print_breaks(result)
+    _print_rule_violations(result)
     if report is not None:
         _write_report(report, result)
     typer.echo(json.dumps(result.summary))
@@ -234,7 +235,7 @@
         raise typer.Exit(1)
 
 
-def _print_breaks(result: Result) -> None:
+def _print_rule_violations(result: Result) -> None:
     for one in result.violations[:50]:
         typer.echo(f"rule {one.rule} broken at {one.time / 1e9:.3f} s by {one.front}: {one.text}", err=True)
 
--- a/copperyard/control/cells.py
+++ b/copperyard/control/cells.py
@@ -112,8 +112,8 @@
         """Whether this gateway acts as a delegate: in its own view, or in that of a member that reported to it."""
         return now - self._reported_to_at <= DELEGATE_BY_REPORT_NS or self.name in self.delegates(now)
 
-    def collector(self) -> str:
-        """Return the collector of the next report."""
+    def current_collector(self) -> str:
+        """Return the name of the collector (a voter) to which this delegate sends its next report."""
         return self.collectors[self._collector_index % len(self.collectors)]
 
     # ---- messages
@@ -180,7 +180,7 @@
                     for k in range(4):
                         total[k] += row[k]
         report = self.aggregate.report(now, self.name, self.life, states, [(a, b, c, d) for a, b, c, d in sums])
-        to = self.collector()
+        to = self.current_collector()
         if to == self.name:
             self._acked_at = now
         else:
--- a/copperyard/control/zones/rollup.py
+++ b/copperyard/control/zones/rollup.py
@@ -87,8 +87,12 @@
     def report(
         self, now: int, by: str, life: int, states: Mapping[str, int], reachability: Sequence[tuple[int, int, int, int]]
     ) -> CellReport:
-        """Build the report of the cell. `states`: 1 suspect, 2 dead, 3 left, anything else alive; `reachability`: by
-        zone, summed over the cell: probed, answered, heard, late. ValueError for another number of zones.
+        """Build the report of this cell, sent by its delegate `by`.
+
+        `states` is the state of each gateway: 1 suspect, 2 dead, 3 left, anything else alive. `reachability` has a row
+        for each zone, summed over the members of the cell: how many gateways of that zone they probed, how many
+        answered, how many sent them a probe (heard), and how many of the answers were late. Raises ValueError if the
+        number of rows is not the number of zones.
         """
         fresh = self.summaries.fresh(now)
         knowing = knowing_hosts(fresh)
--- a/copperyard/lab/run.py
+++ b/copperyard/lab/run.py
@@ -212,7 +212,11 @@
 
 
 def service(site: Site, visits: list[Visit]) -> dict[str, float]:
-    """Return the service figure and its parts: whole run, worst 10 s by arrival, worst class."""
+    """Return the service figure, a weighted mean, and its parts.
+
+    Each part is the share of the requested worth that was delivered in time: in the whole run, in the worst window of
+    10 s (visits are grouped by arrival time), and in the worst session class.
+    """
     first = min((v.began for v in visits), default=0)
     windows: dict[int, list[Visit]] = {}
     classes: dict[str, list[Visit]] = {}
--- a/copperyard/lab/sites/simulated_site.py
+++ b/copperyard/lab/sites/simulated_site.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class GatewayCost:
-    """What one gateway cost over all its starts.
+    """Processor time, messages and bytes of one simulated gateway, summed over all starts of its process.
 
     `cpu_ns` is the processor time of this thread in ns (`thread_time_ns`; a call itself takes about 0.2 us). Processor
     time and bytes are counted only while `measured` is set; messages and the sets of peers always.
@@ -334,13 +334,15 @@
         self._living[self.roster[name]] -= 1
         self._add_caps(core, -1)
 
-    def set_allocation(self, front: SimulatedFront, ways: ZoneAllocation) -> None:
+    def set_allocation(self, front: SimulatedFront, allocation: ZoneAllocation) -> None:
         """Sets what a front may do from now on."""
         before = front.allocation
         self._add_caps(front, -1)
-        front.allocation = ways
+        front.allocation = allocation
         self._add_caps(front, 1)
-        if before is None or any((cap or 0.0) > (had or 0.0) for cap, had in zip(ways.caps, before.caps, strict=True)):
+        if before is None or any(
+            (cap or 0.0) > (had or 0.0) for cap, had in zip(allocation.caps, before.caps, strict=True)
+        ):
             self._cap_raised = True
 
     def _add_caps(self, front: SimulatedFront, sign: int) -> None:
--- a/copperyard/state/agreement/learner.py
+++ b/copperyard/state/agreement/learner.py
@@ -48,7 +48,7 @@
         self._pending: dict[int, tuple[str, int]] = {}
 
     def add(self, now: int, name: str) -> int:
-        """Note a request to `name` that is sent now; its number."""
+        """Record a fetch request that is sent to the source `name` now, and return the number of the request."""
         self.number += 1
         self._pending[self.number] = (name, now)
         for expired in [
@@ -94,7 +94,7 @@
         self._round_robin = False  # while nothing new comes, requests alternate between round robin and draws
         self._requested_at: dict[str, int] = {}
         self._replied_at: dict[str, int] = {}
-        self._avoided_since: dict[str, int] = {}  # since when each source is avoided
+        self._avoided_since: dict[str, int] = {}  # by source: when it was last found bad
         self._hint_requested_at: dict[str, int] = {}  # latest request after a hint that has brought nothing yet
         self._actions: list[ReplicaAction] = []
 
