--- a/copperyard/config/common.py
+++ b/copperyard/config/common.py
@@ -37,8 +37,8 @@
     listen_addresses: Mapping[str, str]
     dial_addresses: Mapping[str, str]
     terms: Terms
-    probe_timing: ProbeTiming
-    election_timing: ElectionTiming
+    pace: ProbeTiming
+    beat: ElectionTiming
     session_lengths: tuple[int, ...]
     folder: str
     store_kind: str
@@ -51,9 +51,7 @@
 
     def coordinator_config(self, name: str) -> CoordinatorConfig:
         """Return the part of the settings that one gateway needs."""
-        return CoordinatorConfig.of(
-            name, self.cells, self.zones, self.voters, self.terms, self.probe_timing, self.election_timing
-        )
+        return CoordinatorConfig.of(name, self.cells, self.zones, self.voters, self.terms, self.pace, self.beat)
 
 
 def read_common(
--- a/copperyard/gateway/daemon.py
+++ b/copperyard/gateway/daemon.py
@@ -223,8 +223,8 @@
         """
         await self._catch_up()
         journal = self._journal
-        if journal is not None and journal.writer.degraded != self._journal_failure:
-            self._journal_failure = journal.writer.degraded
+        if journal is not None and journal.book.degraded != self._journal_failure:
+            self._journal_failure = journal.book.degraded
             self.log(
                 "journal failed" if self._journal_failure else "journal well again",
                 {"front": self.config.name, "text": self._journal_failure},
@@ -251,10 +251,10 @@
         journal = self._journal
         if journal is None:
             return
-        last_sequence = journal.writer.close(now(), self.core.session_table.budget.spent_ages(now()))
+        last_sequence = journal.book.close(now(), self.core.session_table.budget.spent_ages(now()))
         journal.notify()
         with trio.move_on_after(JOURNAL_TIMEOUT_NS / 1e9):
-            while not journal.writer.durable(last_sequence):  # noqa: ASYNC110 - polled once, at the end of the process
+            while not journal.book.durable(last_sequence):  # noqa: ASYNC110 - polled once, at the end of the process
                 await trio.sleep(0.01)
 
     # ---- I/O actions
@@ -292,8 +292,8 @@
         if self._journal is not None and self.core.list_changed:
             self.core.list_changed = False
             self.background.add("list", Priority.NORMAL, self._save_list)
-        if self._journal is not None and self._journal.writer.sequence != self._seen_sequence:
-            self._seen_sequence = self._journal.writer.sequence
+        if self._journal is not None and self._journal.book.sequence != self._seen_sequence:
+            self._seen_sequence = self._journal.book.sequence
             self._journal.notify()
         wake = self.core.next_wake()
         if wake != self._wake_at:
--- a/copperyard/gateway/journal_runner.py
+++ b/copperyard/gateway/journal_runner.py
@@ -19,7 +19,7 @@
     def __init__(
         self, writer: JournalWriter, disk: Disk, background: BackgroundRunner, stored: Callable[[], Awaitable[None]]
     ) -> None:
-        self.writer, self.disk, self.background, self.stored = writer, disk, background, stored
+        self.book, self.disk, self.background, self.stored = writer, disk, background, stored
         self._made_steps: list[Step | None] = []
         self._step_made = AutoResetEvent()
         self._wake = {"commit": AutoResetEvent(), "chore": AutoResetEvent()}
@@ -41,20 +41,20 @@
         Encoding its facts takes time on the event loop, so the step is made by a background job. The job has a raised
         priority only while the journal is degraded and needs the step to recover.
         """
-        if not self.writer.wants_background(now()):
+        if not self.book.wants_background(now()):
             return None
 
         def make_step(when: int) -> None:
-            self._made_steps.append(self.writer.background_step(when))
+            self._made_steps.append(self.book.background_step(when))
             self._step_made.set()
 
-        self.background.add("snapshot", Priority.HIGH if self.writer.degraded else Priority.NORMAL, make_step)
+        self.background.add("snapshot", Priority.HIGH if self.book.degraded else Priority.NORMAL, make_step)
         while not self._made_steps:
             await self._step_made.wait()
         return self._made_steps.pop()
 
     async def _run_queue(self, queue: str) -> None:
-        writer = self.writer
+        writer = self.book
         while True:
             step = writer.commit_step(now()) if queue == "commit" else await self._background_step()
             if step is None:
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -223,7 +223,7 @@
             group.lost_zones,
         )
         nobody: Any = SimpleNamespace(sessions={}, servers={})
-        self.peer_service = PeerService(
+        self.neighbours = PeerService(
             peer_settings(plan, name, group.folder, False),
             gauge,
             lambda: nobody,
@@ -241,7 +241,7 @@
         """Runs until it is killed; as with a killed process, sockets close without a message."""
         try:
             with self.scope:
-                await self.peer_service.run()
+                await self.neighbours.run()
             if not self.scope.cancelled_caught:
                 self.group.add_note(self.name, "failed", "ended by itself")
         except Exception as error:  # for example a port in use, or a folder that cannot be written
@@ -365,12 +365,12 @@
                 {
                     "state": {
                         name: {
-                            **state_counts(one.peer_service.coordinator),
+                            **state_counts(one.neighbours.coordinator),
                             "links": len(one.network.open_streams),
                             "most": one.network.max_open,
-                            "frames": one.peer_service.links.written,
-                            "heard": one.peer_service.links.received,
-                            "dropped": one.peer_service.links.dropped,
+                            "frames": one.neighbours.links.written,
+                            "heard": one.neighbours.links.received,
+                            "dropped": one.neighbours.links.dropped,
                         }
                         for name, one in self.gateways.items()
                         if not one.ended.is_set()
