--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -276,7 +276,7 @@
         except ValueError:
             raise InputError(f"{path.name} line {place}: {line[:40]!r}: half written, no JSON") from None
         if not isinstance(found[-1], dict):
-            raise InputError(f"{path.name} line {place}: {line[:40]!r}: no object, but each line must be a JSON object")
+            raise InputError(f"{path.name} line {place}: {line[:40]!r}: no object")
     head = found[0] if found else {}
     if head.get("format") != FORMAT:
         raise InputError(f"{path.name} line 1: format: {abbreviate(head.get('format'))}: not {FORMAT!r}")
@@ -384,7 +384,7 @@
     `defaults` fills in what the result does not say.
     """
     if not isinstance(found, dict):
-        raise InputError(f"{where}: {abbreviate(found)}: no object, but a result must be a JSON object")
+        raise InputError(f"{where}: {abbreviate(found)}: no object")
     run: dict[str, Any] = {"kind": "run", "trial": False, "note": "", "raw": {}, "values": {}}
     if "what" in found:
         run["values"] = values = found.get("values")
--- a/copperyard/state/agreement/replica.py
+++ b/copperyard/state/agreement/replica.py
@@ -137,9 +137,9 @@
             else:
                 position = record.index - state.snapshot.index - 1
                 if not 0 <= position <= len(state.log):
-                    last_index = state.snapshot.index + len(state.log)
                     raise ValueError(
-                        f"log index out of sequence: entry {record.index} follows on {last_index}, the last index"
+                        f"log index out of sequence: entry {record.index} follows on "
+                        f"{state.snapshot.index + len(state.log)}, the last index"
                     )
                 del state.log[position:]
                 state.log.append(record.entry)
