--- a/copperyard/gateway/journal_runner.py
+++ b/copperyard/gateway/journal_runner.py
@@ -17,9 +17,9 @@
     """The tasks of one gateway's journal. `stored` is called when more facts are durable and when a step failed."""
 
     def __init__(
-        self, book: JournalWriter, disk: Disk, background: BackgroundRunner, stored: Callable[[], Awaitable[None]]
+        self, writer: JournalWriter, disk: Disk, background: BackgroundRunner, stored: Callable[[], Awaitable[None]]
     ) -> None:
-        self.book, self.disk, self.background, self.stored = book, disk, background, stored
+        self.book, self.disk, self.background, self.stored = writer, disk, background, stored
         self._made_steps: list[Step | None] = []
         self._step_made = AutoResetEvent()
         self._wake = {"commit": AutoResetEvent(), "chore": AutoResetEvent()}
--- a/copperyard/lab/sites/hollow.py
+++ b/copperyard/lab/sites/hollow.py
@@ -252,7 +252,7 @@
         finally:
             self.ended.set()
 
-    def _ignore_allocation(self, ways: ZoneAllocation) -> None:
+    def _ignore_allocation(self, allocation: ZoneAllocation) -> None:
         pass  # there are no viewers to route
 
     def _log(self, event: str, fields: Mapping[str, str | int]) -> None:
