--- a/tests/contracts/test_earlier_bytes.py
+++ b/tests/contracts/test_earlier_bytes.py
@@ -1,7 +1,7 @@
 """Bytes that the build of e6d08e3 wrote, before its names changed: this build reads them and writes the same.
 
-One link message, log entry and journal fact of each kind, and the hello of a link; `bytes_of_e6d08e3.json` holds them by
-the class names of that build. Guards against a changed kind number, field order or field count."""
+One link message, log entry and journal fact of each kind, and the hello of a link, by the class names of that build in
+`bytes_of_e6d08e3.json`. Guards against a changed kind number, field order or field count."""
 
 import json
 from pathlib import Path
