--- a/copperyard/gateway/peers/log_store.py
+++ b/copperyard/gateway/peers/log_store.py
@@ -1,4 +1,4 @@
-"""Log stores for a voter's records: a file, or a SQLite database. state.agreement.records has their guarantees."""
+"""Log stores for a voter's records: a file, or a SQLite database. state.agreement.log_store says what they promise."""
 
 from __future__ import annotations
 
